--- a/src/main/java/pondridge/core/Answer.java
+++ b/src/main/java/pondridge/core/Answer.java
@@ -2,5 +2,5 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** What an upstream answered with 200, whole; the headers are those that go through to the client. */
+/** A complete response with status 200; {@code headers} are those that are forwarded to the client. */
 public record Answer(HttpHeaders headers, byte[] body) {}
--- a/src/main/java/pondridge/core/Client.java
+++ b/src/main/java/pondridge/core/Client.java
@@ -1,29 +1,35 @@
 package pondridge.core;
 
 /**
- * The way back: takes a request's one final answer. Exactly one of the methods is called, once, on the event
- * loop, perhaps within {@link Engine#submit}; none after {@link Engine#hangup}.
+ * The sender of a request, which receives its final response. Exactly one of {@link #served}, {@link #refused}
+ * and {@link #failed} is called, once, on the event loop, possibly within {@link Engine#submit}; none after
+ * {@link Engine#hangup}.
  */
 public interface Client {
-    /** Called right before {@link #refused} or {@link #failed}, with what had been tried; for who asks. */
+    /** Called right before {@link #refused} or {@link #failed}, with a summary of the attempts. */
     default void tried(Tried tried) {}
 
     /**
-     * Whether it is still there, asked right before something is sent on for it. Who says no calls
-     * {@link Requests#hangup} as well, later.
+     * Whether the client is still connected; called right before an attempt is written for it. An
+     * implementation that returns false must also call {@link Requests#hangup}, later.
      *
-     * @param late whether the loop may have stood still: then a leave may lie unread in the socket
+     * @param readSocket whether the event loop may have stalled, so that a disconnect may be unread in the
+     *     socket
      */
-    default boolean here(boolean late) {
+    default boolean here(boolean readSocket) {
         return true;
     }
 
-    /** Served by an upstream. */
-    void served(Answer answer);
+    /** The request was served by an upstream. */
+    void served(Answer response);
 
-    /** Refused: trying again is harmless, best after {@code wait} nanoseconds where that is not 0. */
-    void refused(long wait);
+    /**
+     * The request was refused; a retry is harmless.
+     *
+     * @param retryAfterNanos when to retry at the earliest; 0 for no recommendation
+     */
+    void refused(long retryAfterNanos);
 
-    /** Failed, with no promise about effects. */
+    /** The request failed; whether it had an effect is not known. */
     void failed();
 }
--- a/src/main/java/pondridge/core/Directory.java
+++ b/src/main/java/pondridge/core/Directory.java
@@ -1,10 +1,10 @@
 package pondridge.core;
 
-/** Where the list of upstreams comes from. What it finds it tells {@link Engine#listed}, on the loop. */
+/** The source of the endpoint list. Reports lists and changes to {@link Engine#listed} on the event loop. */
 public interface Directory {
-    /** Follows the list's changes from now on, or no longer. */
-    void watch(boolean on);
+    /** Starts or stops watching for changes. */
+    void watch(boolean enabled);
 
-    /** Asks for the whole list once. */
+    /** Requests the full list once. */
     void fetch();
 }
--- a/src/main/java/pondridge/core/Engine.java
+++ b/src/main/java/pondridge/core/Engine.java
@@ -25,318 +25,342 @@
 import pondridge.Rules;
 
 /**
- * The only caller of the module: tells it events one after the other, on the event loop, and carries out what
- * it orders. Whatever module and upstreams do, a request gets one final answer and a send one outcome.
+ * Hosts the {@link Balancer}: passes it one event at a time on the event loop and carries out the actions it
+ * orders. Whatever the balancer and the upstreams do, each request gets exactly one final response and each
+ * send exactly one outcome. Times and durations are in nanoseconds unless a name says otherwise.
  */
 public final class Engine implements Balancer.Actions, Requests {
-    /** What of a client's wait is kept for the answer's way back; the module does not know of it. */
-    private static final long ANSWER_ROOM = 10_000_000;
+    /** Part of the client's timeout reserved for returning the response; the balancer does not see it. */
+    private static final long RESPONSE_MARGIN_NANOS = 10_000_000;
     /**
-     * How long clients' sockets may go unread before something is sent on: half of the 0.1 s in which nothing
-     * may begin once a client has left; the rest is for what comes between look and write. Beyond it the one
-     * client's socket is read first, which is exact: what a stand-still hides has no other sign, since one
-     * turn may bring the connection to the server before the client's end. A busy loop never pays for it.
+     * How long the clients' sockets may go unread before a request is forwarded without another check. It is
+     * half of the 0.1 s after a client's disconnect within which no new attempt may start; the other half
+     * covers the time between check and write. After a longer gap that client's socket is read first. Only
+     * the read shows a disconnect that arrived while the loop was stalled, since a single loop turn may
+     * process the connection to the server before the client's end of stream. While the loop keeps turning,
+     * even under load, no such read is needed.
      */
-    private static final long UNREAD_TIME = 50_000_000;
-    /** The module's messages have 256 bytes: this many servers in one. */
-    private static final int HEARD_BYTES = 12;
+    private static final long MAX_UNREAD_NANOS = 50_000_000;
+    /** A peer message holds up to 256 bytes; each entry is a server id and a slowdown factor. */
+    private static final int SLOWDOWN_ENTRY_BYTES = 12;
 
-    private static final int MOST_HEARD = 256 / HEARD_BYTES;
-    private static final int LEASE_BYTES = 16;
-    private static final int MOST_LEASES = 256 / LEASE_BYTES;
+    private static final int MAX_SLOWDOWN_ENTRIES = 256 / SLOWDOWN_ENTRY_BYTES;
+    private static final int LEASE_ENTRY_BYTES = 16;
+    private static final int MAX_LEASE_ENTRIES = 256 / LEASE_ENTRY_BYTES;
 
-    private static final class Call {
+    /** A request from its submission until the last of its attempts has ended. */
+    private static final class OpenRequest {
         private final Job job;
         private final Client client;
         private long deadline;
         private final List<Transport.Attempt> attempts = new ArrayList<>(1);
         private Future<?> timer;
-        private int out;
-        private int sent;
-        private int reached;
-        private boolean doubt;
-        /** When the first attempt that may have run was sent. */
-        private long doubtSince;
+        private int inFlight;
+        private int attemptsSent;
+        private int attemptsWithResponse;
+        private boolean mayHaveRun;
+        /** When the first attempt that may have run was sent; valid if {@code mayHaveRun}. */
+        private long mayHaveRunSince;
 
-        private long lookedAt;
-        /** Found gone by a look; its front will say so, too. */
-        private boolean left;
+        private long lastSocketReadAt;
+        /** A connection check found the client gone; the front end reports that as well, later. */
+        private boolean clientGone;
 
-        private boolean over;
+        private boolean closed;
 
-        Call(Job job, Client client) {
+        OpenRequest(Job job, Client client) {
             this.job = job;
             this.client = client;
         }
 
-        private void ended(Outcome outcome, long sentAt) {
-            out--;
-            if (!doubt && !outcome.provesNeverRan()) {
-                doubt = true;
-                doubtSince = sentAt;
+        private void recordOutcome(Outcome outcome, long sentAt) {
+            inFlight--;
+            if (!mayHaveRun && !outcome.provesNeverRan()) {
+                mayHaveRun = true;
+                mayHaveRunSince = sentAt;
             }
-            boolean answered = outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
-            reached += answered ? 1 : 0;
+            boolean responded = outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
+            attemptsWithResponse += responded ? 1 : 0;
         }
 
         /**
-         * Nothing more goes out for it: what is not yet written never will be. Danger: a connection that
-         * comes up late would carry a request whose client has left or has its answer.
+         * Stops the request: attempts that are not yet written are withdrawn. Otherwise a connection that is
+         * established late would carry a request whose client has disconnected or already has its response.
          */
-        private void end() {
-            over = true;
+        private void close() {
+            closed = true;
             timer.cancel(false);
             attempts.stream().filter(Objects::nonNull).forEach(Transport.Attempt::withdraw);
         }
 
-        private void refused(long wait) {
-            tell();
-            client.refused(wait);
+        private void refused(long retryAfter) {
+            reportAttempts();
+            client.refused(retryAfter);
         }
 
         private void failed() {
-            tell();
+            reportAttempts();
             client.failed();
         }
 
-        private void tell() {
-            client.tried(new Tried(sent, reached, doubt || out > 0));
+        private void reportAttempts() {
+            client.tried(new Tried(attemptsSent, attemptsWithResponse, mayHaveRun || inFlight > 0));
         }
     }
 
-    /** One attempt, from the module's order to its outcome. */
-    private final class Try implements Transport.Listener {
-        private final long id;
-        private final Call call;
+    /** One attempt, from the balancer's order to its outcome. */
+    private final class PendingAttempt implements Transport.Listener {
+        private final long requestId;
+        private final OpenRequest request;
         private final int number;
         private final long upstream;
         private final long sentAt;
-        /** From then on it must not be written any more. */
-        private final long beginBy;
+        /** From this time on the attempt must not be written any more. */
+        private final long writeDeadline;
 
-        private Future<?> tooLate;
+        private Future<?> withdrawTimer;
 
-        Try(long id, Call call, int number, long upstream, long sentAt) {
-            this.id = id;
-            this.call = call;
+        PendingAttempt(long requestId, OpenRequest request, int number, long upstream, long sentAt) {
+            this.requestId = requestId;
+            this.request = request;
             this.number = number;
             this.upstream = upstream;
             this.sentAt = sentAt;
-            RequestClass kind = classes.get(call.job.requestClass());
-            this.beginBy = call.doubt && kind.semantics() == Semantics.BY_KEY
-                    ? Math.min(call.deadline, call.doubtSince + kind.keyTtl())
-                    : call.deadline;
+            RequestClass requestClass = classes.get(request.job.requestClass());
+            this.writeDeadline = request.mayHaveRun && requestClass.semantics() == Semantics.BY_KEY
+                    ? Math.min(request.deadline, request.mayHaveRunSince + requestClass.keyTtl())
+                    : request.deadline;
         }
 
-        void begin(long wait) {
-            call.attempts.set(number, transport.send(upstream, call.job, wait, this));
-            // Danger: a connection may take longer to come up than servers remember the key.
-            if (beginBy < call.deadline) {
-                tooLate = loop.schedule(
-                        () -> call.attempts.get(number).withdraw(), Math.max(0, beginBy - now()), TimeUnit.NANOSECONDS);
+        void start(long timeout) {
+            request.attempts.set(number, transport.send(upstream, request.job, timeout, this));
+            // A connection may take longer to establish than servers remember the idempotency key.
+            if (writeDeadline < request.deadline) {
+                withdrawTimer = loop.schedule(
+                        () -> request.attempts.get(number).withdraw(),
+                        Math.max(0, writeDeadline - now()),
+                        TimeUnit.NANOSECONDS);
             }
         }
 
         @Override
         public boolean wanted() {
-            return !call.over && now() < beginBy && here(call) && now() < beginBy;
+            return !request.closed && now() < writeDeadline && clientConnected(request) && now() < writeDeadline;
         }
 
         @Override
-        public void ended(Outcome outcome, Answer answer, float[] load) {
-            if (tooLate != null) {
-                tooLate.cancel(false);
+        public void ended(Outcome outcome, Answer response, float[] load) {
+            if (withdrawTimer != null) {
+                withdrawTimer.cancel(false);
             }
-            Engine.this.ended(this, outcome, answer, load);
+            attemptEnded(this, outcome, response, load);
         }
     }
 
     private final EventLoop loop;
-    private final Balancer rules;
+    private final Balancer balancer;
     private final List<RequestClass> classes;
     private final int tryLimit;
-    private final int mostOpen;
+    private final int maxOpenRequests;
     private final Transport transport;
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final Map<Long, OpenRequest> openRequests = new HashMap<>();
     private final Map<String, Long> upstreamIds = new HashMap<>();
-    private final Map<String, Integer> zones = new HashMap<>();
-    private final Map<String, Integer> kinds = new HashMap<>();
-    private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
-    private final long clockOffset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
-    private Directory directory;
-    private final Listed list = new Listed();
+    private final Map<String, Integer> zoneNumbers = new HashMap<>();
+    private final Map<String, Integer> kindNumbers = new HashMap<>();
+    private final ArrayDeque<LongConsumer> pendingEvents = new ArrayDeque<>();
+    private final long clockOffsetNanos = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
+    private Directory discovery;
+    private final ObservedEndpoints endpoints = new ObservedEndpoints();
     private Observer observer;
     private RequestLog log = RequestLog.NONE;
-    /** Kept for the log only. */
-    private final Map<Long, String> loggedNames = new HashMap<>();
+    /** Server names by upstream id; filled only if the request log is on. */
+    private final Map<Long, String> namesForLog = new HashMap<>();
 
-    private boolean telling;
+    private boolean dispatching;
     private boolean retired;
-    private long endsAt = Long.MAX_VALUE;
-    private long lastId;
-    private long asked;
-    /** New requests that wait for the end of the turn in which they came. */
-    private final ArrayDeque<Runnable> turn = new ArrayDeque<>(1);
-    /** Ends of two turns: all that had come before the earlier one has been read by now. */
-    private long turnedAt;
+    private long shutdownAt = Long.MAX_VALUE;
+    private long lastRequestId;
+    private long requestCount;
+    /** New requests that wait for the end of the event loop turn in which they arrived. */
+    private final ArrayDeque<Runnable> deferredRequests = new ArrayDeque<>(1);
+    /** Everything that had arrived before {@code previousTurnEnd}, the earlier of the two, has been read. */
+    private long lastTurnEnd;
 
-    private long turnedBefore;
-    private boolean looking;
+    private long previousTurnEnd;
+    private boolean checkingClient;
 
     /**
-     * An engine with a decision module of its own.
+     * Creates an engine with its own balancer.
      *
-     * @param seed for the module's random numbers
-     * @param mostOpen how many requests may be open; what comes beyond that is refused
-     * @param transport the way to all upstreams
+     * @param seed for the balancer's random numbers
+     * @param maxOpenRequests how many requests may be open at once; further ones are refused
+     * @param transport sends attempts to all upstreams
      */
-    public Engine(EventLoop loop, Options options, long seed, int mostOpen, Transport transport) {
+    public Engine(EventLoop loop, Options options, long seed, int maxOpenRequests, Transport transport) {
         Balancer.Settings settings = options.settings();
         this.loop = loop;
-        this.rules = new Rules(settings, seed, this);
+        this.balancer = new Rules(settings, seed, this);
         this.classes = settings.classes();
         this.tryLimit = settings.allowed().tryLimit();
-        this.mostOpen = mostOpen;
+        this.maxOpenRequests = maxOpenRequests;
         this.transport = transport;
-        options.list("zones").forEach(zone -> number(zones, zone));
-        options.list("kinds").forEach(kind -> number(kinds, kind));
+        options.list("zones").forEach(zone -> numberOf(zoneNumbers, zone));
+        options.list("kinds").forEach(kind -> numberOf(kindNumbers, kind));
     }
 
-    /** Begins with the cached list; on the loop, like all that follows. */
-    public void start(Directory source, List<Target> known) {
-        directory = source;
-        tell(rules::start);
-        listed(ListKind.CACHED, known);
+    /** Starts with the cached endpoint list. This and all following methods are called on the event loop. */
+    public void start(Directory discovery, List<Target> cachedTargets) {
+        this.discovery = discovery;
+        dispatch(balancer::start);
+        listed(ListKind.CACHED, cachedTargets);
     }
 
-    /** Nanoseconds since 1970 that never run back, so that start times in the list can be compared. */
+    /** Monotonic nanoseconds since 1970, comparable with the start times in the endpoint list. */
     private long now() {
-        return System.nanoTime() + clockOffset;
+        return System.nanoTime() + clockOffsetNanos;
     }
 
-    /** Tells the module one event; what happens meanwhile waits, since the module is never entered twice. */
-    private void tell(LongConsumer event) {
-        events.add(event);
-        if (telling) {
+    /** Passes one event to the balancer. Events raised meanwhile are queued: the balancer is not reentrant. */
+    private void dispatch(LongConsumer event) {
+        pendingEvents.add(event);
+        if (dispatching) {
             return;
         }
-        telling = true;
+        dispatching = true;
         try {
-            for (LongConsumer next = events.poll(); next != null; next = events.poll()) {
+            for (LongConsumer next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 try {
                     next.accept(now());
                 } catch (RuntimeException e) {
-                    System.err.println("engine: " + e);
+                    System.err.println("engine: event handler failed: " + e);
                 }
             }
         } finally {
-            telling = false;
+            dispatching = false;
         }
     }
 
-    private static int number(Map<String, Integer> numbers, String name) {
+    /** The number of a name; a new name gets the next free one. */
+    private static int numberOf(Map<String, Integer> numbers, String name) {
         return numbers.computeIfAbsent(name, added -> numbers.size());
     }
 
-    /** Sees how attempts end, for who shares that with other sidecars. */
+    /** Receives the outcome of each attempt, for sharing with other sidecars. */
     public interface Observer {
-        /** An attempt at a server, by its name in the list, has ended after so many nanoseconds. */
-        void ended(String uid, int requestClass, Outcome outcome, long took);
+        /**
+         * An attempt has ended.
+         *
+         * @param uid the server's name in the endpoint list
+         * @param tookNanos from the balancer's order to the outcome
+         */
+        void ended(String uid, int requestClass, Outcome outcome, long tookNanos);
     }
 
-    /** All attempts' ends are told; before {@link #start}, since only then the list is kept for it. */
-    public void observe(Observer other) {
-        observer = other;
+    /**
+     * Registers an observer of all attempts' outcomes. Must be called before {@link #start}: the server names
+     * are tracked only from then on.
+     */
+    public void observe(Observer observer) {
+        this.observer = observer;
     }
 
-    /** Has each request's events logged; before {@link #start}. */
-    public void log(RequestLog other) {
-        log = other;
+    /** Sets the log for each request's events; must be called before {@link #start}. */
+    public void log(RequestLog log) {
+        this.log = log;
     }
 
-    /** How many requests have come in all. */
+    /** The number of requests submitted so far. */
     public long asked() {
-        return asked;
+        return requestCount;
     }
 
-    /** Names of the servers that are ready, for an observer. */
+    /** Names of the servers that are ready. Empty without an {@link Observer}. */
     public Set<String> ready() {
-        return list.ready();
+        return endpoints.ready();
     }
 
     /**
-     * Servers that are ready and started less than {@code within} nanoseconds ago, by their names, each with
-     * what names this start of it at every sidecar, and for how long it has been seen here.
+     * Servers that are ready and started less than {@code maxAgeNanos} ago, by name. The start time identifies
+     * that start of the server at every sidecar; the age is counted from when it was first seen here.
      */
-    public Map<String, Start> started(long within) {
-        return list.started(within, System.nanoTime());
+    public Map<String, Start> started(long maxAgeNanos) {
+        return endpoints.started(maxAgeNanos, System.nanoTime());
     }
 
     /**
      * A start of a server.
      *
-     * @param startedMs as the list tells it
-     * @param age nanoseconds since it was seen here, never more than since it was
+     * @param startedMs start time from the endpoint list, in Unix milliseconds
+     * @param age nanoseconds since the start was first seen here; never more than since the start itself
      */
     public record Start(long startedMs, long age) {}
 
-    /** So many requests may be sent to a server that has started, for so many milliseconds from now. */
+    /**
+     * Permission to send requests to a recently started server.
+     *
+     * @param count how many requests may be sent
+     * @param millis validity from now, in milliseconds
+     */
     public record Lease(float count, int millis) {}
 
-    /** Tells the module its parts of what all sidecars may send to some cold servers. */
-    public void leased(Map<String, Lease> parts) {
-        List<Map.Entry<String, Lease>> known = parts.entrySet().stream()
+    /** Passes to the balancer this sidecar's leases on the load that all sidecars may send to cold servers. */
+    public void leased(Map<String, Lease> leases) {
+        List<Map.Entry<String, Lease>> known = leases.entrySet().stream()
                 .filter(each -> upstreamIds.containsKey(each.getKey()))
                 .toList();
-        for (int i = 0; i < known.size(); i += MOST_LEASES) {
-            List<Map.Entry<String, Lease>> some = known.subList(i, Math.min(known.size(), i + MOST_LEASES));
-            ByteBuffer message = ByteBuffer.allocate(LEASE_BYTES * some.size());
-            some.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
+        for (int i = 0; i < known.size(); i += MAX_LEASE_ENTRIES) {
+            List<Map.Entry<String, Lease>> batch = known.subList(i, Math.min(known.size(), i + MAX_LEASE_ENTRIES));
+            ByteBuffer message = ByteBuffer.allocate(LEASE_ENTRY_BYTES * batch.size());
+            batch.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
                     .putFloat(each.getValue().count)
                     .putInt(each.getValue().millis));
-            tell(now -> rules.peerMessage(now, Balancer.LEASES, message.array()));
+            dispatch(now -> balancer.peerMessage(now, Balancer.LEASES, message.array()));
         }
     }
 
-    /** Tells the module how many times slower than usual other sidecars find some servers. */
-    public void heard(Map<String, Double> slower) {
-        List<Map.Entry<String, Double>> known = slower.entrySet().stream()
+    /**
+     * Passes to the balancer the slowdown that other sidecars report for some servers.
+     *
+     * @param slowdownByServer how many times slower than its baseline each server is, by server name
+     */
+    public void heard(Map<String, Double> slowdownByServer) {
+        List<Map.Entry<String, Double>> known = slowdownByServer.entrySet().stream()
                 .filter(each -> upstreamIds.containsKey(each.getKey()))
-                .limit(MOST_HEARD)
+                .limit(MAX_SLOWDOWN_ENTRIES)
                 .toList();
         if (known.isEmpty()) {
             return;
         }
-        ByteBuffer message = ByteBuffer.allocate(HEARD_BYTES * known.size());
+        ByteBuffer message = ByteBuffer.allocate(SLOWDOWN_ENTRY_BYTES * known.size());
         known.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
                 .putFloat(each.getValue().floatValue()));
-        tell(now -> rules.peerMessage(now, Balancer.HEARSAY, message.array()));
+        dispatch(now -> balancer.peerMessage(now, Balancer.HEARSAY, message.array()));
     }
 
-    /** News of the list, or that asking for it failed. */
+    /** Takes over an endpoint list or a change to it, or the failure of a discovery call. */
     public void listed(ListKind kind, List<Target> targets) {
         List<Upstream> entries = new ArrayList<>(targets.size());
-        Map<Long, Target> named = new HashMap<>();
+        Map<Long, Target> targetsById = new HashMap<>();
         for (Target target : targets) {
             long id = upstreamIds.computeIfAbsent(target.uid(), uid -> upstreamIds.size() + 1L);
-            named.put(id, target);
+            targetsById.put(id, target);
             if (log != RequestLog.NONE) {
-                loggedNames.put(id, target.uid());
+                namesForLog.put(id, target.uid());
             }
             entries.add(new Upstream(
                     id,
-                    number(zones, target.zone()),
-                    number(kinds, target.kind()),
+                    numberOf(zoneNumbers, target.zone()),
+                    numberOf(kindNumbers, target.kind()),
                     target.cell(),
                     target.state(),
                     target.weight(),
                     target.startedMs() * 1_000_000));
         }
         if (observer != null) {
-            list.listed(kind, named, System.nanoTime(), System.currentTimeMillis());
+            endpoints.update(kind, targetsById, System.nanoTime(), System.currentTimeMillis());
         }
-        tell(now -> {
-            named.forEach((id, target) -> {
+        dispatch(now -> {
+            targetsById.forEach((id, target) -> {
                 if (target.state() == State.GONE) {
                     transport.gone(id);
                 } else {
@@ -345,222 +369,226 @@
             });
             if (kind == ListKind.FULL) {
                 upstreamIds.values().stream()
-                        .filter(id -> !named.containsKey(id))
+                        .filter(id -> !targetsById.containsKey(id))
                         .forEach(transport::gone);
             }
-            rules.listChanged(now, kind, entries);
+            balancer.listChanged(now, kind, entries);
         });
     }
 
     @Override
     public long submit(Job job, Client client) {
-        asked++;
-        if (calls.size() >= mostOpen) {
+        requestCount++;
+        if (openRequests.size() >= maxOpenRequests) {
             client.tried(new Tried(0, 0, false));
             client.refused(0);
             return 0;
         }
-        long id = ++lastId;
+        long id = ++lastRequestId;
         log.taken(id, job);
-        long came = now();
-        long left = Math.max(1, Math.min(job.waitMs() * 1_000_000 - ANSWER_ROOM, endsAt - came));
-        Call call = new Call(job, client);
-        call.deadline = came + left;
-        calls.put(id, call);
-        // The module answers by its own deadline; this holds for whatever it may have missed.
-        call.timer = loop.schedule(
-                () -> tell(now -> {
-                    finish(id, call, "failed at the deadline", call::failed);
-                    rules.hangup(now, id);
+        long receivedAt = now();
+        long timeLeft =
+                Math.max(1, Math.min(job.waitMs() * 1_000_000 - RESPONSE_MARGIN_NANOS, shutdownAt - receivedAt));
+        OpenRequest request = new OpenRequest(job, client);
+        request.deadline = receivedAt + timeLeft;
+        openRequests.put(id, request);
+        // The balancer responds by its own deadline; this timer covers requests that it missed.
+        request.timer = loop.schedule(
+                () -> dispatch(now -> {
+                    finish(id, request, "failed at the deadline", request::failed);
+                    balancer.hangup(now, id);
                 }),
-                left + ANSWER_ROOM / 2,
+                timeLeft + RESPONSE_MARGIN_NANOS / 2,
                 TimeUnit.NANOSECONDS);
-        if (looking || came - turnedBefore > UNREAD_TIME) {
-            // Its client's end may lie right behind it; not read from within the reading of that socket.
-            turn.add(() -> begin(id, call));
-            if (turn.size() == 1) {
-                // Not executed: what is done so from within a task comes in the same turn.
+        if (checkingClient || receivedAt - previousTurnEnd > MAX_UNREAD_NANOS) {
+            // The client's end of stream may be right behind in the socket, which must not be read from within
+            // its own read.
+            deferredRequests.add(() -> passToBalancer(id, request));
+            if (deferredRequests.size() == 1) {
+                // schedule(), not execute(): a task executed from within a task may run in the same turn.
                 loop.schedule(this::endTurn, 0, TimeUnit.NANOSECONDS);
             }
         } else {
-            begin(id, call);
+            passToBalancer(id, request);
         }
         return id;
     }
 
     private void endTurn() {
-        turnedBefore = turnedAt;
-        turnedAt = now();
-        // What comes meanwhile waits for the next turn.
-        List<Runnable> came = List.copyOf(turn);
-        turn.clear();
-        came.forEach(Runnable::run);
+        previousTurnEnd = lastTurnEnd;
+        lastTurnEnd = now();
+        // Requests that arrive meanwhile wait for the next turn.
+        List<Runnable> requests = List.copyOf(deferredRequests);
+        deferredRequests.clear();
+        requests.forEach(Runnable::run);
     }
 
-    private void begin(long id, Call call) {
-        if (call.over) {
+    private void passToBalancer(long id, OpenRequest request) {
+        if (request.closed) {
             return;
         }
-        if (!here(call)) {
-            call.end();
-            forget(id, call);
+        if (!clientConnected(request)) {
+            request.close();
+            forget(id, request);
             return;
         }
-        tell(now -> {
-            Job job = call.job;
-            rules.request(
+        dispatch(now -> {
+            Job job = request.job;
+            balancer.request(
                     now,
                     new Request(
                             id,
                             job.requestClass(),
                             job.tenant(),
                             job.key(),
-                            Math.max(1, call.deadline - now),
+                            Math.max(1, request.deadline - now),
                             job.costHint(),
                             job.clientRetry(),
                             !job.method().equals(HttpMethod.GET)));
         });
     }
 
-    /** Looks whether the client is still there, in its socket if that may not have been read for long. */
-    private boolean here(Call call) {
+    /** Whether the client is still connected. Reads its socket if that may not have been read recently. */
+    private boolean clientConnected(OpenRequest request) {
         long now = now();
-        boolean late = now - Math.max(turnedBefore, call.lookedAt) > UNREAD_TIME;
-        if (late) {
-            call.lookedAt = now;
+        boolean readSocket = now - Math.max(previousTurnEnd, request.lastSocketReadAt) > MAX_UNREAD_NANOS;
+        if (readSocket) {
+            request.lastSocketReadAt = now;
         }
-        boolean before = looking;
-        looking = true;
-        call.left |= !call.client.here(late);
-        looking = before;
-        return !call.left;
+        boolean alreadyChecking = checkingClient;
+        checkingClient = true;
+        request.clientGone |= !request.client.here(readSocket);
+        checkingClient = alreadyChecking;
+        return !request.clientGone;
     }
 
     @Override
     public void hangup(long id) {
-        Call call = calls.get(id);
-        if (call != null && !call.over) {
+        OpenRequest request = openRequests.get(id);
+        if (request != null && !request.closed) {
             log.clientLeft(id);
-            call.end();
-            // Kept until the module knows: what it may order meanwhile has to get an outcome, too.
-            tell(now -> {
-                rules.hangup(now, id);
-                forget(id, call);
+            request.close();
+            // Kept until the balancer has been notified: a send it orders before that needs an outcome, too.
+            dispatch(now -> {
+                balancer.hangup(now, id);
+                forget(id, request);
             });
         }
     }
 
     /**
-     * The process ends {@code within} nanoseconds from now: what is open by then, and what still comes, gets
-     * its one answer before.
+     * Announces that the process ends {@code delayNanos} from now. Open requests and those still to come get
+     * their final response before that.
      */
-    public void endWithin(long within) {
-        tell(now -> {
-            endsAt = now + within;
-            rules.ending(now, endsAt);
+    public void endWithin(long delayNanos) {
+        dispatch(now -> {
+            shutdownAt = now + delayNanos;
+            balancer.ending(now, shutdownAt);
         });
     }
 
-    /** No more requests will come: what is open still ends, and with it the module's timers. */
+    /** No more requests will be submitted. Open ones still complete; after that no more timers are set. */
     public void retire() {
         retired = true;
     }
 
-    /** Whether any request still waits for its answer. */
+    /** Whether no request waits for its response. */
     public boolean idle() {
-        return calls.values().stream().allMatch(call -> call.over);
+        return openRequests.values().stream().allMatch(request -> request.closed);
     }
 
-    private void finish(long id, Call call, String kind, Runnable answer) {
-        if (!call.over) {
-            log.answered(id, kind);
-            call.end();
-            answer.run();
-            forget(id, call);
+    /** Sends the final response unless one was sent before; {@code logLabel} names it in the request log. */
+    private void finish(long id, OpenRequest request, String logLabel, Runnable respond) {
+        if (!request.closed) {
+            log.answered(id, logLabel);
+            request.close();
+            respond.run();
+            forget(id, request);
         }
     }
 
-    private void forget(long id, Call call) {
-        if (call.over && call.out == 0) {
-            calls.remove(id);
+    private void forget(long id, OpenRequest request) {
+        if (request.closed && request.inFlight == 0) {
+            openRequests.remove(id);
         }
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
-        Call call = calls.get(request);
+    public void send(long requestId, long upstream, long timeout) {
+        OpenRequest request = openRequests.get(requestId);
         long now = now();
-        if (call == null) {
+        if (request == null) {
             return;
         }
-        int number = call.attempts.size();
-        call.out++;
-        call.attempts.add(null);
-        Try next = new Try(request, call, number, upstream, now);
-        if (call.over || now >= next.beginBy || number >= tryLimit) {
-            ended(next, Outcome.NEVER_SENT, null, LoadReports.NONE);
+        int number = request.attempts.size();
+        request.inFlight++;
+        request.attempts.add(null);
+        PendingAttempt attempt = new PendingAttempt(requestId, request, number, upstream, now);
+        if (request.closed || now >= attempt.writeDeadline || number >= tryLimit) {
+            attemptEnded(attempt, Outcome.NEVER_SENT, null, LoadReports.NONE);
             return;
         }
-        long wait = call.deadline - now;
+        long attemptTimeout = request.deadline - now;
         if (timeout > 0) {
-            wait = Math.min(wait, timeout);
+            attemptTimeout = Math.min(attemptTimeout, timeout);
         }
-        call.sent++;
-        log.attemptSent(request, number, loggedNames.get(upstream), wait);
-        next.begin(wait);
-    }
-
-    private void ended(Try attempt, Outcome outcome, Answer answer, float[] load) {
-        Call call = attempt.call;
-        tell(now -> {
-            long took = now - attempt.sentAt;
-            log.attemptEnded(attempt.id, attempt.number, loggedNames.get(attempt.upstream), outcome, took);
-            call.ended(outcome, attempt.sentAt);
-            if (call.left && !call.over) {
-                call.end();
-                rules.hangup(now, attempt.id);
+        request.attemptsSent++;
+        log.attemptSent(requestId, number, namesForLog.get(upstream), attemptTimeout);
+        attempt.start(attemptTimeout);
+    }
+
+    private void attemptEnded(PendingAttempt attempt, Outcome outcome, Answer response, float[] load) {
+        OpenRequest request = attempt.request;
+        dispatch(now -> {
+            long elapsed = now - attempt.sentAt;
+            log.attemptEnded(attempt.requestId, attempt.number, namesForLog.get(attempt.upstream), outcome, elapsed);
+            request.recordOutcome(outcome, attempt.sentAt);
+            if (request.clientGone && !request.closed) {
+                request.close();
+                balancer.hangup(now, attempt.requestId);
             }
-            if (observer != null && list.name(attempt.upstream) != null) {
-                observer.ended(list.name(attempt.upstream), call.job.requestClass(), outcome, took);
+            if (observer != null && endpoints.name(attempt.upstream) != null) {
+                observer.ended(endpoints.name(attempt.upstream), request.job.requestClass(), outcome, elapsed);
             }
             if (outcome == Outcome.OK) {
-                finish(attempt.id, call, "served", () -> call.client.served(answer));
+                finish(attempt.requestId, request, "served", () -> request.client.served(response));
             }
-            rules.outcome(now, attempt.id, attempt.number, attempt.upstream, outcome, took, call.over, load);
-            forget(attempt.id, call);
+            balancer.outcome(
+                    now, attempt.requestId, attempt.number, attempt.upstream, outcome, elapsed, request.closed, load);
+            forget(attempt.requestId, request);
         });
     }
 
     @Override
-    public void refuse(long request, long wait) {
-        Call call = calls.get(request);
-        if (call != null) {
-            finish(request, call, "refused", () -> call.refused(wait));
+    public void refuse(long requestId, long retryAfter) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null) {
+            finish(requestId, request, "refused", () -> request.refused(retryAfter));
         }
     }
 
     @Override
-    public void fail(long request) {
-        Call call = calls.get(request);
-        if (call != null) {
-            finish(request, call, "failed", call::failed);
+    public void fail(long requestId) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null) {
+            finish(requestId, request, "failed", request::failed);
         }
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        Call call = calls.get(request);
-        if (call != null && attempt < call.attempts.size() && call.attempts.get(attempt) != null) {
-            call.attempts.get(attempt).cancel();
+    public void cancel(long requestId, int attempt) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null && attempt < request.attempts.size() && request.attempts.get(attempt) != null) {
+            request.attempts.get(attempt).cancel();
         }
     }
 
     @Override
     public void timer(long token, long at) {
-        if (retired && calls.isEmpty()) {
+        if (retired && openRequests.isEmpty()) {
             return;
         }
-        loop.schedule(() -> tell(now -> rules.timer(now, token)), Math.max(0, at - now()), TimeUnit.NANOSECONDS);
+        loop.schedule(() -> dispatch(now -> balancer.timer(now, token)), Math.max(0, at - now()), TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -568,7 +596,8 @@
         long sentAt = now();
         transport.probe(
                 upstream,
-                (outcome, answer, load) -> tell(now -> rules.probeResult(now, upstream, outcome, now - sentAt, load)));
+                (outcome, response, load) ->
+                        dispatch(now -> balancer.probeResult(now, upstream, outcome, now - sentAt, load)));
     }
 
     @Override
@@ -576,10 +605,10 @@
         transport.closeIdle(upstream);
     }
 
-    /** Sidecars of this kind share nothing; the module does not use peers. */
+    /** Not supported: {@link Rules} does not send messages to peers. */
     @Override
     public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("peers");
+        throw new UnsupportedOperationException("messages to peers are not supported");
     }
 
     @Override
@@ -589,11 +618,11 @@
 
     @Override
     public void subscribe(boolean on) {
-        directory.watch(on);
+        discovery.watch(on);
     }
 
     @Override
     public void fetchList() {
-        directory.fetch();
+        discovery.fetch();
     }
 }
--- a/src/main/java/pondridge/core/Evidence.java
+++ b/src/main/java/pondridge/core/Evidence.java
@@ -2,17 +2,17 @@
 
 import pondridge.Balancer.Outcome;
 
-/** What an upstream's whole answer is, and what it proves, whatever protocol it came by. */
+/** Classifies an upstream's complete response as an attempt's outcome, for every protocol. */
 public final class Evidence {
-    /** The header by which an upstream says that it turned a request away unseen. */
+    /** The header by which an upstream states that it rejected a request without processing it. */
     public static final String DECLINED = "Srv-Declined";
 
     private Evidence() {}
 
     /**
-     * An answer's outcome.
+     * The outcome that a response stands for.
      *
-     * @param declined the answer carries {@link #DECLINED} with the value 1
+     * @param declined whether the response carries {@link #DECLINED} with the value 1
      */
     public static Outcome ofAnswer(int status, boolean declined) {
         return switch (status) {
--- a/src/main/java/pondridge/core/Headers.java
+++ b/src/main/java/pondridge/core/Headers.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which headers go on through the sidecar. */
+/** Decides which headers the sidecar forwards. */
 public final class Headers {
-    /** They speak of one connection, or tell the sidecar what is not for the application. */
+    /** Headers of a single connection, and headers from servers to the sidecar that applications don't see. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
             "Proxy-Connection",
@@ -27,7 +27,7 @@
 
     private Headers() {}
 
-    /** Whether a message's transfer coding is plain chunks: any other leaves open where it ends. */
+    /** Whether a message's only transfer coding is chunked. Any other leaves its length ambiguous. */
     public static boolean onlyChunked(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.size() == 1
@@ -36,12 +36,12 @@
                 && !message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     }
 
-    /** Whether a header speaks of one hop only, by its name. */
+    /** Whether the header of this name is hop-by-hop, that is, not to be forwarded. */
     public static boolean ofOneHop(CharSequence name) {
         return HOP_BY_HOP.stream().anyMatch(hop -> AsciiString.contentEqualsIgnoreCase(hop, name));
     }
 
-    /** Copies all but the headers of one hop, and of those also what {@code Connection} names. */
+    /** Copies all end-to-end headers: all but the hop-by-hop ones and those that {@code Connection} names. */
     public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         for (Map.Entry<String, String> header : from) {
             String name = header.getKey();
@@ -50,9 +50,9 @@
             }
         }
         for (String value : from.getAll(HttpHeaderNames.CONNECTION)) {
-            for (String named : value.split(",")) {
-                if (!named.isBlank()) {
-                    to.remove(named.trim());
+            for (String name : value.split(",")) {
+                if (!name.isBlank()) {
+                    to.remove(name.trim());
                 }
             }
         }
--- a/src/main/java/pondridge/core/Job.java
+++ b/src/main/java/pondridge/core/Job.java
@@ -4,15 +4,16 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A request as a front took it, whole. Fronts of every protocol make one; transports put it into theirs.
+ * A complete client request, independent of the protocol. Front ends of every protocol create one; transports
+ * translate it into theirs.
  *
- * @param requestClass number of its class in the settings
- * @param tenant number of its tenant in the settings
- * @param key what it is about, as a number; 0 for none
- * @param waitMs how long the client waits for the answer, in milliseconds from now
- * @param costHint rough work to expect in nanoseconds; 0 where unknown
- * @param clientRetry the client marked it as a repeat
- * @param headers all that came; transports pass on what {@link Headers} lets through
+ * @param requestClass index of its class in the settings
+ * @param tenant index of its tenant in the settings
+ * @param key number that identifies the requested object; 0 for none
+ * @param waitMs how long the client waits for the response, in milliseconds from now
+ * @param costHint estimated work in nanoseconds; 0 if unknown
+ * @param clientRetry whether the client marked the request as a retry
+ * @param headers all received headers; transports forward those that {@link Headers} permits
  */
 public record Job(
         int requestClass,
@@ -25,23 +26,23 @@
         String uri,
         HttpHeaders headers,
         byte[] body) {
-    /** The same request, whose body has come. */
-    public Job with(byte[] whole) {
-        return new Job(requestClass, tenant, key, waitMs, costHint, clientRetry, method, uri, headers, whole);
+    /** The same request with this body. */
+    public Job with(byte[] newBody) {
+        return new Job(requestClass, tenant, key, waitMs, costHint, clientRetry, method, uri, headers, newBody);
     }
 
     /** The same request with other headers. */
-    public Job with(HttpHeaders others) {
-        return new Job(requestClass, tenant, key, waitMs, costHint, clientRetry, method, uri, others, body);
+    public Job with(HttpHeaders newHeaders) {
+        return new Job(requestClass, tenant, key, waitMs, costHint, clientRetry, method, uri, newHeaders, body);
     }
 
-    /** The same request, for which there are so many nanoseconds from now. */
-    public Job within(long left) {
+    /** The same request with this much time left, in nanoseconds from now; at least 1 ms. */
+    public Job within(long timeLeftNanos) {
         return new Job(
                 requestClass,
                 tenant,
                 key,
-                Math.max(1, left / 1_000_000),
+                Math.max(1, timeLeftNanos / 1_000_000),
                 costHint,
                 clientRetry,
                 method,
--- a/src/main/java/pondridge/core/JobReader.java
+++ b/src/main/java/pondridge/core/JobReader.java
@@ -7,35 +7,39 @@
 import pondridge.Balancer.Semantics;
 import pondridge.Options;
 
-/** Reads what a request is from its head, whatever protocol brought it. */
+/** Reads a {@link Job} from a request's head, for every protocol. */
 public final class JobReader {
-    /** The header of a keyed request's key. */
+    /** The header that carries the idempotency key. */
     public static final String KEY = "Idempotency-Key";
 
-    private static final int LONGEST_ID = 128;
+    private static final int MAX_REQUEST_ID_LENGTH = 128;
     private final List<RequestClass> classes;
     private final List<String> classNames;
     private final List<String> tenantNames;
 
-    /** For the classes and tenants of these settings. */
+    /** Creates a reader for the classes and tenants of these settings. */
     public JobReader(Options options) {
         this.classes = options.settings().classes();
         this.classNames = options.names("profiles");
         this.tenantNames = options.names("parties");
     }
 
-    /** The class of a job. */
+    /** The request class of a job. */
     public RequestClass kind(Job job) {
         return classes.get(job.requestClass());
     }
 
-    /** Without its body. Throws {@link IllegalArgumentException} that says what can't be used. */
+    /**
+     * Reads a request without its body.
+     *
+     * @throws IllegalArgumentException naming what is missing or invalid; the message is for the client
+     */
     public Job read(HttpMethod method, String uri, HttpHeaders headers) {
-        if (header(headers, "Req-Id").length() > LONGEST_ID) {
+        if (header(headers, "Req-Id").length() > MAX_REQUEST_ID_LENGTH) {
             throw new IllegalArgumentException("Req-Id too long");
         }
-        int kind = classNames.indexOf(header(headers, "Req-Kind"));
-        if (kind < 0) {
+        int requestClass = classNames.indexOf(header(headers, "Req-Kind"));
+        if (requestClass < 0) {
             throw new IllegalArgumentException("unknown Req-Kind");
         }
         int tenant = 0;
@@ -46,21 +50,21 @@
             }
         }
         String key = headers.get(KEY);
-        Semantics semantics = classes.get(kind).semantics();
-        HttpMethod fitting = semantics == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
-        if (!method.equals(fitting) || (semantics == Semantics.BY_KEY) != (key != null && !key.isEmpty())) {
+        Semantics semantics = classes.get(requestClass).semantics();
+        HttpMethod expectedMethod = semantics == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
+        if (!method.equals(expectedMethod) || (semantics == Semantics.BY_KEY) != (key != null && !key.isEmpty())) {
             throw new IllegalArgumentException("method or Idempotency-Key does not fit the class");
         }
-        // Nobody waits for longer than the class allows, whatever the header says.
-        long wait =
-                Math.min(number(headers, "Req-Deadline-Ms"), classes.get(kind).deadline() / 1_000_000);
-        long cost = headers.contains("Req-Cost") ? number(headers, "Req-Cost") * 1000 : 0;
+        // The class's deadline bounds the client's timeout.
+        long timeoutMillis = Math.min(
+                number(headers, "Req-Deadline-Ms"), classes.get(requestClass).deadline() / 1_000_000);
+        long costNanos = headers.contains("Req-Cost") ? number(headers, "Req-Cost") * 1000 : 0;
         return new Job(
-                kind,
+                requestClass,
                 tenant,
                 key(path(uri)),
-                wait,
-                cost,
+                timeoutMillis,
+                costNanos,
                 "1".equals(headers.get("Req-Retry")),
                 method,
                 uri,
@@ -68,7 +72,7 @@
                 new byte[0]);
     }
 
-    /** A target's path, without its query. */
+    /** The path of a URI, without its query. */
     public static String path(String uri) {
         int query = uri.indexOf('?');
         return query < 0 ? uri : uri.substring(0, query);
@@ -82,7 +86,7 @@
         return value;
     }
 
-    /** A whole number that is neither negative nor longer than any wait or work can be. */
+    /** Reads a header as a non-negative integer of at most 9 digits, enough for any timeout or cost. */
     public static long number(HttpHeaders headers, String name) {
         String value = header(headers, name);
         if (value.length() > 9 || !value.chars().allMatch(digit -> digit >= '0' && digit <= '9')) {
@@ -91,12 +95,12 @@
         return Long.parseLong(value);
     }
 
-    /** What the request is about, as a number: the same for the same last part of the path, 0 for none. */
+    /** The key of the requested object: a hash of the path's last segment, 0 if that is empty. */
     private static long key(String path) {
-        String last = path.substring(path.lastIndexOf('/') + 1);
+        String lastSegment = path.substring(path.lastIndexOf('/') + 1);
         long key = 0;
-        for (int i = 0; i < last.length(); i++) {
-            key = key * 0x100000001b3L + last.charAt(i);
+        for (int i = 0; i < lastSegment.length(); i++) {
+            key = key * 0x100000001b3L + lastSegment.charAt(i);
         }
         return key;
     }
--- a/src/main/java/pondridge/core/Json.java
+++ b/src/main/java/pondridge/core/Json.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** The one reader of JSON: a second one would hold its own tables. */
+/** The shared JSON mapper; each further mapper would hold its own caches. */
 public final class Json {
-    /** Safe to use on any thread. */
+    /** Thread-safe. */
     public static final ObjectMapper MAPPER = new ObjectMapper();
 
     private Json() {}
--- a/src/main/java/pondridge/core/LoadReports.java
+++ b/src/main/java/pondridge/core/LoadReports.java
@@ -6,46 +6,46 @@
 import java.util.function.Supplier;
 import pondridge.Options;
 
-/** Reads the load reports that answers and probes bring, whatever protocol they come by. */
+/** Parses load reports from responses and probe results, for every protocol. */
 public final class LoadReports {
-    /** No report, or none that can be read. */
+    /** No report, or an invalid one. */
     public static final float[] NONE = {};
-    /** The header that carries one. */
+    /** The response header that carries a load report. */
     public static final String HEADER = "Srv-Load";
 
     private static final String LOAD_PATH = "/metrics/load";
     private final List<String> fields;
 
-    /** For reports with the fields that the settings name. */
+    /** Creates a parser for reports with the fields that the settings name. */
     public LoadReports(Options options) {
         this.fields = options.list("report.fields");
     }
 
-    /** The path of a probe: for the load report where the deployment has reports, else for the health. */
+    /** The path to probe: the load report's if the deployment has load reports, else the health check's. */
     public String probePath() {
         return fields.isEmpty() ? "/alive" : LOAD_PATH;
     }
 
     /**
-     * The load report in the order of the settings' fields; {@link #NONE} where none can be read.
+     * The values of a load report in the order of the settings' fields; {@link #NONE} without a valid report.
      *
-     * @param header what the answer's header holds, or null
-     * @param path the path that was asked
-     * @param body the answer's body as text, looked at only where that path is the report's
+     * @param header the value of {@link #HEADER} in the response, or null
+     * @param path the requested path
+     * @param body the response's body as text; used only if the path is the load report's
      */
     public float[] read(String header, String path, Supplier<String> body) {
         if (fields.isEmpty()) {
             return NONE;
         }
-        String text = header == null && path.equals(LOAD_PATH) ? body.get() : header;
-        if (text == null) {
+        String report = header == null && path.equals(LOAD_PATH) ? body.get() : header;
+        if (report == null) {
             return NONE;
         }
         try {
-            JsonNode node = Json.MAPPER.readTree(text);
+            JsonNode root = Json.MAPPER.readTree(report);
             float[] values = new float[fields.size()];
             for (int i = 0; i < values.length; i++) {
-                JsonNode value = node.path(fields.get(i));
+                JsonNode value = root.path(fields.get(i));
                 if (!value.isNumber()) {
                     return NONE;
                 }
--- /dev/null
+++ b/src/main/java/pondridge/core/ObservedEndpoints.java
@@ -0,0 +1,92 @@
+package pondridge.core;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import pondridge.Balancer.ListKind;
+import pondridge.Balancer.State;
+
+/**
+ * The endpoint list as an {@link Engine.Observer} needs it: server names by upstream id, which servers are
+ * ready, and since when each instance has been known here. Times are nanoseconds of any monotonic clock. Not
+ * thread-safe.
+ */
+final class ObservedEndpoints {
+    /** Age of an instance whose start time is unknown, which counts as started long ago. */
+    private static final long LONG_AGO = Long.MIN_VALUE / 4;
+
+    private record Instance(long startedMillis, long since) {}
+
+    private final Map<Long, String> names = new HashMap<>();
+    private final Set<String> ready = new HashSet<>();
+    private final Map<String, Instance> instances = new HashMap<>();
+    private boolean listReceived;
+
+    /** The server name of an upstream, or null if it is not listed. */
+    String name(long id) {
+        return names.get(id);
+    }
+
+    Set<String> ready() {
+        return Set.copyOf(ready);
+    }
+
+    /**
+     * Servers that are ready and were first seen less than {@code maxAge} ago, by name. The age is never more
+     * than the time since the start.
+     */
+    Map<String, Engine.Start> started(long maxAge, long now) {
+        Map<String, Engine.Start> recent = new HashMap<>();
+        for (String uid : ready) {
+            Instance instance = instances.get(uid);
+            if (now - instance.since < maxAge) {
+                recent.put(uid, new Engine.Start(instance.startedMillis, now - instance.since));
+            }
+        }
+        return recent;
+    }
+
+    /** Takes over a list or a change to it; {@code wallClockMillis} is the local clock in Unix milliseconds. */
+    void update(ListKind kind, Map<Long, Target> targetsById, long now, long wallClockMillis) {
+        if (kind == ListKind.FULL) {
+            names.clear();
+            ready.clear();
+            instances
+                    .keySet()
+                    .retainAll(targetsById.values().stream().map(Target::uid).toList());
+        }
+        targetsById.forEach((id, target) -> {
+            String uid = target.uid();
+            if (target.state() == State.GONE) {
+                names.remove(id);
+                instances.remove(uid);
+            } else {
+                names.put(id, uid);
+                Instance previous = instances.get(uid);
+                if (previous == null || previous.startedMillis != target.startedMs()) {
+                    instances.put(uid, new Instance(target.startedMs(), since(target, now, wallClockMillis)));
+                }
+            }
+            if (target.state() == State.READY) {
+                ready.add(uid);
+            } else {
+                ready.remove(uid);
+            }
+        });
+        listReceived |= kind == ListKind.FULL || kind == ListKind.DELTA;
+    }
+
+    /**
+     * Since when a new instance counts as known: from now on, or before the first list from discovery from its
+     * start time.
+     */
+    private long since(Target target, long now, long wallClockMillis) {
+        if (listReceived) {
+            return now;
+        }
+        return target.startedMs() == 0
+                ? now + LONG_AGO
+                : now - Math.max(0, wallClockMillis - target.startedMs()) * 1_000_000;
+    }
+}
--- a/src/main/java/pondridge/core/RequestLog.java
+++ b/src/main/java/pondridge/core/RequestLog.java
@@ -5,45 +5,45 @@
 import pondridge.Balancer.Outcome;
 
 /**
- * Receives the life cycle of each request, connection and discovery call, so that one request can be followed
- * through a process. Every method is called on the event loop. The default methods do nothing.
+ * Receives the life cycle events of each request, connection and discovery call, so that a request can be
+ * traced through a process. Every method is called on the event loop. The default methods do nothing.
  */
 public interface RequestLog {
     /** Records nothing. */
     RequestLog NONE = new RequestLog() {};
 
-    /** Environment variable that switches the log on. */
+    /** Environment variable that enables the log if it is 1. */
     String SWITCH = "BANKFLOW_REQUEST_LOG";
 
-    /** The log that the environment asks for; the class that writes is loaded only where it is wanted. */
+    /** The log that the environment selects. The class that writes it is loaded only if it is enabled. */
     static RequestLog fromEnvironment() {
         return "1".equals(System.getenv(SWITCH)) ? new StderrRequestLog() : NONE;
     }
 
-    /** The whole request was read; {@code number} is its number within this process. */
+    /** A complete request was read; {@code number} identifies it within this process. */
     default void taken(long number, Job job) {}
 
     /** An attempt was handed to the transport. */
-    default void attemptSent(long number, int attempt, String server, long waitNanos) {}
+    default void attemptSent(long number, int attempt, String server, long timeoutNanos) {}
 
     /** An attempt ended. */
-    default void attemptEnded(long number, int attempt, String server, Outcome outcome, long tookNanos) {}
+    default void attemptEnded(long number, int attempt, String server, Outcome outcome, long elapsedNanos) {}
 
-    /** The client got the final answer: {@code served}, {@code refused} or {@code failed}. */
-    default void answered(long number, String answer) {}
+    /** The client got its final response: {@code served}, {@code refused} or one that begins with {@code failed}. */
+    default void answered(long number, String result) {}
 
-    /** The client left before its answer. */
+    /** The client disconnected before its response. */
     default void clientLeft(long number) {}
 
     /** A client connection was closed by this process, for the given reason. */
     default void connectionClosed(String client, String reason, String stage) {}
 
-    /** A call to discovery began. */
+    /** A discovery call was started. */
     default void discoveryAsked(boolean watching, long fromRevision) {}
 
-    /** A call to discovery failed or ended. */
+    /** A discovery call failed or ended. */
     default void discoveryFailed(boolean watching, String reason) {}
 
-    /** An endpoint list or a change was read. */
+    /** An endpoint list or a change to it was received. */
     default void listReceived(boolean watching, long revision, boolean outdated, ListKind kind, List<Target> targets) {}
 }
--- a/src/main/java/pondridge/core/Requests.java
+++ b/src/main/java/pondridge/core/Requests.java
@@ -1,13 +1,13 @@
 package pondridge.core;
 
 /**
- * Where a front hands its requests: an {@link Engine}, or what chooses between several. On the event loop
- * only.
+ * Accepts requests from the front ends: an {@link Engine}, or a dispatcher that chooses between several. All
+ * calls are made on the event loop.
  */
 public interface Requests {
-    /** Takes a request, whose client gets one final answer; returns what {@link #hangup} knows it by. */
+    /** Submits a request, whose client gets one final response; returns its id for {@link #hangup}. */
     long submit(Job job, Client client);
 
-    /** The client has gone away; it is told nothing more. */
+    /** The client has disconnected; its {@link Client} is not called any more. */
     void hangup(long id);
 }
--- a/src/main/java/pondridge/core/Target.java
+++ b/src/main/java/pondridge/core/Target.java
@@ -4,10 +4,10 @@
 import pondridge.Balancer.State;
 
 /**
- * One line of the list of upstreams; names are still the list's.
+ * An entry of the endpoint list. Zone and kind are names as in the list.
  *
- * @param uid the same at every sidecar, and after a restart
- * @param endpoint where it listens, as seen from here; null may be for one that is gone
+ * @param uid the server's name; the same at every sidecar and after a restart
+ * @param endpoint the address at which it listens, as seen from here; may be null if it is gone
  * @param startedMs when it last started, in Unix milliseconds; 0 for long ago
  */
 public record Target(
--- a/src/main/java/pondridge/core/Transport.java
+++ b/src/main/java/pondridge/core/Transport.java
@@ -5,64 +5,63 @@
 import pondridge.Balancer.Outcome;
 
 /**
- * A way out to upstreams: carries out one attempt, and says how it ended and what that proves. It never sends
- * anything a second time; whether something is sent again is the module's to decide. All calls come on the
- * event loop, and so do all answers.
+ * Sends attempts to upstreams and reports how each ended and what that proves. It never retries; retries are
+ * the balancer's decision. All calls and all callbacks are made on the event loop.
  *
- * <p><b>Proof.</b> An outcome that {@link Outcome#provesNeverRan() proves never ran} is given only where the
- * protocol proves it. When in doubt, the attempt may have run.
+ * <p><b>Proof.</b> An outcome that {@link Outcome#provesNeverRan() proves never ran} is reported only if the
+ * protocol proves it. Otherwise the attempt may have run.
  */
 public interface Transport {
-    /** Takes an attempt's one outcome. */
+    /** Receives the single outcome of an attempt. */
     interface Listener {
         /**
-         * The attempt has ended; called exactly once, perhaps within {@link Transport#send}.
+         * The attempt has ended; called exactly once, possibly within {@link Transport#send}.
          *
-         * @param answer there for {@link Outcome#OK} alone
-         * @param load the load report that came with it, in the settings' order; empty for none
+         * @param response the response if the outcome is {@link Outcome#OK}, else null
+         * @param load the load report of the response, in the settings' order; empty for none
          */
-        void ended(Outcome outcome, Answer answer, float[] load);
+        void ended(Outcome outcome, Answer response, float[] load);
 
         /**
-         * Asked right before the request's first byte is written. False: nothing of it is written, and the
-         * attempt ends as {@link Outcome#NEVER_SENT}. A connection may come up in the same turn of the loop
-         * in which the request's time ends, and before that is told.
+         * Whether the attempt is still wanted; called right before the request's first byte is written. If
+         * false, nothing is written and the attempt ends as {@link Outcome#NEVER_SENT}. A connection may be
+         * established in the same loop turn in which the request's deadline passes, before its timer fires.
          */
         default boolean wanted() {
             return true;
         }
 
-        /** The same listener, with something that is done first when the attempt ends. */
-        default Listener after(Consumer<Outcome> first) {
-            Listener told = this;
+        /** Returns this listener with a callback that runs before {@link #ended}. */
+        default Listener after(Consumer<Outcome> callback) {
+            Listener delegate = this;
             return new Listener() {
                 @Override
-                public void ended(Outcome outcome, Answer answer, float[] load) {
-                    first.accept(outcome);
-                    told.ended(outcome, answer, load);
+                public void ended(Outcome outcome, Answer response, float[] load) {
+                    callback.accept(outcome);
+                    delegate.ended(outcome, response, load);
                 }
 
                 @Override
                 public boolean wanted() {
-                    return told.wanted();
+                    return delegate.wanted();
                 }
             };
         }
     }
 
-    /** One sending of a request. */
+    /** One attempt at a request. */
     interface Attempt {
-        /** Gives it up: it ends now, as {@link Outcome#CANCELLED} unless it has ended before. */
+        /** Ends the attempt now, as {@link Outcome#CANCELLED}, unless it has ended before. */
         void cancel();
 
         /**
-         * Its request has ended. Unless its last byte is written, nothing more of it is, and it ends now as
-         * {@link Outcome#NEVER_SENT}; else it goes on, and so does one that has ended. No work is stopped by
-         * it, so it needs no permission to cancel.
+         * Called when the request has ended. An attempt whose last byte is not yet written ends now as
+         * {@link Outcome#NEVER_SENT}, and nothing more of it is written. Any other attempt is not affected.
+         * No running work is stopped, so this is allowed even where cancelling is not.
          */
         void withdraw();
 
-        /** One that has ended. */
+        /** An attempt that has ended. */
         Attempt ENDED = new Attempt() {
             @Override
             public void cancel() {}
@@ -73,20 +72,20 @@
     }
 
     /**
-     * Takes over what the list says of an upstream. Once it is no longer ready, nothing whose last byte is
-     * not yet written goes there.
+     * Takes over an upstream's entry in the endpoint list. Once it is no longer ready, nothing whose last byte
+     * is not yet written goes there.
      *
-     * @param startedMs when the process there last started, in Unix milliseconds
+     * @param startedMs when its process last started, in Unix milliseconds
      */
     void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready);
 
-    /** Takes over that an upstream is in the list no more: what is still out there ends by itself. */
+    /** Removes an upstream that is no longer in the endpoint list; attempts in flight still complete. */
     void gone(long upstream);
 
-    /** Sends a request as one attempt; {@code wait} in nanoseconds from now bounds it. */
-    Attempt send(long upstream, Job job, long wait, Listener listener);
+    /** Sends a request as one attempt, which ends at the latest after {@code timeoutNanos}. */
+    Attempt send(long upstream, Job job, long timeoutNanos, Listener listener);
 
-    /** Probes an upstream: for its load report where the deployment has reports, else for its health. */
+    /** Probes an upstream for its load report if the deployment has load reports, else for its health. */
     void probe(long upstream, Listener listener);
 
     /** Closes the idle connections to an upstream. */
--- a/src/main/java/pondridge/core/Tried.java
+++ b/src/main/java/pondridge/core/Tried.java
@@ -1,10 +1,10 @@
 package pondridge.core;
 
 /**
- * What was tried for a request that was not served, as its final answer leaves the engine.
+ * Summary of the attempts of a request that was not served, at the time of its final response.
  *
  * @param sent attempts handed to the transport
- * @param reached attempts to which an upstream gave an answer of any kind
- * @param mayHaveRun one of them may have run, or may yet: false only where each is proven not to have
+ * @param reached attempts to which an upstream gave a response of any kind
+ * @param mayHaveRun whether an attempt may have run or may still run; false only if each is proven not to have
  */
 public record Tried(int sent, int reached, boolean mayHaveRun) {}
--- a/src/main/java/pondridge/core/Unread.java
+++ b/src/main/java/pondridge/core/Unread.java
@@ -6,8 +6,8 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * First in the pipeline of a client's connection: reads on demand what lies unread in its socket, so that a
- * leave there is seen before anything is sent on for that client.
+ * The first handler in the pipeline of a client connection. Reads the unread bytes of its socket on demand, so
+ * that a disconnect is detected before a request is forwarded for that client.
  */
 public final class Unread extends ChannelInboundHandlerAdapter {
     private boolean reading;
@@ -15,17 +15,18 @@
     /**
      * Whether a client's connection is still open.
      *
-     * @param late whether the loop may not have looked for long; where reading is off nobody looks at all
+     * @param readSocket whether the event loop may not have read the socket recently; without auto-read the
+     *     socket is read in any case
      */
-    public static boolean open(Channel channel, boolean late) {
-        if (late || !channel.config().isAutoRead()) {
-            Unread first = channel.pipeline().get(Unread.class);
-            // Danger: read from within its own reading, decoders would meet later bytes before earlier ones.
-            if (first != null
-                    && !first.reading
+    public static boolean open(Channel channel, boolean readSocket) {
+        if (readSocket || !channel.config().isAutoRead()) {
+            Unread handler = channel.pipeline().get(Unread.class);
+            // A read from within a read would pass later bytes to the decoders before earlier ones.
+            if (handler != null
+                    && !handler.reading
                     && channel.isActive()
-                    && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
-                socket.read();
+                    && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
+                unsafe.read();
             }
         }
         return channel.isActive();
--- a/src/main/java/pondridge/core/package-info.java
+++ b/src/main/java/pondridge/core/package-info.java
@@ -1,2 +1,5 @@
-/** What every protocol shares: the engine, which alone calls the module, and the seams to both sides. */
+/**
+ * The parts that all protocols share: the engine, which hosts the balancer, and the interfaces to front ends,
+ * transports and discovery.
+ */
 package pondridge.core;
--- a/src/main/java/pondridge/http1/ConnectionTable.java
+++ b/src/main/java/pondridge/http1/ConnectionTable.java
@@ -8,37 +8,37 @@
 import java.util.TreeSet;
 
 /**
- * The client connections of one listener by their state, those longest in it first. Decides which connection
- * has outlived its time limit and which one may be closed to make room for another. It does no I/O; all times
- * are nanoseconds of one clock. Used by one thread.
+ * The client connections of one listener by state, ordered by the time spent in it, longest first. Decides
+ * which connections have exceeded the timeout of their state and which one to close in favour of a new one.
+ * It does no I/O; all times are nanoseconds of one clock. Not thread-safe.
  *
- * @param <C> the connection itself, which this class never touches
+ * @param <C> the connection, which this class does not use
  */
 final class ConnectionTable<C> {
-    /** From connecting, or on a used connection from the request's first byte, to its last one. */
+    /** From the accept, or on a reused connection from the request's first byte, to its last byte. */
     static final long REQUEST_TIMEOUT_NANOS = 2_500_000_000L;
-    /** A connection that was used and waits for the next request. */
+    /** On a reused connection, from the last response to the next request. */
     static final long IDLE_TIMEOUT_NANOS = 3_000_000_000L;
-    /** A client that does not read its response holds memory. */
+    /** For writing a response. A client that does not read its response occupies memory. */
     static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
-    /** After the last response, for the client to read it and to close. */
+    /** After the last response, for the client to read it and to close the connection. */
     static final long LINGER_TIMEOUT_NANOS = 1_000_000_000L;
-    /** While draining, for the first request on a connection just made. */
+    /** While draining, for the first request on a new connection. */
     static final long NEW_WHILE_DRAINING_NANOS = 300_000_000L;
-    /** A connection that has sent nothing for so long makes room before a used one does. */
+    /** A new connection that has sent nothing for this long is evicted before an idle one. */
     static final long SILENT_NANOS = 100_000_000L;
 
-    /** What a connection is doing. */
+    /** The state of a connection; the names appear in the request log. */
     enum State {
-        /** Sent its last response; whatever still arrives is discarded. */
+        /** The last response has been sent; what still arrives is discarded. */
         LINGERING(LINGER_TIMEOUT_NANOS),
-        /** Answered before, and waits for the next request. */
+        /** A response has been sent; the next request is awaited. */
         IDLE(IDLE_TIMEOUT_NANOS),
-        /** Connected, and nothing has been read. */
+        /** Accepted; nothing has been read. */
         NEW(REQUEST_TIMEOUT_NANOS),
         /** Part of a request has been read. */
         READING(REQUEST_TIMEOUT_NANOS),
-        /** A whole request has been read and not been answered. */
+        /** A complete request has been read; its response is pending. */
         ASKED(Long.MAX_VALUE),
         /** The response is being written. */
         ANSWERED(WRITE_TIMEOUT_NANOS);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** One connection's place in the table. */
+    /** The table's entry for one connection. */
     static final class Entry<C> {
         final C connection;
         private final long number;
@@ -69,7 +69,7 @@
             return state;
         }
 
-        /** When it entered its state; part of a first request counts from the connecting. */
+        /** When the connection entered its state. Reading a first request counts from the accept. */
         long since() {
             return since;
         }
@@ -94,7 +94,7 @@
         return entry;
     }
 
-    /** Moves a connection to a state; does nothing for one that was removed. */
+    /** Moves a connection to a state. For a removed connection only the entry changes, not the table. */
     void enter(Entry<C> entry, State state, long since) {
         if (!entry.removed) {
             byState.get(entry.state).remove(entry);
@@ -120,22 +120,22 @@
     }
 
     /** All connections in a state, the longest in it first. */
-    List<Entry<C>> in(State state) {
+    List<Entry<C>> inState(State state) {
         return List.copyOf(byState.get(state));
     }
 
     /**
-     * The connection to close first where another needs its place, or null where each one has a request that
-     * is not answered: first what lingers, then what never sent anything, then what is idle, then what was
-     * accepted just now, last what has sent part of a request.
+     * The connection to close in favour of a new one, or null if each one has a request whose response is
+     * pending or being written. The order is: lingering, new and silent for {@link #SILENT_NANOS}, idle, just
+     * accepted, and last those that have sent part of a request.
      */
-    Entry<C> leastMissed(long now) {
-        Entry<C> unused = first(State.NEW);
-        Entry<C> silent = unused != null && now - unused.since > SILENT_NANOS ? unused : null;
-        return firstOf(first(State.LINGERING), silent, first(State.IDLE), unused, first(State.READING));
+    Entry<C> evictionCandidate(long now) {
+        Entry<C> oldestNew = first(State.NEW);
+        Entry<C> silent = oldestNew != null && now - oldestNew.since > SILENT_NANOS ? oldestNew : null;
+        return firstNonNull(first(State.LINGERING), silent, first(State.IDLE), oldestNew, first(State.READING));
     }
 
-    /** The connections that have been in their state for longer than it may last. */
+    /** The connections that have exceeded the timeout of their state. */
     List<Entry<C>> expired(long now, boolean draining) {
         List<Entry<C>> expired = new ArrayList<>();
         byState.forEach((state, entries) -> {
@@ -156,7 +156,7 @@
     }
 
     @SafeVarargs
-    private static <C> Entry<C> firstOf(Entry<C>... entries) {
+    private static <C> Entry<C> firstNonNull(Entry<C>... entries) {
         for (Entry<C> entry : entries) {
             if (entry != null) {
                 return entry;
--- a/src/main/java/pondridge/http1/Frontend.java
+++ b/src/main/java/pondridge/http1/Frontend.java
@@ -57,60 +57,63 @@
 import pondridge.http1.ConnectionTable.State;
 
 /**
- * The application's side: reads requests, answers each once, and tells malformed ones so itself. A client
- * that sends what can't be used is told at once, and its connection ends; nobody holds one for longer than a
- * request takes.
+ * The listener for the application's HTTP/1.1 connections. Reads requests, hands them on and writes one
+ * response to each. Malformed requests are rejected here at once, and their connection is closed. Every state
+ * of a connection but waiting for a response is limited in time.
  */
 public final class Frontend {
-    private static final int LARGEST_BODY = 1 << 16;
-    private static final int LINGER_BYTES = 1 << 20;
-    /** A request's id is held to be in use for a while after its answer: clients never use one again. */
-    private static final long ID_TIME = 2_000_000_000L;
-
-    private static final long SWEEP_MS = 100;
-    /** So many are let in at a time: till the next turn those that make room keep their descriptors, too. */
-    private static final int ACCEPTS = 4;
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final int MAX_LINGER_BYTES = 1 << 20;
+    /** How long a request id counts as in use after the response; clients must never use one again. */
+    private static final long REQUEST_ID_RETENTION_NANOS = 2_000_000_000L;
+
+    private static final long SWEEP_INTERVAL_MILLIS = 100;
+    /** Connections accepted per loop turn. Evicted connections keep their descriptors until the next turn. */
+    private static final int MAX_ACCEPTS_PER_TURN = 4;
     /**
-     * What is held of requests that came behind an open one, so much for each connection in any case.
-     * Danger: were a client read no further then, its leave would lie unseen behind what it sent.
+     * Bytes of pipelined requests that each connection may always hold. Reading goes on while a request is
+     * open, since a disconnect would otherwise stay unseen behind the unread bytes.
      */
-    private static final int WAITING = LARGEST_BODY;
-    /** So much where there is room for it in all; a client that sends more is ended. */
-    private static final int MOST_WAITING = 4 << 20;
+    private static final int GUARANTEED_PIPELINED_BYTES = MAX_BODY_BYTES;
+    /**
+     * Limit per connection while the total of all connections is within its limit. The connection of a client
+     * that sends more is closed.
+     */
+    private static final int MAX_PIPELINED_BYTES = 4 << 20;
 
-    private static final int WAITING_IN_ALL = 8 << 20;
-    /** What a request's head counts as in that, beside its path, and what each part of one does. */
-    private static final int HEAD_BYTES = 2048;
+    private static final int MAX_TOTAL_PIPELINED_BYTES = 8 << 20;
+    /** Memory counted for a pipelined request's head, in addition to its path, and for each message part. */
+    private static final int PIPELINED_HEAD_BYTES = 2048;
 
-    private static final int PART_BYTES = 256;
+    private static final int PIPELINED_PART_BYTES = 256;
 
-    private record Past(String id, long at) {}
+    private record CompletedId(String clientRequestId, long completedAt) {}
 
-    private record Waiting(HttpObject message, long since) {}
+    private record PipelinedMessage(HttpObject message, long receivedAt) {}
 
-    private final Requests engine;
-    private final JobReader reader;
-    private final int mostConnections;
+    private final Requests requests;
+    private final JobReader jobReader;
+    private final int maxConnections;
     private final ConnectionTable<Connection> connections = new ConnectionTable<>();
-    private final Set<String> ids = new HashSet<>();
-    private final ArrayDeque<Past> past = new ArrayDeque<>();
-    private int heldInAll;
+    private final Set<String> idsInUse = new HashSet<>();
+    private final ArrayDeque<CompletedId> completedIds = new ArrayDeque<>();
+    private int totalPipelinedBytes;
     private boolean ready;
     private boolean draining;
-    private long acceptedAt = System.nanoTime();
-    private Channel server;
+    private long lastAcceptAt = System.nanoTime();
+    private Channel serverChannel;
     private RequestLog log = RequestLog.NONE;
 
-    /** A front that takes at most {@code mostConnections} clients at once. */
-    public Frontend(Requests engine, Options options, int mostConnections) {
-        this.engine = engine;
-        this.reader = new JobReader(options);
-        this.mostConnections = mostConnections;
+    /** Creates a front end that holds at most {@code maxConnections} client connections at once. */
+    public Frontend(Requests requests, Options options, int maxConnections) {
+        this.requests = requests;
+        this.jobReader = new JobReader(options);
+        this.maxConnections = maxConnections;
     }
 
     /**
-     * Listens; requests are answered at once, {@code /up} says 200 after {@link #ready}. May be called again
-     * where it failed.
+     * Binds the listener. Requests are served from then on; {@code /up} responds with 200 only after
+     * {@link #ready}. May be called again if it failed.
      */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
@@ -120,75 +123,80 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_TURN))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        acceptedAt = System.nanoTime();
-                        if (connections.size() >= mostConnections && !makeRoom()) {
-                            made.close();
+                    protected void initChannel(Channel accepted) {
+                        lastAcceptAt = System.nanoTime();
+                        if (connections.size() >= maxConnections && !evictOne()) {
+                            accepted.close();
                             return;
                         }
-                        Connection connection = new Connection(made);
-                        made.pipeline()
+                        Connection connection = new Connection(accepted);
+                        accepted.pipeline()
                                 .addLast(new Unread(), new HttpResponseEncoder(), connection.new Decoder(), connection);
                     }
                 })
                 .bind(address);
-        server = bound.channel();
+        serverChannel = bound.channel();
         bound.addListener(done -> {
             if (done.isSuccess()) {
                 bound.channel()
                         .eventLoop()
-                        .scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                        .scheduleWithFixedDelay(
+                                this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             }
         });
         return bound;
     }
 
-    /** Has closed connections logged; before {@link #listen}. */
-    public void log(RequestLog other) {
-        log = other;
+    /** Sets the log for closed connections; must be called before {@link #listen}. */
+    public void log(RequestLog log) {
+        this.log = log;
     }
 
-    /** From now on {@code /up} says 200. */
+    /** From now on {@code /up} responds with 200. */
     public void ready() {
         ready = true;
     }
 
     /**
-     * From now on each answer ends its connection, and so do those that wait for none: a request that crosses
-     * such an end is sent again on a new connection, and new ones still get in. One just made is left its
-     * time: to end it with no answer would lose the request that is on its way there.
+     * Starts draining: each response closes its connection, and idle connections are closed. A client whose
+     * request meets such a close sends it again on a new connection; new connections are still accepted. A new
+     * connection is kept until its timeout, since closing it would lose a request that is on its way.
      */
     public void drain() {
         draining = true;
-        connections.in(State.IDLE).forEach(idle -> idle.connection.closeIfQuiet("draining"));
+        connections.inState(State.IDLE).forEach(idle -> idle.connection.closeUnlessRequestUnread("draining"));
     }
 
-    /** For how many nanoseconds nobody has connected. */
+    /** Nanoseconds since the last connection was accepted. */
     public long quiet() {
-        return System.nanoTime() - acceptedAt;
+        return System.nanoTime() - lastAcceptAt;
     }
 
-    /** Ends the listening as well. */
+    /** Closes the listener and starts draining. */
     public void close() {
-        server.close();
+        serverChannel.close();
         drain();
     }
 
-    /** Whether no client is connected any more. */
+    /** Whether no client is connected. */
     public boolean empty() {
         return connections.size() == 0;
     }
 
-    /** Closes the connection that is missed least; false if each holds a whole request. */
-    private boolean makeRoom() {
-        for (var least = connections.leastMissed(System.nanoTime());
-                least != null;
-                least = connections.leastMissed(System.nanoTime())) {
-            if (least.connection.closeIfQuiet("to make room")) {
+    /**
+     * Closes the connection that can be dropped at the least cost, to accept another.
+     *
+     * @return false if every connection holds a complete request
+     */
+    private boolean evictOne() {
+        for (var candidate = connections.evictionCandidate(System.nanoTime());
+                candidate != null;
+                candidate = connections.evictionCandidate(System.nanoTime())) {
+            if (candidate.connection.closeUnlessRequestUnread("to make room")) {
                 return true;
             }
         }
@@ -198,79 +206,82 @@
     private void sweep() {
         long now = System.nanoTime();
         connections.expired(now, draining).forEach(expired -> expired.connection.expire());
-        while (!past.isEmpty() && now - past.peek().at > ID_TIME) {
-            ids.remove(past.poll().id);
+        while (!completedIds.isEmpty() && now - completedIds.peek().completedAt > REQUEST_ID_RETENTION_NANOS) {
+            idsInUse.remove(completedIds.poll().clientRequestId);
         }
     }
 
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> implements Client {
         private final Channel channel;
         /**
-         * What came while a request was open. It is read on, within bounds: else nobody would see that the
-         * client has left, and its requests would be sent on one after the other.
+         * Messages that arrived while a request was open. Reading goes on, within limits: otherwise the
+         * client's disconnect would stay unseen, and its requests would be forwarded one after the other.
          */
-        private final ArrayDeque<Waiting> waiting = new ArrayDeque<>(1);
+        private final ArrayDeque<PipelinedMessage> pipelined = new ArrayDeque<>(1);
 
-        private int held;
-        /** How long ago what is being taken has come. */
-        private long waited;
+        private int pipelinedBytes;
+        /** How long the message that is being handled has waited in {@code pipelined}; 0 if not at all. */
+        private long queuedNanos;
 
         private final ConnectionTable.Entry<Connection> entry;
-        private int lingered;
+        private int lingeredBytes;
         private Job job;
         private ByteArrayOutputStream body;
         private boolean keepAlive;
-        private String id;
-        private long request;
+        private String clientRequestId;
+        private long submittedId;
 
         Connection(Channel channel) {
             this.channel = channel;
             this.entry = connections.add(this, System.nanoTime());
         }
 
-        /** Tells when the first byte of a request has come, and drops what follows one that was rejected. */
+        /** Enters READING at a request's first byte, and discards what follows a rejected request. */
         private final class Decoder extends HttpRequestDecoder {
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-                if (in(State.LINGERING)) {
-                    lingered += ((ByteBuf) message).readableBytes();
+                if (isIn(State.LINGERING)) {
+                    lingeredBytes += ((ByteBuf) message).readableBytes();
                     ReferenceCountUtil.release(message);
-                    if (lingered > LINGER_BYTES) {
+                    if (lingeredBytes > MAX_LINGER_BYTES) {
                         channel.config().setAutoRead(false);
                     }
                     return;
                 }
-                if (in(State.IDLE)) {
-                    enter(State.READING);
-                } else if (in(State.NEW)) {
+                if (isIn(State.IDLE)) {
+                    enterState(State.READING);
+                } else if (isIn(State.NEW)) {
                     connections.enter(entry, State.READING, entry.since());
                 }
                 super.channelRead(context, message);
             }
 
-            /** Left to itself the decoder drops the length, and what one side takes for a body hides more. */
+            /**
+             * Rejects such a message. The default drops the length; a peer that goes by the length would see
+             * another end of the body, which allows request smuggling.
+             */
             @Override
             protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-                throw new CorruptedFrameException("two lengths");
+                throw new CorruptedFrameException("both Transfer-Encoding and Content-Length");
             }
         }
 
-        private boolean in(State state) {
+        private boolean isIn(State state) {
             return entry.state() == state;
         }
 
-        private void enter(State next) {
+        private void enterState(State next) {
             connections.enter(entry, next, System.nanoTime());
         }
 
-        /** It has been in its state for too long; what lies unread in its socket is read first. */
+        /** Handles the timeout of the current state, unless reading the socket first changes that state. */
         private void expire() {
             State before = entry.state();
             long since = entry.since();
-            if (!Unread.open(channel, true) || !in(before) || entry.since() != since) {
+            if (!Unread.open(channel, true) || !isIn(before) || entry.since() != since) {
                 return;
             }
-            if (in(State.READING)) {
+            if (isIn(State.READING)) {
                 reject(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time");
             } else {
                 close("time limit");
@@ -278,19 +289,19 @@
         }
 
         /**
-         * Closes the connection unless a request lies unread in its socket: after a stall of the loop a
-         * connection that looks idle may have sent one, and a close would reset it with no response.
+         * Closes the connection unless its socket holds an unread request. After a stall of the loop a
+         * connection that looks idle may have sent one, and a close would reset it without a response.
          *
          * @return whether the connection is closed
          */
-        private boolean closeIfQuiet(String reason) {
+        private boolean closeUnlessRequestUnread(String reason) {
             State before = entry.state();
             long since = entry.since();
             if (!Unread.open(channel, true)) {
                 connections.remove(entry);
                 return true;
             }
-            if (!in(before) || entry.since() != since) {
+            if (!isIn(before) || entry.since() != since) {
                 return false;
             }
             close(reason);
@@ -304,66 +315,67 @@
                         reason,
                         entry.state().toString());
             }
-            // Its end is told later in the turn; until then it would make room for all that come in between.
+            // channelInactive comes later in the turn; until then this entry would be evicted again and again.
             connections.remove(entry);
             channel.close();
         }
 
-        private boolean occupied() {
-            return in(State.ASKED) || in(State.ANSWERED);
+        private boolean hasOpenRequest() {
+            return isIn(State.ASKED) || isIn(State.ANSWERED);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
-            if (occupied() || !waiting.isEmpty()) {
+            if (hasOpenRequest() || !pipelined.isEmpty()) {
                 if (!channel.isActive()) {
                     return;
                 }
-                waiting.add(new Waiting(ReferenceCountUtil.retain(message), System.nanoTime()));
-                hold(size(message));
-                if (held > WAITING && (held > MOST_WAITING || heldInAll > WAITING_IN_ALL)) {
+                pipelined.add(new PipelinedMessage(ReferenceCountUtil.retain(message), System.nanoTime()));
+                addPipelinedBytes(pipelinedSize(message));
+                if (pipelinedBytes > GUARANTEED_PIPELINED_BYTES
+                        && (pipelinedBytes > MAX_PIPELINED_BYTES || totalPipelinedBytes > MAX_TOTAL_PIPELINED_BYTES)) {
                     close("too much behind a request");
                 }
             } else {
-                take(message);
+                handle(message);
             }
         }
 
-        private void take(HttpObject message) {
-            if (in(State.LINGERING) || !channel.isActive()) {
+        private void handle(HttpObject message) {
+            if (isIn(State.LINGERING) || !channel.isActive()) {
                 return;
             }
             if (message.decoderResult().isFailure()) {
-                reject(status(message.decoderResult().cause()), "malformed request");
+                reject(statusOf(message.decoderResult().cause()), "malformed request");
                 return;
             }
             if (message instanceof HttpRequest head) {
-                begin(head);
+                handleHead(head);
             }
-            if (message instanceof HttpContent content && !in(State.LINGERING)) {
-                if (body.size() + content.content().readableBytes() > LARGEST_BODY) {
+            if (message instanceof HttpContent content && !isIn(State.LINGERING)) {
+                if (body.size() + content.content().readableBytes() > MAX_BODY_BYTES) {
                     reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
                     return;
                 }
                 body.writeBytes(ByteBufUtil.getBytes(content.content()));
                 if (message instanceof LastHttpContent) {
-                    end();
+                    handleEnd();
                 }
             }
         }
 
-        /** Looks at all that a request's head tells, so that the body of a bad one need not come. */
-        private void begin(HttpRequest head) {
+        /** Validates a request's head, so that a bad request is rejected without waiting for its body. */
+        private void handleHead(HttpRequest head) {
             connections.enter(entry, State.READING, entry.since());
             keepAlive = HttpUtil.isKeepAlive(head);
             job = null;
             body = new ByteArrayOutputStream(0);
             String path = JobReader.path(head.uri());
             try {
-                framed(head);
+                requireUnambiguous(head);
                 if (path.equals("/api") || path.startsWith("/api/")) {
-                    job = reader.read(head.method(), head.uri(), head.headers());
-                    id = head.headers().get("Req-Id");
+                    job = jobReader.read(head.method(), head.uri(), head.headers());
+                    clientRequestId = head.headers().get("Req-Id");
                 } else if (!path.equals("/up")) {
                     reject(HttpResponseStatus.NOT_FOUND, "no such path");
                     return;
@@ -372,7 +384,7 @@
                 reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
                 return;
             }
-            if (HttpUtil.getContentLength(head, 0L) > LARGEST_BODY) {
+            if (HttpUtil.getContentLength(head, 0L) > MAX_BODY_BYTES) {
                 reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             } else if (HttpUtil.is100ContinueExpected(head)) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(
@@ -380,140 +392,141 @@
             }
         }
 
-        /** The request is whole. */
-        private void end() {
+        /** Handles the end of a request. */
+        private void handleEnd() {
             if (job == null) {
                 boolean up = ready && !draining;
-                answer(plain(up ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
+                respond(plainText(up ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
                 return;
             }
-            if (!ids.add(id)) {
+            if (!idsInUse.add(clientRequestId)) {
                 reject(HttpResponseStatus.CONFLICT, "Req-Id in use");
                 return;
             }
-            Job whole = job.with(body.toByteArray());
-            if (waited > 0) {
-                whole = whole.within(whole.waitMs() * 1_000_000 - waited);
+            Job complete = job.with(body.toByteArray());
+            if (queuedNanos > 0) {
+                complete = complete.within(complete.waitMs() * 1_000_000 - queuedNanos);
             }
             job = null;
             body = null;
-            enter(State.ASKED);
-            long number = engine.submit(whole, this);
-            // The answer may have come within that call.
-            if (in(State.ASKED)) {
-                request = number;
+            enterState(State.ASKED);
+            long number = requests.submit(complete, this);
+            // The response may have been given within that call.
+            if (isIn(State.ASKED)) {
+                submittedId = number;
             }
         }
 
         @Override
-        public boolean here(boolean late) {
-            return Unread.open(channel, late);
+        public boolean here(boolean readSocket) {
+            return Unread.open(channel, readSocket);
         }
 
         @Override
-        public void served(Answer answer) {
+        public void served(Answer upstreamResponse) {
             FullHttpResponse response = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()));
-            response.headers().set(answer.headers());
-            answer(response);
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(upstreamResponse.body()));
+            response.headers().set(upstreamResponse.headers());
+            respond(response);
         }
 
         @Override
-        public void refused(long wait) {
-            FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
-            if (wait > 0) {
+        public void refused(long retryAfterNanos) {
+            FullHttpResponse response = plainText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
+            if (retryAfterNanos > 0) {
                 response.headers()
                         .set(
                                 HttpHeaderNames.RETRY_AFTER,
-                                BigDecimal.valueOf(wait, 9)
+                                BigDecimal.valueOf(retryAfterNanos, 9)
                                         .setScale(3, RoundingMode.UP)
                                         .toPlainString());
             }
-            answer(response);
+            respond(response);
         }
 
         @Override
         public void failed() {
-            answer(plain(HttpResponseStatus.BAD_GATEWAY, "failed"));
+            respond(plainText(HttpResponseStatus.BAD_GATEWAY, "failed"));
         }
 
-        private void answer(FullHttpResponse response) {
-            forget();
-            enter(State.ANSWERED);
-            boolean keep = keepAlive && (!draining || !waiting.isEmpty());
+        private void respond(FullHttpResponse response) {
+            closeOpenRequest();
+            enterState(State.ANSWERED);
+            boolean keepOpen = keepAlive && (!draining || !pipelined.isEmpty());
             HttpUtil.setContentLength(response, response.content().readableBytes());
-            if (!keep) {
+            if (!keepOpen) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             channel.writeAndFlush(response).addListener(done -> {
                 if (!done.isSuccess()) {
                     close("response not written");
-                } else if (!keep) {
+                } else if (!keepOpen) {
                     linger();
                 } else {
-                    enter(State.IDLE);
-                    // Not from within this call: a row of requests would nest as deep as it is long.
-                    channel.eventLoop().execute(this::proceed);
+                    enterState(State.IDLE);
+                    // Not called directly: the stack would grow with the number of pipelined requests.
+                    channel.eventLoop().execute(this::handlePipelined);
                 }
             });
         }
 
         /**
-         * Ends the sending, and discards what still arrives until the client closes or its time is over: a
-         * close with bytes unread would reset the connection, and the client could lose its last response.
+         * Shuts down the output and discards what still arrives until the client closes or the linger timeout
+         * passes. A close with unread bytes would reset the connection, and the client could lose its last
+         * response.
          */
         private void linger() {
-            enter(State.LINGERING);
-            drop();
+            enterState(State.LINGERING);
+            discardPipelined();
             ((DuplexChannel) channel).shutdownOutput();
         }
 
-        /** Goes on with what came meanwhile. */
-        private void proceed() {
-            if (draining && waiting.isEmpty() && in(State.IDLE)) {
-                // The draining began while the response was being written.
-                closeIfQuiet("draining");
+        /** Handles the messages that arrived while the previous request was open. */
+        private void handlePipelined() {
+            if (draining && pipelined.isEmpty() && isIn(State.IDLE)) {
+                // Draining started while the response was being written.
+                closeUnlessRequestUnread("draining");
                 return;
             }
-            while (!waiting.isEmpty() && !occupied()) {
-                Waiting next = waiting.poll();
-                hold(-size(next.message));
-                waited = System.nanoTime() - next.since;
+            while (!pipelined.isEmpty() && !hasOpenRequest()) {
+                PipelinedMessage next = pipelined.poll();
+                addPipelinedBytes(-pipelinedSize(next.message));
+                queuedNanos = System.nanoTime() - next.receivedAt;
                 try {
-                    take(next.message);
+                    handle(next.message);
                 } finally {
                     ReferenceCountUtil.release(next.message);
-                    waited = 0;
+                    queuedNanos = 0;
                 }
             }
         }
 
-        private void drop() {
-            waiting.forEach(each -> ReferenceCountUtil.release(each.message));
-            waiting.clear();
-            hold(-held);
+        private void discardPipelined() {
+            pipelined.forEach(each -> ReferenceCountUtil.release(each.message));
+            pipelined.clear();
+            addPipelinedBytes(-pipelinedBytes);
         }
 
-        private void hold(int more) {
-            held += more;
-            heldInAll += more;
+        private void addPipelinedBytes(int delta) {
+            pipelinedBytes += delta;
+            totalPipelinedBytes += delta;
         }
 
-        /** The request that was open is no more. */
-        private void forget() {
-            if (in(State.ASKED)) {
-                past.add(new Past(id, System.nanoTime()));
+        /** Ends the open request, if there is one; its id stays reserved for a while. */
+        private void closeOpenRequest() {
+            if (isIn(State.ASKED)) {
+                completedIds.add(new CompletedId(clientRequestId, System.nanoTime()));
             }
-            request = 0;
+            submittedId = 0;
         }
 
-        /** Tells an error, sends no more, and for a while reads on what is dropped unseen. */
+        /** Writes an error response, shuts down the output, and discards what still arrives for a while. */
         private void reject(HttpResponseStatus status, String text) {
-            enter(State.LINGERING);
+            enterState(State.LINGERING);
             job = null;
             body = null;
-            drop();
-            FullHttpResponse response = plain(status, text);
+            discardPipelined();
+            FullHttpResponse response = plainText(status, text);
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             HttpUtil.setContentLength(response, response.content().readableBytes());
             channel.writeAndFlush(response).addListener(done -> ((DuplexChannel) channel).shutdownOutput());
@@ -522,12 +535,12 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(entry);
-            long open = request;
-            forget();
-            enter(State.LINGERING);
-            drop();
-            if (open != 0) {
-                engine.hangup(open);
+            long openRequest = submittedId;
+            closeOpenRequest();
+            enterState(State.LINGERING);
+            discardPipelined();
+            if (openRequest != 0) {
+                requests.hangup(openRequest);
             }
         }
 
@@ -540,16 +553,16 @@
         }
     }
 
-    private static int size(HttpObject message) {
-        int head = message instanceof HttpRequest request
-                ? HEAD_BYTES + request.uri().length()
+    private static int pipelinedSize(HttpObject message) {
+        int headBytes = message instanceof HttpRequest request
+                ? PIPELINED_HEAD_BYTES + request.uri().length()
                 : 0;
-        return PART_BYTES
-                + head
+        return PIPELINED_PART_BYTES
+                + headBytes
                 + (message instanceof HttpContent content ? content.content().readableBytes() : 0);
     }
 
-    private static HttpResponseStatus status(Throwable cause) {
+    private static HttpResponseStatus statusOf(Throwable cause) {
         if (cause instanceof TooLongHttpHeaderException) {
             return HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
         }
@@ -558,31 +571,32 @@
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
-    private static FullHttpResponse plain(HttpResponseStatus status, String text) {
+    private static FullHttpResponse plainText(HttpResponseStatus status, String text) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
         return response;
     }
 
-    /** Rejects what two readers could take for requests of different lengths. */
-    private static void framed(HttpRequest message) {
+    /** Rejects requests whose length or fields two parsers could read differently. */
+    private static void requireUnambiguous(HttpRequest message) {
         HttpHeaders headers = message.headers();
-        boolean coded = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        if (message.protocolVersion().majorVersion() != 1 || coded && !Headers.onlyChunked(message)) {
+        boolean hasTransferEncoding = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
+        if (message.protocolVersion().majorVersion() != 1 || hasTransferEncoding && !Headers.onlyChunked(message)) {
             throw new IllegalArgumentException("version or transfer coding not supported");
         }
-        if (!message.method().equals(HttpMethod.POST) && (coded || HttpUtil.getContentLength(message, 0L) > 0)) {
+        if (!message.method().equals(HttpMethod.POST)
+                && (hasTransferEncoding || HttpUtil.getContentLength(message, 0L) > 0)) {
             throw new IllegalArgumentException("body where none belongs");
         }
-        if (!message.uri().chars().allMatch(each -> each > ' ' && each < 0x7f)) {
+        if (!message.uri().chars().allMatch(character -> character > ' ' && character < 0x7f)) {
             throw new IllegalArgumentException("path can't be read");
         }
         for (String name : headers.names()) {
-            boolean once = name.regionMatches(true, 0, "Req-", 0, 4)
+            boolean mustBeUnique = name.regionMatches(true, 0, "Req-", 0, 4)
                     || name.equalsIgnoreCase(JobReader.KEY)
                     || name.equalsIgnoreCase("Host");
-            if (once && headers.getAll(name).size() > 1) {
+            if (mustBeUnique && headers.getAll(name).size() > 1) {
                 throw new IllegalArgumentException("repeated " + name);
             }
         }
--- a/src/main/java/pondridge/http1/Upstreams.java
+++ b/src/main/java/pondridge/http1/Upstreams.java
@@ -53,60 +53,62 @@
 import pondridge.core.Transport;
 
 /**
- * Connections to upstreams and the attempts on them. An attempt is written once, on one connection, and ends
- * with one outcome; nothing is sent again from here.
+ * The HTTP/1.1 connections to upstreams and the attempts on them. An attempt is written at most once, on one
+ * connection, and ends with one outcome. This class never retries.
  */
 public final class Upstreams implements Transport {
-    /** Good answers of 350 KB have been seen, beyond the protocol's 64 KiB; a bound keeps the memory free. */
-    private static final int LARGEST_ANSWER = 1 << 20;
-    /** Some answers come behind interim ones; more than a few are no way to an answer. */
-    private static final int MOST_INTERIM = 16;
-
-    private static final long PROBE_TIMEOUT = 250_000_000;
-    private static final AsciiString DEADLINE = AsciiString.cached("Req-Deadline-Ms");
-    /** However soon upstreams close: the loop must have time for anything else. */
-    private static final long SHORTEST_SWEEP = 5_000_000;
+    /** Bounds the memory for one response. Valid responses reach 350 KB, beyond the protocol's 64 KiB. */
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    /** Interim (1xx) responses accepted before a final one; more fail the attempt. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
+
+    private static final long PROBE_TIMEOUT_NANOS = 250_000_000;
+    private static final AsciiString DEADLINE_HEADER = AsciiString.cached("Req-Deadline-Ms");
+    /** Lower bound for short idle timeouts, so that the sweep does not occupy the event loop. */
+    private static final long MIN_SWEEP_INTERVAL_NANOS = 5_000_000;
     /**
-     * A second answer may come some milliseconds behind the first. Where such things have been seen lately, a
-     * connection carries nothing new for so long after an answer: what is on its way would pass for the next
-     * one. Elsewhere that would only cost connections.
+     * How long a connection stays unused after a response, if unsolicited data was received recently. A second
+     * response may follow the first by some milliseconds and would be taken for the response to the next
+     * request. Without recent unsolicited data the pause would only cost connections.
      */
-    private static final long SETTLING = 25_000_000;
+    private static final long SETTLE_NANOS = 25_000_000;
 
-    private static final long WARY = 60_000_000_000L;
+    /** How long unsolicited data from any upstream counts as recent. */
+    private static final long UNSOLICITED_DATA_WINDOW_NANOS = 60_000_000_000L;
 
     private final EventLoop loop;
-    private final int connectTimeoutMs;
-    private final long keepIdle;
-    private final int mostConnections;
-    private final LoadReports reports;
+    private final int connectTimeoutMillis;
+    private final long idleTimeoutNanos;
+    private final int maxConnections;
+    private final LoadReports loadReports;
     private final Map<Long, Pool> pools = new HashMap<>();
-    /** Stands for every upstream that is not listed. */
-    private final Pool nobody = new Pool();
+    /** The pool of every upstream that is not listed; never ready. */
+    private final Pool unlistedPool = new Pool();
 
-    private final Future<?> retirement;
-    private int connections;
-    /** When something came that was not asked for; 0 if nothing has. */
-    private long strayAt;
+    private final Future<?> idleSweep;
+    private int openConnections;
+    /** When unsolicited data was last received; 0 for never. */
+    private long lastUnsolicitedAt;
 
-    /** Holds at most {@code mostConnections} connections in all; time-outs come from the settings. */
-    public Upstreams(EventLoop loop, Options options, int mostConnections) {
+    /** Creates a transport with at most {@code maxConnections} connections; timeouts come from the settings. */
+    public Upstreams(EventLoop loop, Options options, int maxConnections) {
         this.loop = loop;
-        this.connectTimeoutMs = Math.max(1, (int) (options.number("caps.connectTimeout", 1e9) / 1e6));
-        // An upstream closes at its idle time; a tenth before it, no request can cross that on its way.
-        this.keepIdle = (long) (options.number("caps.connIdle", 5e9) * 0.9);
-        this.mostConnections = mostConnections;
-        this.reports = new LoadReports(options);
-        long sweep = Math.max(SHORTEST_SWEEP, keepIdle / 20);
-        retirement = loop.scheduleWithFixedDelay(this::retire, sweep, sweep, TimeUnit.NANOSECONDS);
+        this.connectTimeoutMillis = Math.max(1, (int) (options.number("caps.connectTimeout", 1e9) / 1e6));
+        // Upstreams close at their idle timeout. Closing a tenth earlier avoids a request meeting that close.
+        this.idleTimeoutNanos = (long) (options.number("caps.connIdle", 5e9) * 0.9);
+        this.maxConnections = maxConnections;
+        this.loadReports = new LoadReports(options);
+        long sweepInterval = Math.max(MIN_SWEEP_INTERVAL_NANOS, idleTimeoutNanos / 20);
+        idleSweep =
+                loop.scheduleWithFixedDelay(this::closeExpiredIdle, sweepInterval, sweepInterval, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Takes over what the list says of an upstream. Once it is no longer ready, nothing not yet written goes
-     * there: who waits for a connection is told that none came, idle connections are closed. The same holds
-     * for connections to a process that has started anew since, or to another address, also once they come
-     * up or have answered: a machine that vanished has not ended them, and what is written to them would
-     * count as perhaps run.
+     * Takes over an upstream's entry in the endpoint list. Once it is no longer ready, nothing that is not yet
+     * written goes there: attempts waiting for a connection end as {@link Outcome#CONNECT_FAILED}, and idle
+     * connections are closed. The same applies to connections to an earlier process or another address, also
+     * when they are established or carry a response later: a machine that vanished has not closed them, and a
+     * request written to them would count as one that may have run.
      */
     @Override
     public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
@@ -114,12 +116,12 @@
         if (!address.equals(pool.address) || startedMs > pool.startedMs) {
             pool.address = address;
             pool.startedMs = startedMs;
-            pool.renew();
+            pool.startGeneration();
         }
         if (ready) {
             pool.ready = true;
         } else {
-            pool.shut();
+            pool.markNotReady();
         }
     }
 
@@ -127,41 +129,41 @@
     public void gone(long upstream) {
         Pool pool = pools.remove(upstream);
         if (pool != null) {
-            pool.shut();
+            pool.markNotReady();
         }
     }
 
     @Override
-    public Attempt send(long upstream, Job job, long wait, Listener listener) {
-        return send(upstream, message(job), wait, listener);
+    public Attempt send(long upstream, Job job, long timeoutNanos, Listener listener) {
+        return send(upstream, toHttpRequest(job), timeoutNanos, listener);
     }
 
-    private static FullHttpRequest message(Job job) {
+    private static FullHttpRequest toHttpRequest(Job job) {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, job.method(), job.uri(), Unpooled.wrappedBuffer(job.body()));
         Headers.copyEndToEnd(job.headers(), request.headers());
-        // The time left is set when it is written: the connection may come up late.
-        request.headers().set(DEADLINE, 0);
+        // The time left is set when the request is written: the connection may be established late.
+        request.headers().set(DEADLINE_HEADER, 0);
         if (!job.method().equals(HttpMethod.GET) || job.body().length > 0) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, job.body().length);
         }
         return request;
     }
 
-    private Sending send(long upstream, FullHttpRequest request, long wait, Listener listener) {
-        Pool pool = pools.getOrDefault(upstream, nobody);
-        Sending attempt = new Sending(pool, request, listener, System.nanoTime() + wait);
-        attempt.timer = loop.schedule(attempt::late, wait, TimeUnit.NANOSECONDS);
+    private Http1Attempt send(long upstream, FullHttpRequest request, long timeoutNanos, Listener listener) {
+        Pool pool = pools.getOrDefault(upstream, unlistedPool);
+        Http1Attempt attempt = new Http1Attempt(pool, request, listener, System.nanoTime() + timeoutNanos);
+        attempt.timer = loop.schedule(attempt::timeOut, timeoutNanos, TimeUnit.NANOSECONDS);
         pool.unwritten.add(attempt);
-        Connection idle = pool.ready ? pool.take(System.nanoTime()) : null;
-        if (pool.ready && idle == null && connections >= mostConnections) {
+        Connection idle = pool.ready ? pool.takeIdle(System.nanoTime()) : null;
+        if (pool.ready && idle == null && openConnections >= maxConnections) {
             idle = pool.takeUnsettled();
         }
         if (!pool.ready) {
             attempt.end(Outcome.CONNECT_FAILED);
         } else if (idle != null) {
             idle.write(attempt);
-        } else if (connections >= mostConnections && !closeLongestIdle()) {
+        } else if (openConnections >= maxConnections && !closeLongestIdle()) {
             attempt.end(Outcome.NEVER_SENT);
         } else {
             new Connection(pool).open(attempt);
@@ -171,9 +173,10 @@
 
     @Override
     public void probe(long upstream, Listener listener) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, reports.probePath());
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, loadReports.probePath());
         request.headers().set(HttpHeaderNames.HOST, "app.svc");
-        send(upstream, request, PROBE_TIMEOUT, listener);
+        send(upstream, request, PROBE_TIMEOUT_NANOS, listener);
     }
 
     @Override
@@ -184,91 +187,94 @@
         }
     }
 
-    /** Closes all idle connections and keeps no more watch on them. */
+    /** Stops the idle sweep and closes all idle connections. */
     public void close() {
-        retirement.cancel(false);
+        idleSweep.cancel(false);
         pools.values().forEach(Pool::closeIdle);
     }
 
-    /** Makes room for a connection where it is needed; false if every one is in use. */
+    /** Closes the connection that has been idle longest; false if every connection is in use. */
     private boolean closeLongestIdle() {
-        Connection longest = null;
+        Connection longestIdle = null;
         for (Pool pool : pools.values()) {
             Connection first = pool.idle.peekFirst();
-            if (first != null && (longest == null || first.idleSince < longest.idleSince)) {
-                longest = first;
+            if (first != null && (longestIdle == null || first.idleSince < longestIdle.idleSince)) {
+                longestIdle = first;
             }
         }
-        if (longest != null) {
-            longest.close();
+        if (longestIdle != null) {
+            longestIdle.close();
         }
-        return longest != null;
+        return longestIdle != null;
     }
 
-    private void retire() {
+    private void closeExpiredIdle() {
         long now = System.nanoTime();
         for (Pool pool : pools.values()) {
-            while (!pool.idle.isEmpty() && now - pool.idle.peekFirst().idleSince > keepIdle) {
+            while (!pool.idle.isEmpty() && now - pool.idle.peekFirst().idleSince > idleTimeoutNanos) {
                 pool.idle.pollFirst().close();
             }
         }
     }
 
-    /** One upstream's connections; the least lately used idle one comes first. */
+    /** One upstream's connections; the least recently used idle connection comes first. */
     private final class Pool {
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-        private final Set<Sending> unwritten = new LinkedHashSet<>();
+        private final Set<Http1Attempt> unwritten = new LinkedHashSet<>();
         private InetSocketAddress address;
         private long startedMs;
         private boolean ready;
-        /** How often another process has taken the place of the one before. */
-        private int renewals;
+        /** Counts restarts, address changes and removals; connections of an earlier generation are not reused. */
+        private int generation;
 
         /**
-         * The one used last that has settled. Not one that is beyond its time: where the loop stood still the
-         * upstream closes it before the sweep does, and what is written to it counts as perhaps run.
+         * The most recently used idle connection that has settled, or null. One beyond its idle timeout is not
+         * taken: after a stall of the loop the upstream may close it before the sweep does, and a request
+         * written to it would count as one that may have run.
          */
-        Connection take(long now) {
-            long settling = strayAt != 0 && now - strayAt < WARY ? SETTLING : 0;
+        Connection takeIdle(long now) {
+            long settleNanos = lastUnsolicitedAt != 0 && now - lastUnsolicitedAt < UNSOLICITED_DATA_WINDOW_NANOS
+                    ? SETTLE_NANOS
+                    : 0;
             for (Iterator<Connection> each = idle.descendingIterator(); each.hasNext(); ) {
                 Connection next = each.next();
-                if (now - next.idleSince >= keepIdle) {
+                if (now - next.idleSince >= idleTimeoutNanos) {
                     return null;
                 }
-                if (now - next.idleSince < settling) {
+                if (now - next.idleSince < settleNanos) {
                     continue;
                 }
                 each.remove();
-                if (!next.decoder.holds()) {
+                if (!next.decoder.hasPartialResponse()) {
                     return next;
                 }
-                // More has come there than was asked for.
+                // Unsolicited data was received on it.
                 next.close();
             }
             return null;
         }
 
-        /** Where no more connections may be made: the one that has settled longest, or null. */
+        /** For use at the connection limit: the longest idle connection, settled or not, or null. */
         Connection takeUnsettled() {
             Connection first = idle.pollFirst();
-            while (first != null && first.decoder.holds()) {
+            while (first != null && first.decoder.hasPartialResponse()) {
                 first.close();
                 first = idle.pollFirst();
             }
             return first;
         }
 
-        /** Nothing not yet written goes there any more. */
-        void shut() {
+        /** Marks the upstream as not ready; nothing that is not yet written goes there any more. */
+        void markNotReady() {
             ready = false;
-            renew();
+            startGeneration();
         }
 
-        /** Nothing more goes to who was there until now. */
-        void renew() {
-            renewals++;
+        /** Starts a new generation: nothing more goes to the process that was there until now. */
+        void startGeneration() {
+            generation++;
             closeIdle();
-            for (Sending attempt : List.copyOf(unwritten)) {
+            for (Http1Attempt attempt : List.copyOf(unwritten)) {
                 attempt.end(Outcome.CONNECT_FAILED);
             }
         }
@@ -280,34 +286,37 @@
         }
     }
 
-    /** One sending of a request. Until its last byte is written it has never run; after that it may have. */
-    private final class Sending implements Attempt {
+    /** One attempt. Until its last byte is written it cannot have run; after that it may have. */
+    private final class Http1Attempt implements Attempt {
         private final Pool pool;
         private final FullHttpRequest request;
         private final Listener listener;
-        /** By {@link System#nanoTime}: from then on nobody waits for its answer. */
-        private final long until;
+        /** By {@link System#nanoTime}: from then on its response is not awaited any more. */
+        private final long deadlineAt;
 
         private Connection connection;
         private Future<?> timer;
         private boolean written;
-        private boolean over;
+        private boolean ended;
 
-        Sending(Pool pool, FullHttpRequest request, Listener listener, long until) {
+        Http1Attempt(Pool pool, FullHttpRequest request, Listener listener, long deadlineAt) {
             this.pool = pool;
             this.request = request;
             this.listener = listener;
-            this.until = until;
+            this.deadlineAt = deadlineAt;
         }
 
-        /** Danger: told what was left when it was ordered, an upstream works on after nobody waits. */
-        private void tellTimeLeft() {
-            if (request.headers().contains(DEADLINE)) {
-                request.headers().set(DEADLINE, Math.max(1, (until - System.nanoTime()) / 1_000_000));
+        /**
+         * Sets the time left at the write. With the time left when the attempt was ordered, an upstream would
+         * keep working after the client's timeout.
+         */
+        private void setTimeLeft() {
+            if (request.headers().contains(DEADLINE_HEADER)) {
+                request.headers().set(DEADLINE_HEADER, Math.max(1, (deadlineAt - System.nanoTime()) / 1_000_000));
             }
         }
 
-        /** Closes its connection as well. */
+        /** Also closes the connection. */
         @Override
         public void cancel() {
             end(Outcome.CANCELLED);
@@ -320,135 +329,137 @@
             }
         }
 
-        private void late() {
+        private void timeOut() {
             end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
         }
 
-        private void broken() {
+        private void connectionLost() {
             end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
         }
 
-        /** Ends it without an answer, unless it has ended before; its connection is of no further use. */
+        /** Ends the attempt without a response, unless it has ended before, and closes its connection. */
         private void end(Outcome outcome) {
-            if (!over) {
-                // First: closing one that is coming up tells its end at once, as if none had come.
-                over = true;
+            if (!ended) {
+                // Set first: closing a connection that is being established reports a failed connect at once.
+                ended = true;
                 if (connection != null) {
                     connection.close();
                 }
-                end(outcome, null, LoadReports.NONE);
+                complete(outcome, null, LoadReports.NONE);
             }
         }
 
-        private void end(Outcome outcome, Answer answer, float[] load) {
-            over = true;
+        private void complete(Outcome outcome, Answer response, float[] load) {
+            ended = true;
             timer.cancel(false);
             pool.unwritten.remove(this);
-            listener.ended(outcome, answer, load);
+            listener.ended(outcome, response, load);
         }
     }
 
     /**
-     * Reads answers. What can't be one is told at its first bytes: left to itself the decoder skips control
-     * characters and waits for the end of a line that may never come.
+     * Decodes responses. Input that is not a response fails at its first bytes: the default decoder skips
+     * control characters and waits for the end of a line that may never arrive.
      */
     private static final class Decoder extends HttpResponseDecoder {
-        private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
-        private boolean begun;
+        private static final byte[] STATUS_LINE_START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+        private boolean inResponse;
 
-        /** Headers are looked at later: a load report may hold anything and spoils only itself. */
+        /** Header values are not validated here: an invalid load report must not fail the response. */
         Decoder() {
             super(new HttpDecoderConfig().setValidateHeaders(false));
         }
 
-        /** Whether something has come that is no whole answer yet: also lines that have been read already. */
-        boolean holds() {
-            return begun || actualReadableBytes() > 0;
+        /** Whether part of a response was received, including lines that are already decoded. */
+        boolean hasPartialResponse() {
+            return inResponse || actualReadableBytes() > 0;
         }
 
         @Override
         protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-            if (!begun) {
-                int known = Math.min(START.length, in.readableBytes());
-                for (int i = 0; i < known; i++) {
-                    if (in.getByte(in.readerIndex() + i) != START[i]) {
-                        throw new CorruptedFrameException("no answer");
+            if (!inResponse) {
+                int available = Math.min(STATUS_LINE_START.length, in.readableBytes());
+                for (int i = 0; i < available; i++) {
+                    if (in.getByte(in.readerIndex() + i) != STATUS_LINE_START[i]) {
+                        throw new CorruptedFrameException("not an HTTP/1 response");
                     }
                 }
-                if (known < START.length) {
+                if (available < STATUS_LINE_START.length) {
                     return;
                 }
-                begun = true;
+                inResponse = true;
             }
             super.decode(context, in, out);
             if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
-                begun = false;
+                inResponse = false;
             }
         }
 
-        /** In an answer the decoder takes a line of words without a colon for a header with no value. */
+        /** In a response the default decoder accepts a line without a colon as a header with no value. */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (start + length >= line.length || line[start + length] != ':') {
-                throw new CorruptedFrameException("no colon");
+                throw new CorruptedFrameException("header line without a colon");
             }
             return super.splitHeaderName(line, start, length);
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new CorruptedFrameException("two lengths");
+            throw new CorruptedFrameException("both Transfer-Encoding and Content-Length");
         }
     }
 
     /**
-     * One connection, one request at a time. An answer counts once all that came with it has been read: only
-     * then is it known whether more has come than was asked for, and whether the next request may follow.
+     * One connection, which carries one request at a time. A response is delivered once everything received
+     * with it has been read: only then is it known whether unsolicited data followed it and whether the
+     * connection can be reused.
      */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Pool pool;
         private final Decoder decoder = new Decoder();
-        private final int renewals;
+        private final int generation;
         private Channel channel;
-        private Sending current;
+        private Http1Attempt current;
         private long idleSince;
         private HttpResponse head;
         private HttpHeaders headers;
         private ByteArrayOutputStream body;
-        private int interim;
-        private boolean whole;
-        private boolean soiled;
+        private int interimResponses;
+        private boolean complete;
+        private boolean unsolicitedData;
 
         Connection(Pool pool) {
             this.pool = pool;
-            this.renewals = pool.renewals;
+            this.generation = pool.generation;
         }
 
-        void open(Sending first) {
+        void open(Http1Attempt first) {
             current = first;
             first.connection = this;
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel made) {
-                            channel = made;
-                            connections++;
-                            made.closeFuture().addListener(closed -> connections--);
-                            made.pipeline().addLast(new HttpRequestEncoder(), decoder, Connection.this);
+                        protected void initChannel(Channel created) {
+                            channel = created;
+                            openConnections++;
+                            created.closeFuture().addListener(closed -> openConnections--);
+                            created.pipeline().addLast(new HttpRequestEncoder(), decoder, Connection.this);
                         }
                     })
                     .connect(pool.address)
                     .addListener(done -> {
                         if (channel == null) {
-                            // No socket could be made, which is no fault of the upstream's; told elsewhere.
+                            // No socket could be created, which is not the upstream's fault. The outcome
+                            // is reported from a separate task.
                             loop.execute(() -> first.end(Outcome.NEVER_SENT));
                         } else if (!done.isSuccess()) {
-                            first.broken();
-                        } else if (first.over) {
+                            first.connectionLost();
+                        } else if (first.ended) {
                             close();
                         } else {
                             write(first);
@@ -456,21 +467,21 @@
                     });
         }
 
-        void write(Sending attempt) {
+        void write(Http1Attempt attempt) {
             current = attempt;
             attempt.connection = this;
-            interim = 0;
+            interimResponses = 0;
             if (!attempt.listener.wanted()) {
                 attempt.end(Outcome.NEVER_SENT);
                 return;
             }
-            attempt.tellTimeLeft();
+            attempt.setTimeLeft();
             channel.writeAndFlush(attempt.request).addListener(done -> {
                 if (done.isSuccess()) {
                     attempt.written = true;
                     pool.unwritten.remove(attempt);
                 } else {
-                    attempt.broken();
+                    attempt.connectionLost();
                 }
             });
         }
@@ -485,46 +496,47 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
             if (current == null
-                    || current.over
-                    || whole
+                    || current.ended
+                    || complete
                     || message.decoderResult().isFailure()) {
-                spoilt();
+                handleInvalidInput();
                 return;
             }
-            if (message instanceof HttpResponse response && !begin(response)) {
-                spoilt();
+            if (message instanceof HttpResponse response && !acceptHead(response)) {
+                handleInvalidInput();
                 return;
             }
             if (message instanceof HttpContent content && head != null) {
                 ByteBuf bytes = content.content();
-                if (body.size() + bytes.readableBytes() > LARGEST_ANSWER) {
-                    spoilt();
+                if (body.size() + bytes.readableBytes() > MAX_RESPONSE_BYTES) {
+                    handleInvalidInput();
                     return;
                 }
                 body.writeBytes(ByteBufUtil.getBytes(bytes));
-                whole = message instanceof LastHttpContent;
+                complete = message instanceof LastHttpContent;
             }
         }
 
         /**
-         * Looks at an answer's head; false if it spoils the answer. One that says nowhere where it ends goes
-         * on until the connection does, and a cut would pass as its end.
+         * Accepts a response's head, or returns false if it makes the response invalid. A response without a
+         * length would end at the connection's end, where a truncated one looks complete.
          */
-        private boolean begin(HttpResponse response) {
+        private boolean acceptHead(HttpResponse response) {
             int code = response.status().code();
             if (code / 100 == 1) {
-                return code != 101 && ++interim <= MOST_INTERIM;
+                return code != 101 && ++interimResponses <= MAX_INTERIM_RESPONSES;
             }
-            HttpHeaders given = response.headers();
-            boolean bounded = given.contains(HttpHeaderNames.TRANSFER_ENCODING)
+            HttpHeaders receivedHeaders = response.headers();
+            boolean hasLength = receivedHeaders.contains(HttpHeaderNames.TRANSFER_ENCODING)
                     ? Headers.onlyChunked(response)
                     : HttpUtil.getContentLength(response, -1L) >= 0;
-            if (!bounded && code != 204 && code != 304 || HttpUtil.getContentLength(response, 0L) > LARGEST_ANSWER) {
+            if (!hasLength && code != 204 && code != 304
+                    || HttpUtil.getContentLength(response, 0L) > MAX_RESPONSE_BYTES) {
                 return false;
             }
             try {
                 headers = new DefaultHttpHeaders();
-                Headers.copyEndToEnd(given, headers);
+                Headers.copyEndToEnd(receivedHeaders, headers);
             } catch (IllegalArgumentException e) {
                 return false;
             }
@@ -535,80 +547,80 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (!whole) {
+            if (!complete) {
                 return;
             }
-            Sending attempt = current;
+            Http1Attempt attempt = current;
             HttpResponse response = head;
-            Outcome outcome = attempt.written || response.status().code() != 200 ? outcome(response) : Outcome.ERROR;
-            ByteArrayOutputStream came = body;
-            float[] load = reports.read(
+            Outcome outcome = attempt.written || response.status().code() != 200 ? outcomeOf(response) : Outcome.ERROR;
+            ByteArrayOutputStream completeBody = body;
+            float[] load = loadReports.read(
                     response.headers().get(LoadReports.HEADER),
                     attempt.request.uri(),
-                    () -> came.toString(StandardCharsets.UTF_8));
-            Answer answer = outcome == Outcome.OK ? new Answer(headers, body.toByteArray()) : null;
-            strayAt = decoder.holds() ? System.nanoTime() : strayAt;
+                    () -> completeBody.toString(StandardCharsets.UTF_8));
+            Answer upstreamResponse = outcome == Outcome.OK ? new Answer(headers, body.toByteArray()) : null;
+            lastUnsolicitedAt = decoder.hasPartialResponse() ? System.nanoTime() : lastUnsolicitedAt;
             boolean reusable = HttpUtil.isKeepAlive(response)
                     && attempt.written
-                    && renewals == pool.renewals
-                    && !soiled
-                    && !decoder.holds()
+                    && generation == pool.generation
+                    && !unsolicitedData
+                    && !decoder.hasPartialResponse()
                     && channel.isActive();
             current = null;
             head = null;
             headers = null;
             body = null;
-            whole = false;
+            complete = false;
             if (reusable) {
                 idleSince = System.nanoTime();
                 pool.idle.addLast(this);
             } else {
                 close();
             }
-            attempt.end(outcome, answer, load);
+            attempt.complete(outcome, upstreamResponse, load);
         }
 
-        /** Something came that is no answer or not asked for. What is whole already stays good. */
-        private void spoilt() {
-            if (whole || current == null || current.over) {
-                strayAt = System.nanoTime();
+        /** Handles invalid or unsolicited input. A response that is already complete stays valid. */
+        private void handleInvalidInput() {
+            if (complete || current == null || current.ended) {
+                lastUnsolicitedAt = System.nanoTime();
             }
-            if (whole) {
-                soiled = true;
+            if (complete) {
+                unsolicitedData = true;
             } else if (current != null) {
                 current.end(Outcome.ERROR);
             }
-            if (!whole) {
+            if (!complete) {
                 close();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            lost();
+            handleDisconnect();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof DecoderException) {
-                spoilt();
+                handleInvalidInput();
             } else {
                 if (!(cause instanceof IOException)) {
                     System.err.println("upstream " + pool.address + ": " + cause);
                 }
-                lost();
+                handleDisconnect();
             }
         }
 
-        private void lost() {
+        private void handleDisconnect() {
             close();
             if (current != null) {
-                current.broken();
+                current.connectionLost();
             }
         }
     }
 
-    private static Outcome outcome(HttpResponse response) {
+    private static Outcome outcomeOf(HttpResponse response) {
         return Evidence.ofAnswer(
                 response.status().code(), "1".equals(response.headers().get(Evidence.DECLINED)));
     }
--- a/src/test/java/pondridge/http1/ConnectionTableTest.java
+++ b/src/test/java/pondridge/http1/ConnectionTableTest.java
@@ -17,9 +17,9 @@
 class ConnectionTableTest {
     private static final long SECOND = 1_000_000_000L;
 
-    /** Random events against a plain list that is walked for each question. */
+    /** Compares the table after random events with a linear scan of a plain list. */
     @Test
-    void agreesWithAWalkOverAllConnections() {
+    void agreesWithALinearScanOfAllConnections() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             ConnectionTable<Integer> table = new ConnectionTable<>();
@@ -47,13 +47,13 @@
 
     private static void check(
             ConnectionTable<Integer> table, List<Entry<Integer>> all, long now, boolean draining, String where) {
-        Entry<Integer> least = all.stream()
+        Entry<Integer> candidate = all.stream()
                 .filter(entry -> rank(entry, now) < 5)
                 .min(Comparator.<Entry<Integer>>comparingInt(entry -> rank(entry, now))
                         .thenComparingLong(Entry::since)
                         .thenComparingInt(entry -> entry.connection))
                 .orElse(null);
-        assertSame(least, table.leastMissed(now), where);
+        assertSame(candidate, table.evictionCandidate(now), where);
         Set<Integer> expired = all.stream()
                 .filter(entry -> now - entry.since() > limit(entry, draining))
                 .map(entry -> entry.connection)
@@ -88,10 +88,10 @@
     }
 
     @Test
-    void nothingMakesRoomWhereAllWaitForAResponse() {
+    void noCandidateIfAllConnectionsAwaitAResponse() {
         ConnectionTable<String> table = new ConnectionTable<>();
         table.enter(table.add("a", 0), State.ASKED, 1);
         table.enter(table.add("b", 0), State.ANSWERED, 1);
-        assertNull(table.leastMissed(SECOND));
+        assertNull(table.evictionCandidate(SECOND));
     }
 }
--- a/src/test/java/pondridge/http1/LateConnection.java
+++ b/src/test/java/pondridge/http1/LateConnection.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listener whose queue is full: its machine is there, but no connection comes up until {@link #accept}. */
+/** A listener with a full accept queue: no connection to it is established until {@link #accept}. */
 public final class LateConnection implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> fillers = new ArrayList<>();
@@ -31,16 +31,16 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** Makes room, and returns the connection that has waited for it. */
+    /** Drains the accept queue, and returns the connection that was waiting for a slot in it. */
     public Socket accept() throws IOException {
         for (Socket filler : fillers) {
             if (filler.isConnected()) {
                 server.accept().close();
             }
         }
-        Socket late = server.accept();
-        late.setSoTimeout((int) (Stub.LIMIT_S * 1000));
-        return late;
+        Socket delayed = server.accept();
+        delayed.setSoTimeout((int) (Stub.LIMIT_S * 1000));
+        return delayed;
     }
 
     @Override
--- a/src/test/java/pondridge/http1/Stub.java
+++ b/src/test/java/pondridge/http1/Stub.java
@@ -17,22 +17,22 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A peer on a port that the system chose: a script plays each request on each connection. */
+/** An HTTP/1.1 server on an ephemeral port; a script handles each request on each connection. */
 public final class Stub implements AutoCloseable {
-    /** Long enough for a crowded machine; a test that passes never waits so long. */
+    /** Long enough for a loaded machine; a passing test never waits this long. */
     public static final long LIMIT_S = 30;
 
-    /** What a stub does with one request; false ends the connection. */
+    /** Handles one request; returns false to close the connection. */
     public interface Script {
         boolean play(Socket socket, String head) throws IOException;
     }
 
     public final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
     public final BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-    /** One entry each time that the other side has ended a connection. */
+    /** One entry for each connection that the other side has closed. */
     public final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
 
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
     private final Script script;
 
@@ -46,7 +46,7 @@
         thread(this::accept);
     }
 
-    /** An upstream that answers each request with 200 and this body. */
+    /** A server that responds to each request with 200 and this body. */
     public static Stub serving(String body) {
         return new Stub((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
     }
@@ -55,10 +55,10 @@
         return reply(socket, status, headers, body, body.length());
     }
 
-    /** A reply whose body may be longer or shorter than it says. */
-    public static boolean reply(Socket socket, String status, String headers, String body, int said)
+    /** Writes a response whose body may be longer or shorter than its Content-Length. */
+    public static boolean reply(Socket socket, String status, String headers, String body, int contentLength)
             throws IOException {
-        write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + said + "\r\n\r\n" + body);
+        write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + contentLength + "\r\n\r\n" + body);
         return true;
     }
 
@@ -67,7 +67,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Ends a connection with a reset instead of an orderly close. */
+    /** Closes a connection with a reset instead of an orderly close. */
     public static boolean reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         return false;
@@ -82,12 +82,12 @@
     public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(LIMIT_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came within " + LIMIT_S + " s");
+            throw new AssertionError("no entry received within " + LIMIT_S + " s");
         }
         return next;
     }
 
-    /** Waits for a latch, in a script or on the loop; false if it did not open in time. */
+    /** Waits for a latch, in a script or on the event loop; returns false on timeout. */
     public static boolean await(CountDownLatch latch) {
         try {
             return latch.await(LIMIT_S, TimeUnit.SECONDS);
@@ -109,11 +109,11 @@
         try {
             while (true) {
                 Socket socket = server.accept();
-                open.add(socket);
+                sockets.add(socket);
                 thread(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the stub's end.
+            // The server socket was closed.
         }
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Reads up to and with the blank line; empty at the connection's end. */
+    /** Reads up to and including the blank line; empty at the end of the connection. */
     public static String head(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0; next = in.read()) {
@@ -163,10 +163,10 @@
         die();
     }
 
-    /** Ends as a process does: connections break, new ones are refused. */
+    /** Ends as a killed process does: connections are closed, new ones are refused. */
     public void die() throws IOException {
         server.close();
-        for (Socket socket : open) {
+        for (Socket socket : sockets) {
             socket.close();
         }
     }
--- a/src/test/java/pondridge/http1/UpstreamsTest.java
+++ b/src/test/java/pondridge/http1/UpstreamsTest.java
@@ -31,9 +31,9 @@
 import pondridge.core.Transport;
 import pondridge.core.Transport.Listener;
 
-/** Attempts and probes on real connections, and what they end as. */
+/** Tests the outcomes of attempts and probes on real connections. */
 class UpstreamsTest {
-    private static final long LONG = 60_000_000_000L;
+    private static final long LONG_TIMEOUT_NANOS = 60_000_000_000L;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
@@ -44,71 +44,74 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private Upstreams upstreams(InetSocketAddress address, long connectTimeout, int most) throws Exception {
+    private Upstreams upstreams(InetSocketAddress address, long connectTimeoutNanos, int maxConnections)
+            throws Exception {
         Options options = new Options(
-                "caps.connectTimeout=" + connectTimeout + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
+                "caps.connectTimeout=" + connectTimeoutNanos + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
-                    Upstreams made = new Upstreams(loop, options, most);
-                    made.listed(1, address, 0, true);
-                    return made;
+                    Upstreams created = new Upstreams(loop, options, maxConnections);
+                    created.listed(1, address, 0, true);
+                    return created;
                 })
                 .get();
     }
 
     private void send(Upstreams upstreams) {
-        loop.execute(() -> upstreams.send(1, get("/api/x"), LONG, this::ended));
+        loop.execute(() -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended));
     }
 
-    private void ended(Outcome outcome, Answer answer, float[] load) {
+    private void ended(Outcome outcome, Answer response, float[] load) {
         reports.add(load);
         outcomes.add(outcome);
     }
 
-    /** Once a drain is told, a request that waits for its connection must not go there any more. */
+    /** Once a server is draining, a request that waits for its connection must not go there any more. */
     @Test
-    void drainEndsTheWaitForAConnection() throws Exception {
+    void drainingFailsPendingConnects() throws Exception {
         try (LateConnection full = new LateConnection()) {
-            Upstreams upstreams = upstreams(full.address(), LONG, 10);
+            Upstreams upstreams = upstreams(full.address(), LONG_TIMEOUT_NANOS, 10);
             send(upstreams);
             loop.execute(() -> upstreams.listed(1, full.address(), 0, false));
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
             send(upstreams);
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes), "nor does a later one");
+            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes), "a later attempt fails as well");
         }
     }
 
-    /** A machine that is cut off says nothing: the connect time-out, not the request's, ends the wait. */
+    /** An unreachable machine sends no refusal: the connect timeout must end the wait, not the request's. */
     @Test
-    void silentConnectFailsAtItsOwnTimeout() throws Exception {
+    void connectFailsAtTheConnectTimeout() throws Exception {
         try (LateConnection full = new LateConnection()) {
             send(upstreams(full.address(), 100_000_000, 10));
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
         }
     }
 
-    /** What an upstream is told to be left is what is left when it is written, however late that is. */
+    /** The deadline header must hold the time left at the write, however late the connection is established. */
     @Test
-    void theTimeToldIsWhatIsLeftAtTheWriting() throws Exception {
+    void deadlineHeaderHoldsTheTimeLeftAtTheWrite() throws Exception {
         try (LateConnection late = new LateConnection()) {
-            Upstreams upstreams = upstreams(late.address(), LONG, 10);
-            loop.submit(() -> upstreams.send(1, get("/api/x"), LONG, this::ended))
+            Upstreams upstreams = upstreams(late.address(), LONG_TIMEOUT_NANOS, 10);
+            loop.submit(() -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended))
                     .sync();
-            long ordered = System.nanoTime();
+            long sentAt = System.nanoTime();
             loop.schedule(() -> {}, 300, TimeUnit.MILLISECONDS).sync();
-            long waited = System.nanoTime() - ordered;
-            try (Socket came = late.accept()) {
-                String told = Stub.header(Stub.head(came.getInputStream()), "Req-Deadline-Ms");
-                assertTrue(Long.parseLong(told) * 1_000_000 <= LONG - waited, "told " + told + " ms");
+            long waited = System.nanoTime() - sentAt;
+            try (Socket accepted = late.accept()) {
+                String deadline = Stub.header(Stub.head(accepted.getInputStream()), "Req-Deadline-Ms");
+                assertTrue(
+                        Long.parseLong(deadline) * 1_000_000 <= LONG_TIMEOUT_NANOS - waited,
+                        "header holds " + deadline + " ms");
             }
         }
     }
 
-    /** Nothing of a request that has ended is written, on a connection that comes up late or is idle. */
+    /** Nothing of an unwanted request is written, whether its connection is established late or was idle. */
     @Test
-    void whatIsNoLongerWantedIsNotWritten() throws Exception {
+    void unwantedRequestIsNotWritten() throws Exception {
         Listener unwanted = new Listener() {
             @Override
-            public void ended(Outcome outcome, Answer answer, float[] load) {
+            public void ended(Outcome outcome, Answer response, float[] load) {
                 outcomes.add(outcome);
             }
 
@@ -119,16 +122,16 @@
         };
         try (LateConnection late = new LateConnection();
                 Stub upstream = Stub.serving("x")) {
-            Upstreams upstreams = upstreams(late.address(), LONG, 10);
-            loop.execute(() -> upstreams.send(1, get("/api/x"), LONG, unwanted));
-            try (Socket came = late.accept()) {
-                assertEquals(-1, came.getInputStream().read(), "it ends with nothing written to it");
+            Upstreams upstreams = upstreams(late.address(), LONG_TIMEOUT_NANOS, 10);
+            loop.execute(() -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, unwanted));
+            try (Socket accepted = late.accept()) {
+                assertEquals(-1, accepted.getInputStream().read(), "closed with nothing written");
             }
             assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
             loop.execute(() -> upstreams.listed(1, upstream.address(), 0, true));
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
-            loop.execute(() -> upstreams.send(1, get("/api/never"), LONG, unwanted));
+            loop.execute(() -> upstreams.send(1, get("/api/never"), LONG_TIMEOUT_NANOS, unwanted));
             assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
@@ -136,51 +139,54 @@
         }
     }
 
-    /** A request that has ended ends its attempt at once while that waits to be written, and only then. */
+    /** Withdrawing an attempt ends it at once if it is not yet written; a written one continues. */
     @Test
-    void withdrawingEndsWhatIsNotYetWritten() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void withdrawEndsAnUnwrittenAttempt() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         try (LateConnection late = new LateConnection();
                 Stub held = new Stub((socket, head) -> {
-                    return Stub.await(go) && Stub.reply(socket, "200 OK", "", "x");
+                    return Stub.await(release) && Stub.reply(socket, "200 OK", "", "x");
                 })) {
-            Upstreams upstreams = upstreams(late.address(), LONG, 10);
-            loop.execute(
-                    () -> upstreams.send(1, get("/api/x"), LONG, this::ended).withdraw());
+            Upstreams upstreams = upstreams(late.address(), LONG_TIMEOUT_NANOS, 10);
+            loop.execute(() -> upstreams
+                    .send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended)
+                    .withdraw());
             assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
-            Transport.Attempt coming = loop.submit(() -> upstreams.send(1, get("/api/x"), LONG, this::ended))
+            Transport.Attempt connecting = loop.submit(
+                            () -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended))
                     .get();
-            loop.execute(coming::cancel);
-            assertEquals(Outcome.CANCELLED, Stub.next(outcomes), "nothing against the upstream");
+            loop.execute(connecting::cancel);
+            assertEquals(Outcome.CANCELLED, Stub.next(outcomes), "not an error of the upstream");
             loop.execute(() -> upstreams.listed(1, held.address(), 0, true));
-            Transport.Attempt out = loop.submit(() -> upstreams.send(1, get("/api/y"), LONG, this::ended))
+            Transport.Attempt written = loop.submit(
+                            () -> upstreams.send(1, get("/api/y"), LONG_TIMEOUT_NANOS, this::ended))
                     .get();
             Stub.next(held.heads);
-            loop.submit(out::withdraw).sync();
-            go.countDown();
-            assertEquals(Outcome.OK, Stub.next(outcomes), "what has begun goes on");
+            loop.submit(written::withdraw).sync();
+            release.countDown();
+            assertEquals(Outcome.OK, Stub.next(outcomes), "a written attempt continues");
         }
     }
 
-    /** A machine that vanished and came back under its address has not ended the connections to it. */
+    /** A machine that vanished and came back under the same address has not closed its old connections. */
     @Test
-    void connectionsToTheProcessBeforeARestartAreClosed() throws Exception {
+    void idleConnectionsAreClosedAfterARestart() throws Exception {
         try (Stub upstream = Stub.serving("x")) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
+            Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
             loop.execute(() -> upstreams.listed(1, upstream.address(), 1_700_000_000_000L, true));
             Stub.next(upstream.ended);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes), "on a new one");
+            assertEquals(Outcome.OK, Stub.next(outcomes), "on a new connection");
         }
     }
 
-    /** Descriptors are few: over the limit an attempt is not sent, instead of the process running out. */
+    /** At the connection limit an attempt is not sent; otherwise the process would run out of descriptors. */
     @Test
-    void connectionsAreBounded() throws Exception {
+    void connectionsAreLimited() throws Exception {
         try (Stub silent = new Stub((socket, head) -> true)) {
-            Upstreams upstreams = upstreams(silent.address(), LONG, 2);
+            Upstreams upstreams = upstreams(silent.address(), LONG_TIMEOUT_NANOS, 2);
             send(upstreams);
             send(upstreams);
             Stub.next(silent.heads);
@@ -190,18 +196,19 @@
         }
     }
 
-    /** Reports come in the settings' order, from answers and probes; bad ones are none, never a crash. */
+    /** Load reports of responses and probes keep the settings' order; invalid ones are dropped without failure. */
     @Test
-    void loadReportsAreRead() throws Exception {
-        List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
+    void loadReportsAreParsed() throws Exception {
+        List<String> reportTexts =
+                List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
         try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /metrics/load")
                 ? Stub.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
                 : Stub.reply(socket, "200 OK", "Srv-Load: " + Stub.header(head, "Say") + "\r\n", "x"))) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
-            for (String text : texts) {
+            Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
+            for (String text : reportTexts) {
                 Job request = get("/");
                 request.headers().set("Say", text);
-                loop.execute(() -> upstreams.send(1, request, LONG, this::ended));
+                loop.execute(() -> upstreams.send(1, request, LONG_TIMEOUT_NANOS, this::ended));
                 assertEquals(Outcome.OK, Stub.next(outcomes));
                 assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0], Stub.next(reports));
             }
@@ -210,31 +217,35 @@
         }
     }
 
-    /** An answer beyond what a body may hold must not fill the memory. */
+    /** A response beyond the size limit must fail, since it would exhaust the memory. */
     @Test
-    void overlongAnswerIsAnError() throws Exception {
+    void oversizedResponseIsAnError() throws Exception {
         try (Stub upstream = Stub.serving("x".repeat(1_200_000))) {
-            send(upstreams(upstream.address(), LONG, 10));
+            send(upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10));
             assertEquals(false, Stub.next(outcomes).provesNeverRan());
         }
     }
 
     /**
-     * What comes right behind an answer, unasked for, must never be taken for the next one: not even by a
-     * request that is sent from within the first one's end.
+     * Unsolicited data right after a response must never be taken for the next response, not even for a request
+     * that is sent from within the first one's callback.
      */
     @Test
-    void whatFollowsAnAnswerIsNotTheNextOne() throws Exception {
+    void unsolicitedDataIsNotTheNextResponse() throws Exception {
         String stale = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
         for (String extra : List.of(stale, stale.substring(0, 20), "\u0000\u0007noise", "\r\n")) {
             try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /first")
                     ? Stub.reply(socket, "200 OK", "", "first" + extra, 5)
                     : Stub.reply(socket, "200 OK", "", "second"))) {
-                Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
+                Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
                 BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-                loop.execute(() -> upstreams.send(1, get("/first"), LONG, (outcome, answer, load) -> {
-                    bodies.add(text(answer));
-                    upstreams.send(1, get("/second"), LONG, (later, next, more) -> bodies.add(text(next)));
+                loop.execute(() -> upstreams.send(1, get("/first"), LONG_TIMEOUT_NANOS, (outcome, response, load) -> {
+                    bodies.add(text(response));
+                    upstreams.send(
+                            1,
+                            get("/second"),
+                            LONG_TIMEOUT_NANOS,
+                            (nextOutcome, nextResponse, nextLoad) -> bodies.add(text(nextResponse)));
                 }));
                 assertEquals("first", Stub.next(bodies));
                 assertEquals("second", Stub.next(bodies), extra);
@@ -243,9 +254,9 @@
         }
     }
 
-    /** Where the loop stood still the sweep comes too late: what is beyond its time is not taken even so. */
+    /** After a stall of the event loop the sweep runs late; an expired connection must not be reused even so. */
     @Test
-    void aConnectionBeyondItsTimeIsNotTaken() throws Exception {
+    void expiredIdleConnectionIsNotReused() throws Exception {
         Set<Socket> sockets = ConcurrentHashMap.newKeySet();
         try (Stub upstream = new Stub((socket, head) -> sockets.add(socket) | Stub.reply(socket, "200 OK", "", "x"))) {
             Options options = new Options("caps.connIdle=1000000000");
@@ -255,9 +266,9 @@
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
             loop.execute(() -> {
-                // In one turn of the loop: no sweep can come between.
+                // In one turn of the event loop, so that no sweep runs in between.
                 LockSupport.parkNanos(1_200_000_000);
-                upstreams.send(1, get("/api/x"), LONG, this::ended);
+                upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended);
             });
             assertEquals(Outcome.OK, Stub.next(outcomes));
             assertEquals(2, sockets.size());
@@ -265,62 +276,62 @@
     }
 
     /**
-     * A second answer that is on its way while the next request is written would pass for that one's. Once
-     * such things have been seen, a connection that has just answered carries nothing new for a while.
+     * A second response in transit while the next request is written would be taken for that request's. Once
+     * unsolicited data was received, a connection pauses after each response before it is reused.
      */
     @Test
-    void aSecondAnswerThatCrossesTheNextRequestIsNotItsAnswer() throws Exception {
-        AtomicReference<Socket> second = new AtomicReference<>();
+    void lateSecondResponseIsNotTakenForTheNextRequest() throws Exception {
+        AtomicReference<Socket> secondSocket = new AtomicReference<>();
         try (Stub upstream = new Stub((socket, head) -> {
             if (head.startsWith("GET /first")) {
                 return Stub.reply(socket, "200 OK", "", "firstHTTP/1.1 200 OK\r\n", 5);
             } else if (head.startsWith("GET /second")) {
-                second.set(socket);
+                secondSocket.set(socket);
                 return Stub.reply(socket, "200 OK", "", "second");
             }
-            Stub.reply(second.get(), "200 OK", "", "second");
+            Stub.reply(secondSocket.get(), "200 OK", "", "second");
             return Stub.reply(socket, "200 OK", "", "third");
         })) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
+            Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             send(
                     upstreams,
                     "/first",
-                    body -> send(
+                    first -> send(
                             upstreams,
                             "/second",
-                            next -> send(upstreams, "/third", body3 -> bodies.add(body + next + body3))));
+                            second -> send(upstreams, "/third", third -> bodies.add(first + second + third))));
             assertEquals("firstsecondthird", Stub.next(bodies));
         }
     }
 
     /**
-     * A process that has taken the place of another while that one's answer was on its way: the connection is
-     * to the one before, and what is written to it would count as perhaps run.
+     * A server restarts while a response is in transit. That connection belongs to the earlier process, and a
+     * request written to it would count as one that may have run.
      */
     @Test
-    void aConnectionThatAnswersAfterARestartIsNotUsedAgain() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void connectionToAnEarlierProcessIsNotReused() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         Set<Socket> sockets = ConcurrentHashMap.newKeySet();
         try (Stub upstream = new Stub((socket, head) -> {
             sockets.add(socket);
-            return Stub.await(go) && Stub.reply(socket, "200 OK", "", "x");
+            return Stub.await(release) && Stub.reply(socket, "200 OK", "", "x");
         })) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
+            Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             send(upstreams);
             Stub.next(upstream.heads);
             loop.submit(() -> upstreams.listed(1, upstream.address(), 1_700_000_000_000L, true))
                     .sync();
-            go.countDown();
+            release.countDown();
             assertEquals(Outcome.OK, Stub.next(outcomes));
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
-            assertEquals(2, sockets.size(), "a new connection, to who is there now");
+            assertEquals(2, sockets.size(), "a new connection, to the new process");
         }
     }
 
-    /** Settings may say that idle connections are closed at once: then none is kept, and the loop goes on. */
+    /** With an idle timeout of 0 no idle connection is kept, and the event loop stays responsive. */
     @Test
-    void noIdleTimeKeepsNothing() throws Exception {
+    void zeroIdleTimeoutKeepsNoConnections() throws Exception {
         try (Stub upstream = Stub.serving("x")) {
             Options options = new Options("caps.connIdle=0");
             Upstreams upstreams =
@@ -340,14 +351,14 @@
         loop.execute(() -> upstreams.send(
                 1,
                 get(uri),
-                LONG,
-                (outcome, answer, load) -> then.accept(answer == null ? outcome.toString() : text(answer))));
+                LONG_TIMEOUT_NANOS,
+                (outcome, response, load) -> then.accept(response == null ? outcome.toString() : text(response))));
     }
 
-    /** A spoilt answer may stand on a connection that stays open: it has failed now, not when time is up. */
+    /** An invalid response must fail at once, not at the timeout, although its connection may stay open. */
     @Test
-    void spoiltAnswersFailAtOnceAndEndTheirConnection() throws Exception {
-        for (String spoilt : List.of(
+    void invalidResponsesFailAtOnceAndCloseTheConnection() throws Exception {
+        for (String invalid : List.of(
                 "\u0001\u0002\u0003",
                 "\r\n\r\n",
                 "HTTP/2.x",
@@ -368,54 +379,54 @@
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 100 Go on\r\n\r\n".repeat(100))) {
             try (Stub upstream = new Stub((socket, head) -> {
-                Stub.write(socket, spoilt);
+                Stub.write(socket, invalid);
                 return true;
             })) {
-                send(upstreams(upstream.address(), LONG, 10));
-                assertEquals(Outcome.ERROR, Stub.next(outcomes), spoilt);
+                send(upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10));
+                assertEquals(Outcome.ERROR, Stub.next(outcomes), invalid);
                 Stub.next(upstream.ended);
             }
         }
     }
 
-    /** What a good answer brings besides spoils nothing: interim answers ahead, a report of any bytes. */
+    /** Interim responses and an unreadable load report must not fail a valid response. */
     @Test
-    void interimAnswersAndUnreadableReportsSpoilNothing() throws Exception {
+    void interimResponsesAndInvalidReportsAreTolerated() throws Exception {
         try (Stub upstream = new Stub((socket, head) -> {
             Stub.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
             return Stub.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
         })) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
+            Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             for (int i = 0; i < 3; i++) {
                 send(upstreams);
                 assertEquals(Outcome.OK, Stub.next(outcomes));
                 assertArrayEquals(new float[0], Stub.next(reports));
             }
-            assertEquals(0, upstream.ended.size(), "and the connection is used again");
+            assertEquals(0, upstream.ended.size(), "the connection is reused");
         }
     }
 
-    /** Idle connections to others must not keep a request from its own. */
+    /** Idle connections to other upstreams must not block a request at the connection limit. */
     @Test
-    void idleConnectionsMakeRoom() throws Exception {
+    void idleConnectionIsClosedAtTheLimit() throws Exception {
         try (Stub first = Stub.serving("x");
                 Stub second = Stub.serving("y")) {
-            Upstreams upstreams = upstreams(first.address(), LONG, 1);
+            Upstreams upstreams = upstreams(first.address(), LONG_TIMEOUT_NANOS, 1);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
             loop.execute(() -> {
                 upstreams.listed(2, second.address(), 0, true);
-                upstreams.send(2, get("/api/x"), LONG, this::ended);
+                upstreams.send(2, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended);
             });
             assertEquals(Outcome.OK, Stub.next(outcomes));
         }
     }
 
-    /** Nothing may reach an upstream that is in the list no more, though its address may be another's now. */
+    /** Nothing may be sent to an upstream that is no longer listed; its address may have been reassigned. */
     @Test
-    void goneUpstreamTakesNothing() throws Exception {
+    void removedUpstreamReceivesNothing() throws Exception {
         try (Stub upstream = Stub.serving("x")) {
-            Upstreams upstreams = upstreams(upstream.address(), LONG, 10);
+            Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             loop.execute(() -> upstreams.gone(1));
             send(upstreams);
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
@@ -427,7 +438,7 @@
         return new Job(0, 0, 0, 0, 0, false, HttpMethod.GET, path, new DefaultHttpHeaders(), new byte[0]);
     }
 
-    private static String text(Answer answer) {
-        return answer == null ? "none" : new String(answer.body(), StandardCharsets.ISO_8859_1);
+    private static String text(Answer response) {
+        return response == null ? "none" : new String(response.body(), StandardCharsets.ISO_8859_1);
     }
 }
