--- a/src/main/java/pondridge/core/Engine.java
+++ b/src/main/java/pondridge/core/Engine.java
@@ -253,7 +253,7 @@
          * @param uid the server's name in the endpoint list
          * @param tookNanos from the balancer's order to the outcome
          */
-        void ended(String uid, int requestClass, Outcome outcome, long tookNanos);
+        void attemptEnded(String uid, int requestClass, Outcome outcome, long tookNanos);
     }
 
     /**
@@ -466,7 +466,7 @@
     public void hangup(long id) {
         OpenRequest request = openRequests.get(id);
         if (request != null && !request.closed) {
-            log.clientLeft(id);
+            log.clientDisconnected(id);
             request.close();
             // Kept until the balancer has been notified: a send it orders before that needs an outcome, too.
             dispatch(now -> {
@@ -548,7 +548,7 @@
                 balancer.hangup(now, attempt.requestId);
             }
             if (observer != null && endpoints.name(attempt.upstream) != null) {
-                observer.ended(endpoints.name(attempt.upstream), request.job.requestClass(), outcome, elapsed);
+                observer.attemptEnded(endpoints.name(attempt.upstream), request.job.requestClass(), outcome, elapsed);
             }
             if (outcome == Outcome.OK) {
                 finish(attempt.requestId, request, "served", () -> request.client.served(response));
--- a/src/main/java/pondridge/core/Headers.java
+++ b/src/main/java/pondridge/core/Headers.java
@@ -28,7 +28,7 @@
     private Headers() {}
 
     /** Whether a message's only transfer coding is chunked. Any other leaves its length ambiguous. */
-    public static boolean onlyChunked(HttpMessage message) {
+    public static boolean isChunkedOnly(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.size() == 1
                 && codings.get(0).trim().equalsIgnoreCase("chunked")
--- a/src/main/java/pondridge/core/RequestLog.java
+++ b/src/main/java/pondridge/core/RequestLog.java
@@ -13,11 +13,11 @@
     RequestLog NONE = new RequestLog() {};
 
     /** Environment variable that enables the log if it is 1. */
-    String SWITCH = "BANKFLOW_REQUEST_LOG";
+    String ENVIRONMENT_VARIABLE = "BANKFLOW_REQUEST_LOG";
 
     /** The log that the environment selects. The class that writes it is loaded only if it is enabled. */
     static RequestLog fromEnvironment() {
-        return "1".equals(System.getenv(SWITCH)) ? new StderrRequestLog() : NONE;
+        return "1".equals(System.getenv(ENVIRONMENT_VARIABLE)) ? new StderrRequestLog() : NONE;
     }
 
     /** A complete request was read; {@code number} identifies it within this process. */
@@ -33,7 +33,7 @@
     default void answered(long number, String result) {}
 
     /** The client disconnected before its response. */
-    default void clientLeft(long number) {}
+    default void clientDisconnected(long number) {}
 
     /** A client connection was closed by this process, for the given reason. */
     default void connectionClosed(String client, String reason, String stage) {}
--- a/src/main/java/pondridge/core/StderrRequestLog.java
+++ b/src/main/java/pondridge/core/StderrRequestLog.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void clientLeft(long number) {
+    public void clientDisconnected(long number) {
         writeLine("left #" + number);
     }
 
--- a/src/main/java/pondridge/http1/Frontend.java
+++ b/src/main/java/pondridge/http1/Frontend.java
@@ -582,7 +582,7 @@
     private static void requireUnambiguous(HttpRequest message) {
         HttpHeaders headers = message.headers();
         boolean hasTransferEncoding = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        if (message.protocolVersion().majorVersion() != 1 || hasTransferEncoding && !Headers.onlyChunked(message)) {
+        if (message.protocolVersion().majorVersion() != 1 || hasTransferEncoding && !Headers.isChunkedOnly(message)) {
             throw new IllegalArgumentException("version or transfer coding not supported");
         }
         if (!message.method().equals(HttpMethod.POST)
--- a/src/main/java/pondridge/http1/Upstreams.java
+++ b/src/main/java/pondridge/http1/Upstreams.java
@@ -528,7 +528,7 @@
             }
             HttpHeaders receivedHeaders = response.headers();
             boolean hasLength = receivedHeaders.contains(HttpHeaderNames.TRANSFER_ENCODING)
-                    ? Headers.onlyChunked(response)
+                    ? Headers.isChunkedOnly(response)
                     : HttpUtil.getContentLength(response, -1L) >= 0;
             if (!hasLength && code != 204 && code != 304
                     || HttpUtil.getContentLength(response, 0L) > MAX_RESPONSE_BYTES) {
--- a/src/test/java/pondridge/http1/Stub.java
+++ b/src/test/java/pondridge/http1/Stub.java
@@ -24,7 +24,7 @@
 
     /** Handles one request; returns false to close the connection. */
     public interface Script {
-        boolean play(Socket socket, String head) throws IOException;
+        boolean respond(Socket socket, String head) throws IOException;
     }
 
     public final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
@@ -123,7 +123,7 @@
             for (String head = head(in); !head.isEmpty(); head = head(in)) {
                 bodies.add(new String(in.readNBytes(length(head)), StandardCharsets.ISO_8859_1));
                 heads.add(head);
-                if (!script.play(socket, head)) {
+                if (!script.respond(socket, head)) {
                     return;
                 }
             }
