--- a/src/main/java/pondridge/http1/Frontend.java
+++ b/src/main/java/pondridge/http1/Frontend.java
@@ -91,7 +91,7 @@
 
     private record PipelinedMessage(HttpObject message, long receivedAt) {}
 
-    private final Requests requests;
+    private final Requests requestProcessor;
     private final JobReader jobReader;
     private final int maxConnections;
     private final ConnectionTable<Connection> connections = new ConnectionTable<>();
@@ -105,8 +105,8 @@
     private RequestLog log = RequestLog.NONE;
 
     /** Creates a front end that holds at most {@code maxConnections} client connections at once. */
-    public Frontend(Requests requests, Options options, int maxConnections) {
-        this.requests = requests;
+    public Frontend(Requests requestProcessor, Options options, int maxConnections) {
+        this.requestProcessor = requestProcessor;
         this.jobReader = new JobReader(options);
         this.maxConnections = maxConnections;
     }
@@ -315,7 +315,8 @@
                         reason,
                         entry.state().toString());
             }
-            // channelInactive comes later in the turn; until then this entry would be evicted again and again.
+            // channelInactive is called later in the turn; until then this connection would be chosen again for
+            // every connection that is accepted in between.
             connections.remove(entry);
             channel.close();
         }
@@ -410,7 +411,7 @@
             job = null;
             body = null;
             enterState(State.ASKED);
-            long number = requests.submit(complete, this);
+            long number = requestProcessor.submit(complete, this);
             // The response may have been given within that call.
             if (isIn(State.ASKED)) {
                 submittedId = number;
@@ -540,7 +541,7 @@
             enterState(State.LINGERING);
             discardPipelined();
             if (openRequest != 0) {
-                requests.hangup(openRequest);
+                requestProcessor.hangup(openRequest);
             }
         }
 
--- a/src/main/java/pondridge/http1/Upstreams.java
+++ b/src/main/java/pondridge/http1/Upstreams.java
@@ -57,7 +57,7 @@
  * connection, and ends with one outcome. This class never retries.
  */
 public final class Upstreams implements Transport {
-    /** Bounds the memory for one response. Valid responses reach 350 KB, beyond the protocol's 64 KiB. */
+    /** Bounds the memory for one response. Valid responses have reached 350 KB, above the protocol's 64 KiB. */
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
     /** Interim (1xx) responses accepted before a final one; more fail the attempt. */
     private static final int MAX_INTERIM_RESPONSES = 16;
@@ -106,9 +106,9 @@
     /**
      * Takes over an upstream's entry in the endpoint list. Once it is no longer ready, nothing that is not yet
      * written goes there: attempts waiting for a connection end as {@link Outcome#CONNECT_FAILED}, and idle
-     * connections are closed. The same applies to connections to an earlier process or another address, also
-     * when they are established or carry a response later: a machine that vanished has not closed them, and a
-     * request written to them would count as one that may have run.
+     * connections are closed. The same applies to connections to an earlier process or another address, even if
+     * they are still being established or still await a response: a machine that vanished has not closed them,
+     * and a request written to them would count as one that may have run.
      */
     @Override
     public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
@@ -224,7 +224,7 @@
         private InetSocketAddress address;
         private long startedMs;
         private boolean ready;
-        /** Counts restarts, address changes and removals; connections of an earlier generation are not reused. */
+        /** Grows with each restart, address change or loss of readiness; older connections are not reused. */
         private int generation;
 
         /**
