--- a/src/main/java/pondridge/Alarms.java
+++ b/src/main/java/pondridge/Alarms.java
@@ -3,39 +3,44 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Alarms of the module behind one timer of the host. A queue of times: it decides nothing. */
+/** Multiplexes the balancer's timers onto one timer of the host, in order of time and then of scheduling. */
 final class Alarms {
-    private record Alarm(long at, long serial, LongConsumer what) {}
+    private record Timer(long dueNanos, long sequence, LongConsumer callback) {}
 
-    private final PriorityQueue<Alarm> queue =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
-    private long serials;
-    private long timerAt = Long.MAX_VALUE;
-    private long timerToken;
+    private final PriorityQueue<Timer> queue = new PriorityQueue<>((a, b) ->
+            a.dueNanos != b.dueNanos ? Long.compare(a.dueNanos, b.dueNanos) : Long.compare(a.sequence, b.sequence));
+    private long nextSequence;
+    private long hostTimerNanos = Long.MAX_VALUE;
+    private long hostTimerToken;
     private final Balancer.Actions actions;
 
     Alarms(Balancer.Actions actions) {
         this.actions = actions;
     }
 
-    void set(long at, LongConsumer what) {
-        queue.add(new Alarm(at, serials++, what));
+    /** Calls {@code callback} with the current time once {@code dueNanos} is reached. */
+    void set(long dueNanos, LongConsumer callback) {
+        queue.add(new Timer(dueNanos, nextSequence++, callback));
     }
 
+    /** Sets the host's timer if the earliest timer is due before it. */
     void flush() {
-        if (!queue.isEmpty() && queue.peek().at < timerAt) {
-            timerAt = queue.peek().at;
-            actions.timer(++timerToken, timerAt);
+        if (!queue.isEmpty() && queue.peek().dueNanos < hostTimerNanos) {
+            hostTimerNanos = queue.peek().dueNanos;
+            actions.timer(++hostTimerToken, hostTimerNanos);
         }
     }
 
-    /** Danger: a coarse host clock may ring early; told by its time, the one timer would be lost. */
+    /**
+     * Runs all timers that are due. The host's timer is identified by its token, not by its time: a coarse host
+     * clock may fire it early, and compared by time it would then never be set again.
+     */
     void ring(long now, long token) {
-        if (token == timerToken) {
-            timerAt = Long.MAX_VALUE;
+        if (token == hostTimerToken) {
+            hostTimerNanos = Long.MAX_VALUE;
         }
-        while (!queue.isEmpty() && queue.peek().at <= now) {
-            queue.poll().what.accept(now);
+        while (!queue.isEmpty() && queue.peek().dueNanos <= now) {
+            queue.poll().callback.accept(now);
         }
     }
 }
--- a/src/main/java/pondridge/Balancer.java
+++ b/src/main/java/pondridge/Balancer.java
@@ -3,72 +3,73 @@
 import java.util.List;
 
 /**
- * The decisions of one sidecar's load balancer: what it is told (the methods), what it orders
- * ({@link Actions}) and what it is set to ({@link Settings}). {@link Rules} implements it.
+ * The load-balancing policy of one sidecar. The methods are its input events, {@link Actions} its output and
+ * {@link Settings} its configuration. {@link Rules} implements it.
  *
- * <p><b>What the host owes.</b> One instance belongs to one sidecar and one thread. Every event carries the
- * time in nanoseconds on one clock that never runs back; its zero has no meaning. {@link #start} comes first,
- * then {@link #listChanged} with a {@link ListKind#CACHED} list. Request ids are never used twice. Every
- * {@link Actions#send} is answered by exactly one {@link #outcome}, also after the request has ended, and
- * attempts are numbered 0, 1, 2, ... in the order of their sends. Timers fire at or after their time, never
- * inside the call that set them. A restart of the sidecar is a new instance with a new seed.
+ * <p><b>Obligations of the host.</b> An instance belongs to one sidecar and is used by one thread. Every event
+ * carries the current time in nanoseconds from one monotonic clock with an arbitrary origin. {@link #start} is
+ * called first, then {@link #listChanged} with a {@link ListKind#CACHED} list. Request ids are never reused.
+ * Every {@link Actions#send} is followed by exactly one {@link #outcome}, even if the request has already ended.
+ * The attempts of a request are numbered 0, 1, 2, ... in the order in which they are sent. Timers fire at or
+ * after their time, never inside the call that sets them. A restarted sidecar uses a new instance with a new
+ * seed.
  *
- * <p><b>What the instance owes.</b> Actions are given during an event's call and take effect at that event's
- * time, in order. Each request gets one final answer: the first {@link Outcome#OK} (the host passes it on),
- * {@link Actions#refuse} or {@link Actions#fail}, no later than its deadline plus
- * {@link Limits#answerSlack()}. The same settings, seed and events give the same actions. Events about
- * requests, attempts or upstreams that the instance no longer holds are ignored.
+ * <p><b>Obligations of the instance.</b> Actions are issued during the call of an event and take effect in order,
+ * at the time of that event. Each request gets one final response: the first {@link Outcome#OK}, which the host
+ * forwards to the client, {@link Actions#refuse} or {@link Actions#fail}, no later than its deadline plus
+ * {@link Limits#answerSlack()}. Equal settings, seeds and events give equal actions. Events about requests,
+ * attempts or upstreams that the instance no longer tracks are ignored.
  *
- * <p>Settings that make no sense are rejected with an {@link IllegalArgumentException} naming the setting.
+ * <p>Invalid settings are rejected with an {@link IllegalArgumentException} that names the setting.
  */
 public interface Balancer {
 
     /** How an attempt ended. */
     enum Outcome {
-        /** Served; the first one finishes the request. */
+        /** Successful response; the first one completes the request. */
         OK(false),
-        /** The upstream answered with an error, perhaps after running the request. */
+        /** The upstream returned an error and may have executed the request. */
         ERROR(false),
-        /** Turned away unseen: queue full or draining. */
+        /** Rejected before execution: the queue is full or the upstream is draining. */
         REJECTED(true),
-        /** No answer in time; it may have run or may be running still. */
+        /** No response in time; the request may have been executed or may still be executing. */
         TIMEOUT(false),
-        /** No connection in time: down, unreachable, or its connection table is full. */
+        /** No connection in time: the upstream is down or unreachable, or its connection table is full. */
         CONNECT_FAILED(true),
-        /** The connection broke while the attempt was out. */
+        /** The connection broke while the attempt was in flight. */
         RESET(false),
-        /** Withdrawn by this balancer. */
+        /** Cancelled by this balancer. */
         CANCELLED(false),
-        /** Never sent: the request had ended, or it had no attempt or time left. */
+        /** Never sent: the request had ended, or it had no attempts or time left. */
         NEVER_SENT(true);
 
-        private final boolean neverRan;
+        private final boolean notExecuted;
 
-        Outcome(boolean neverRan) {
-            this.neverRan = neverRan;
+        Outcome(boolean notExecuted) {
+            this.notExecuted = notExecuted;
         }
 
-        /** Whether this outcome proves that the attempt had no effect. */
+        /** Whether this outcome proves that the upstream did not execute the attempt. */
         public boolean provesNeverRan() {
-            return neverRan;
+            return notExecuted;
         }
     }
 
-    /** What a class of request allows after an attempt that may have run. */
+    /** Whether a class of requests may be retried after an attempt that may have been executed. */
     enum Semantics {
         REPEATABLE,
         BY_KEY,
         ONCE
     }
 
-    /** Which upstreams drop a repeat of a keyed request: all, those of one zone, those of one cell. */
+    /** Which upstreams share deduplication by key: all of them, those of one zone, or those of one cell. */
     enum Scope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** State of an upstream in a list. */
+    /** State of an upstream in the endpoint list. */
     enum State {
         GONE,
         READY,
@@ -76,8 +77,8 @@
     }
 
     /**
-     * Kind of a list event: changes only, everything, the last list known before a start, or a failed
-     * call.
+     * Kind of an endpoint list event: changes only, the full list, the list cached before the start, or a
+     * failed call to discovery.
      */
     enum ListKind {
         DELTA,
@@ -86,13 +87,13 @@
         FAILED
     }
 
-    /** Whether the list comes by itself or must be subscribed to. */
+    /** Whether the endpoint list is pushed automatically or requires a subscription. */
     enum Discovery {
         AUTOMATIC,
         SUBSCRIBE
     }
 
-    /** What {@link Upstream#weight()} holds; LIVE changes with the load, SILENT is always 1. */
+    /** Meaning of {@link Upstream#weight()}: LIVE weights change with the load, SILENT ones are always 1. */
     enum Weights {
         SILENT,
         NOMINAL,
@@ -101,14 +102,18 @@
     }
 
     /**
-     * A class of request; times in nanoseconds.
+     * A class of requests; times are in nanoseconds.
      *
-     * @param aim an answer within this time earns the full worth
-     * @param aimStretch the aim grows by this many times the request's own work, up to the deadline
-     * @param deadline the longest a client waits over all its tries
-     * @param lateShare part of the worth earned between aim and deadline
-     * @param keyTtl for BY_KEY: how long repeats are dropped, from the first send that may have run
-     * @param stream the answer streams: {@link Balancer#firstByte} tells of its start
+     * @param aim the latency objective: a response within this time earns the full utility
+     * @param aimStretch multiple of the request's work by which the objective grows, up to the deadline
+     * @param deadline the longest time that a client waits, over all its tries
+     * @param worth the utility of a response within the objective
+     * @param lateShare fraction of the utility earned between the objective and the deadline
+     * @param semantics whether requests may be retried after an attempt that may have been executed
+     * @param scope for BY_KEY: which upstreams share deduplication
+     * @param keyTtl for BY_KEY: how long duplicates are dropped, counted from the first attempt that may have been
+     *     executed
+     * @param stream the response is streamed: {@link Balancer#firstByte} reports its start
      */
     record RequestClass(
             long aim,
@@ -121,7 +126,7 @@
             long keyTtl,
             boolean stream) {
         public RequestClass {
-            require(aim > 0, "class aim");
+            require(aim > 0, "class slo");
             require(deadline >= aim, "class deadline");
             require(worth >= 0 && Double.isFinite(worth), "class worth");
             require(semantics != Semantics.BY_KEY || keyTtl >= 0 && scope != null, "class key scope and ttl");
@@ -129,8 +134,10 @@
     }
 
     /**
-     * A tenant: its part of the service and the rate, over all sidecars, up to which its work has full
-     * worth.
+     * A tenant.
+     *
+     * @param portion its fair share of the service
+     * @param quotaPerSecond the rate, over all sidecars, up to which its work has full utility
      */
     record Tenant(double portion, double quotaPerSecond) {
         public Tenant {
@@ -139,8 +146,12 @@
     }
 
     /**
-     * What the host allows; a disallowed action is never asked for. {@link Rules} makes no use of
-     * peers or parallel tries so far.
+     * Capabilities of the host; an action that it does not support is never issued. {@link Rules} does not use
+     * peer messages or parallel attempts.
+     *
+     * @param tryLimit most attempts of one request
+     * @param maxRetryAfter longest retry delay to give to a client, in nanoseconds
+     * @param connectTimeout connect timeout of the host, in nanoseconds
      */
     record Allowed(
             boolean cancel,
@@ -153,21 +164,36 @@
             long connectTimeout) {
         public Allowed {
             require(tryLimit >= 1, "try limit");
-            require(maxRetryAfter >= 0 && connectTimeout >= 0, "retry-after and connect time-out");
+            require(maxRetryAfter >= 0 && connectTimeout >= 0, "retry-after and connect timeout");
         }
     }
 
-    /** What the host is charged, as a part of all worth: for one probe a first try, for one full message. */
+    /**
+     * Cost of overhead traffic, as a fraction of the total utility.
+     *
+     * @param probe cost of one probe per first try
+     * @param peer cost of one message of full size to a peer
+     */
     record Charges(double probe, double peer) {
         public Charges {
             require(probe >= 0 && peer >= 0, "charges");
         }
 
-        /** Nothing is charged for. */
+        /** Overhead traffic is free of charge. */
         public static final Charges NONE = new Charges(0, 0);
     }
 
-    /** The numbers behind the four rules; times in nanoseconds. */
+    /**
+     * Parameters of the four service rules; times are in nanoseconds.
+     *
+     * @param answerSlack how long after its deadline a request may get its final response
+     * @param askWithin longest interval between two requests for the endpoint list
+     * @param drainGrace how soon new attempts to a draining upstream must stop
+     * @param coldShare fraction of its full capacity that a server has right after its start
+     * @param rampTime time over which a cold server's capacity grows evenly to its full value
+     * @param overloadFactor multiple of its capacity at which a cold server becomes overloaded
+     * @param tipAfter length of the window over which overload of a cold server is measured
+     */
     record Limits(
             long answerSlack,
             long askWithin,
@@ -185,14 +211,15 @@
     }
 
     /**
-     * What an instance is set to. {@link Rules} makes no use of rank, zone, weights,
-     * the unit of worth or the worth over share; hosts fill them in for modules that do.
+     * Settings of an instance. {@link Rules} does not use the rank, zone, weights, unit of utility or over-quota
+     * utility; hosts set them for implementations that do.
      *
-     * @param rank this sidecar's number among {@code replicas}
-     * @param quantum shortest time between two events
+     * @param rank index of this sidecar among {@code replicas}
+     * @param replicas number of sidecars of this tier
+     * @param quantum shortest time between two events, in nanoseconds
      * @param reportFields names of the values in a load report
-     * @param valueByWork worth counts per unit of work, not per request
-     * @param overShareWorth what a request beyond its tenant's quota is worth, as a part of its class's worth
+     * @param valueByWork utility is earned per unit of work instead of per request
+     * @param overShareWorth utility of a request beyond its tenant's quota, as a fraction of its class's utility
      */
     record Settings(
             int rank,
@@ -221,13 +248,13 @@
     }
 
     /**
-     * An upstream as the list shows it.
+     * An upstream as given in the endpoint list.
      *
-     * @param id opaque and stable over restarts
-     * @param startedAt when it last started; 0 for long ago
+     * @param id opaque identifier, stable across restarts
+     * @param startedAt time of its last start, in nanoseconds; 0 for long ago
      */
     record Upstream(long id, int zone, int kind, int cell, State state, float weight, long startedAt) {
-        /** The same upstream, gone. */
+        /** Returns a copy with the state {@link State#GONE}. */
         public Upstream gone() {
             return new Upstream(id, zone, kind, cell, State.GONE, weight, startedAt);
         }
@@ -236,9 +263,12 @@
     /**
      * A client's request.
      *
-     * @param timeLeft until the client gives this try up
-     * @param costHint rough work to expect in nanoseconds; 0 where unknown
-     * @param clientRetry the client marked it as a repeat
+     * @param requestClass index into {@link Settings#classes()}
+     * @param tenant index into {@link Settings#tenants()}
+     * @param key idempotency key
+     * @param timeLeft time until the client abandons this try, in nanoseconds
+     * @param costHint estimated work in nanoseconds; 0 if unknown
+     * @param clientRetry the client marked it as a retry
      */
     record Request(
             long id,
@@ -250,58 +280,58 @@
             boolean clientRetry,
             boolean write) {}
 
-    /** What an instance orders. The host carries each out at the time of the event being handled. */
+    /** Actions issued by an instance. The host executes each at the time of the event being handled. */
     interface Actions {
-        /** Starts the request's next attempt; a time-out of 0 lasts until the client gives up. */
+        /** Starts the request's next attempt; a timeout of 0 lasts until the client's own timeout. */
         void send(long request, long upstream, long timeout);
 
-        /** Final answer: not done, a retry is harmless; {@code wait} 0 gives no guidance. */
+        /** Final response: not executed, safe to retry after {@code wait} nanoseconds; 0 suggests no delay. */
         void refuse(long request, long wait);
 
-        /** Final answer: failed, with no promise about effects. */
+        /** Final response: failed, possibly after having been executed. */
         void fail(long request);
 
-        /** Stops waiting for one attempt. */
+        /** Cancels one attempt. */
         void cancel(long request, int attempt);
 
-        /** Asks for {@link Balancer#timer} with this token at or after a time. */
+        /** Requests a call of {@link Balancer#timer} with this token at or after the given time. */
         void timer(long token, long at);
 
-        /** Probes an upstream. */
+        /** Sends a probe to an upstream. */
         void probe(long upstream);
 
         /** Closes idle connections to an upstream. */
         void closeIdle(long upstream);
 
-        /** Sends at most 256 bytes to a peer, or to every one if {@code peer} is {@link #ALL_PEERS}. */
+        /** Sends at most 256 bytes to a peer, or to all peers if {@code peer} is {@link #ALL_PEERS}. */
         void tell(int peer, byte[] message);
 
-        /** Writes a line for operators. */
+        /** Writes a log line for operators. */
         void log(String line);
 
-        /** Subscribes to list changes, or ends it; answered by one list event. */
+        /** Starts or ends the subscription to endpoint list changes; one list event follows. */
         void subscribe(boolean on);
 
-        /** Asks for the whole list once; answered by one list event. */
+        /** Requests the full endpoint list once; one list event follows. */
         void fetchList();
 
-        /** Every peer. */
+        /** Peer number that addresses all peers. */
         int ALL_PEERS = 0xffff;
     }
 
-    /** The instance begins. */
+    /** Starts the instance. */
     void start(long now);
 
-    /** News of the list; {@code entries} is empty for {@link ListKind#FAILED}. */
+    /** The endpoint list has changed; {@code entries} is empty for {@link ListKind#FAILED}. */
     void listChanged(long now, ListKind kind, List<Upstream> entries);
 
     /** A client's request has arrived. */
     void request(long now, Request request);
 
-    /** A streamed answer has begun: its attempt belongs to the client, its deadline no longer holds. */
+    /** A streamed response has started: its attempt is bound to the client and has no deadline any more. */
     void firstByte(long now, long request, int attempt, long upstream, long elapsed);
 
-    /** An attempt has ended; {@code ended} says that the request has, by this outcome or before. */
+    /** An attempt has ended; {@code ended} tells whether the request has ended by this outcome or earlier. */
     void outcome(
             long now,
             long request,
@@ -312,29 +342,29 @@
             boolean ended,
             float[] load);
 
-    /** The client has left. */
+    /** The client has disconnected or cancelled the request. */
     void hangup(long now, long request);
 
-    /** A timer is due. */
+    /** A timer set by {@link Actions#timer} has fired. */
     void timer(long now, long token);
 
-    /** A probe's result. */
+    /** A probe has ended. */
     default void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) {}
 
-    /** The host ends soon: what is open at {@code at} gets its answer then, whatever time it has left. */
+    /** The host shuts down soon: requests still open at {@code at} get their final response at that time. */
     default void ending(long now, long at) {}
 
-    /** Who a message is {@code from} that tells what others see of upstreams. */
+    /** Value of {@code from} for messages with the outlier reports of other sidecars about upstreams. */
     int HEARSAY = 0;
-    /** Who one is from that lends this sidecar parts of what all may send to cold upstreams. */
+    /** Value of {@code from} for leases on this sidecar's part of the common budget for cold upstreams. */
     int LEASES = 1;
 
-    /** A message from other sidecars of this tier, see {@link #HEARSAY} and {@link #LEASES}. */
+    /** A message from other sidecars of this tier has arrived; see {@link #HEARSAY} and {@link #LEASES}. */
     default void peerMessage(long now, int from, byte[] message) {}
 
-    private static void require(boolean holds, String setting) {
-        if (!holds) {
-            throw new IllegalArgumentException("setting makes no sense: " + setting);
+    private static void require(boolean valid, String setting) {
+        if (!valid) {
+            throw new IllegalArgumentException("invalid setting: " + setting);
         }
     }
 }
--- a/src/main/java/pondridge/DecayingSum.java
+++ b/src/main/java/pondridge/DecayingSum.java
@@ -1,23 +1,24 @@
 package pondridge;
 
-/** A sum that forgets: what was added a window ago counts by 1/e. */
+/** Exponentially decaying sum: an amount added one time window ago counts 1/e. */
 final class DecayingSum {
-    private final double window;
+    private final double windowNanos;
     private double value;
-    private long at;
+    /** Time of the last addition; 0 before the first one. */
+    private long updatedNanos;
 
-    /** Starts at {@code first}, which counts in full until something is added. */
-    DecayingSum(double window, double first) {
-        this.window = window;
-        this.value = first;
+    /** Starts at {@code initialValue}, which does not decay until something is added. */
+    DecayingSum(double windowNanos, double initialValue) {
+        this.windowNanos = windowNanos;
+        this.value = initialValue;
     }
 
     double value(long now) {
-        return at == 0 ? value : value * Math.exp((at - now) / window);
+        return updatedNanos == 0 ? value : value * Math.exp((updatedNanos - now) / windowNanos);
     }
 
-    void add(long now, double more) {
-        value = value(now) + more;
-        at = now;
+    void add(long now, double amount) {
+        value = value(now) + amount;
+        updatedNanos = now;
     }
 }
--- a/src/main/java/pondridge/Options.java
+++ b/src/main/java/pondridge/Options.java
@@ -17,17 +17,17 @@
 import pondridge.Balancer.Weights;
 
 /**
- * The one reader of an instance's settings, for every host: turns path=value lines into {@link Settings} and
- * answers for what only hosts need (names, connection limits). Keys it does not know are skipped; what makes
- * no sense is an {@link IllegalArgumentException} naming the key.
+ * Reads the settings of an instance from {@code path=value} lines. All hosts use it: it builds the
+ * {@link Settings} and gives access to the values that only hosts need, such as names and connection limits.
+ * Unknown keys are ignored; an invalid value raises an {@link IllegalArgumentException} that names its key.
  */
 public final class Options {
-    /** In nanoseconds; where the settings bind nobody to ask. */
-    private static final double ASK_WITHIN = 10e9;
+    /** Applies where the settings require no refresh of the endpoint list. */
+    private static final double DEFAULT_ENDPOINT_REFRESH_NANOS = 10e9;
 
     private final Map<String, String> values = new HashMap<>();
 
-    /** Reads one path=value a line. */
+    /** Parses one {@code path=value} pair per line. */
     public Options(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
@@ -39,21 +39,21 @@
         }
     }
 
-    /** All paths with their values, as they were read; for a host that hands them on. */
+    /** All paths with their unparsed values, for hosts that pass the settings to another process. */
     public Map<String, String> lines() {
         return Map.copyOf(values);
     }
 
-    /** The same with some lines more, which replace those before them. */
+    /** Returns a copy in which the given lines are added or replace the values of the same paths. */
     public Options with(String lines) {
-        Options more = new Options(lines);
-        Options all = new Options("");
-        all.values.putAll(values);
-        all.values.putAll(more.values);
-        return all;
+        Options overrides = new Options(lines);
+        Options merged = new Options("");
+        merged.values.putAll(values);
+        merged.values.putAll(overrides.values);
+        return merged;
     }
 
-    /** What the module is set to. */
+    /** The settings of a balancer instance. */
     public Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
         int classCount = (int) required("profiles.count");
@@ -71,8 +71,8 @@
                 (int) number("replicasOfMe", 1),
                 (int) number("zone", 0),
                 (long) number("quantum", 0),
-                choice(Discovery.class, "discovery", Discovery.AUTOMATIC),
-                choice(Weights.class, "weights", Weights.SILENT),
+                enumValue(Discovery.class, "discovery", Discovery.AUTOMATIC),
+                enumValue(Weights.class, "weights", Weights.SILENT),
                 classes,
                 tenants,
                 allowed(),
@@ -84,7 +84,7 @@
     }
 
     private RequestClass requestClass(String path) {
-        Semantics semantics = choice(Semantics.class, path + "semantics", null);
+        Semantics semantics = enumValue(Semantics.class, path + "semantics", null);
         return new RequestClass(
                 (long) required(path + "slo"),
                 number(path + "aimStretch", 0),
@@ -92,7 +92,7 @@
                 number(path + "worth", 1),
                 number(path + "lateShare", 0),
                 semantics,
-                choice(Scope.class, path + "keyScope", Scope.CELL),
+                enumValue(Scope.class, path + "keyScope", Scope.CELL),
                 (long) number(path + "keyTtl", 0),
                 flag(path + "stream"));
     }
@@ -110,11 +110,11 @@
     }
 
     private Limits limits() {
-        // Danger: with no time between two calls the module would ask again and again in one event.
-        double askWithin = number("rules.askWithin", 0);
+        // An interval of 0 would make the balancer request the endpoint list repeatedly within one event.
+        double refreshNanos = number("rules.askWithin", 0);
         return new Limits(
                 (long) required("rules.answerSlack"),
-                (long) (askWithin > 0 ? askWithin : ASK_WITHIN),
+                (long) (refreshNanos > 0 ? refreshNanos : DEFAULT_ENDPOINT_REFRESH_NANOS),
                 (long) required("rules.stopSendingWithin"),
                 required("rules.coldShare"),
                 (long) required("rules.rampTime"),
@@ -122,7 +122,7 @@
                 (long) required("rules.tipAfter"));
     }
 
-    /** The names of a list of objects, in order; those without a name are named by their number. */
+    /** The names of the objects in a list, in order; an object without a name is named by its index. */
     public List<String> names(String path) {
         List<String> names = new ArrayList<>();
         int count = (int) number(path + ".count", 0);
@@ -132,7 +132,7 @@
         return names;
     }
 
-    /** A list of plain values, empty where absent. */
+    /** A comma-separated list of values; empty if the key is missing. */
     public List<String> list(String key) {
         String text = values.getOrDefault(key, "");
         return text.isEmpty() ? List.of() : List.of(text.split(","));
@@ -149,11 +149,11 @@
         return number(key, 0);
     }
 
-    /** A number, or {@code absent} where the key is missing or empty. */
-    public double number(String key, double absent) {
+    /** A number, or {@code defaultValue} if the key is missing or empty. */
+    public double number(String key, double defaultValue) {
         String text = values.get(key);
         if (text == null || text.isEmpty()) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(text);
@@ -162,14 +162,14 @@
         }
     }
 
-    /** An enum setting; {@code absent} null makes it required. */
-    private <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
+    /** An enum constant by its case-insensitive name; the setting is required if {@code defaultValue} is null. */
+    private <E extends Enum<E>> E enumValue(Class<E> type, String key, E defaultValue) {
         String text = values.get(key);
         if (text == null) {
-            if (absent == null) {
+            if (defaultValue == null) {
                 throw new IllegalArgumentException("setting missing: " + key);
             }
-            return absent;
+            return defaultValue;
         }
         try {
             return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
--- a/src/main/java/pondridge/ServiceTimeEstimate.java
+++ b/src/main/java/pondridge/ServiceTimeEstimate.java
@@ -1,40 +1,43 @@
 package pondridge;
 
-/** Usual time to an answer of one class, and its growth with the hinted cost by least squares. */
+/**
+ * Moving average of the response times of one request class, with a least-squares regression on the cost hint.
+ */
 final class ServiceTimeEstimate {
-    /** About the last 50 answers. */
-    private static final double NEW = 0.02;
+    /** Weight of a new sample: averages over about the last 50 responses. */
+    private static final double MIN_SAMPLE_WEIGHT = 0.02;
 
     double mean;
-    /** Long ago at first: what it starts from has not been seen. */
+    /** Time of the last sample; far in the past before the first one, as the initial mean is no observation. */
     long learnedAt = Long.MIN_VALUE / 2;
 
-    private long seen;
-    private double cost;
-    private double square;
-    private double cross;
+    private long sampleCount;
+    private double meanHint;
+    private double meanSquaredHint;
+    private double meanTimeTimesHint;
 
-    ServiceTimeEstimate(double first) {
-        mean = first;
+    ServiceTimeEstimate(double initialNanos) {
+        mean = initialNanos;
     }
 
-    void learn(long now, double took, double hint) {
+    void learn(long now, double elapsedNanos, double hint) {
         learnedAt = now;
-        // Cut at three times the expected: one slow server must not become what is usual.
-        double time = Math.min(took, 3 * expected(hint));
-        double part = Math.max(NEW, 1.0 / ++seen);
-        mean += part * (time - mean);
-        cost += part * (hint - cost);
-        square += part * (hint * hint - square);
-        cross += part * (time * hint - cross);
+        // Clipped to three times the expected time, so that one slow server does not shift the average.
+        double clippedNanos = Math.min(elapsedNanos, 3 * expected(hint));
+        double sampleWeight = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / ++sampleCount);
+        mean += sampleWeight * (clippedNanos - mean);
+        meanHint += sampleWeight * (hint - meanHint);
+        meanSquaredHint += sampleWeight * (hint * hint - meanSquaredHint);
+        meanTimeTimesHint += sampleWeight * (clippedNanos * hint - meanTimeTimesHint);
     }
 
+    /** Expected response time for a cost hint; the mean if there is no hint or the hints do not vary. */
     double expected(double hint) {
-        double spread = square - cost * cost;
-        if (hint <= 0 || spread <= 0) {
+        double hintVariance = meanSquaredHint - meanHint * meanHint;
+        if (hint <= 0 || hintVariance <= 0) {
             return mean;
         }
-        double slope = Math.max(0, (cross - mean * cost) / spread);
-        return Math.max(mean / 4, mean + slope * (hint - cost));
+        double slope = Math.max(0, (meanTimeTimesHint - mean * meanHint) / hintVariance);
+        return Math.max(mean / 4, mean + slope * (hint - meanHint));
     }
 }
--- a/src/main/java/pondridge/SlowdownEstimate.java
+++ b/src/main/java/pondridge/SlowdownEstimate.java
@@ -1,12 +1,13 @@
 package pondridge;
 
-/** What servers of one kind take to answer, in parts of what the class usually takes on any. */
+/** Moving average of the response time of servers of one kind, relative to the class's average on all servers. */
 final class SlowdownEstimate {
     double mean = 1;
-    private double seen = 2;
+    /** Starts at 2, as if two samples of the initial mean had been seen. */
+    private double sampleCount = 2;
 
     void learn(double ratio) {
-        seen++;
-        mean += Math.max(0.03, 1 / seen) * (Math.min(ratio, 4) - mean);
+        sampleCount++;
+        mean += Math.max(0.03, 1 / sampleCount) * (Math.min(ratio, 4) - mean);
     }
 }
--- a/src/main/java/pondridge/package-info.java
+++ b/src/main/java/pondridge/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions of a client-side load balancer: {@link pondridge.Balancer} is the interface. */
+/** Policy of a client-side load balancer; {@link pondridge.Balancer} is its interface. */
 package pondridge;
