--- a/src/main/java/pondridge/adapter/Cursor.java
+++ b/src/main/java/pondridge/adapter/FrameReader.java
@@ -4,33 +4,33 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads little-endian fields of one frame's body and never runs past the end of the current record. */
-final class Cursor {
+/** Reads the little-endian fields of a frame body; no read goes beyond the end of the current record. */
+final class FrameReader {
     private final ByteBuffer buffer;
     private int recordStart;
     private int recordEnd;
 
-    Cursor(byte[] bytes, int length) {
+    FrameReader(byte[] bytes, int length) {
         buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Starts the next record and returns its code. */
+    /** Starts the next record and returns its event code. */
     int nextRecord() {
         recordStart = buffer.position();
         if (buffer.remaining() < 5) {
-            throw new WireException("record header cut short at byte " + recordStart);
+            throw new MalformedFrameException("record header cut short at byte " + recordStart);
         }
         int code = buffer.get() & 0xff;
         long length = buffer.getInt() & 0xffffffffL;
         if (length > buffer.remaining()) {
-            throw new WireException("record at byte " + recordStart + " states " + length + " bytes, "
+            throw new MalformedFrameException("record at byte " + recordStart + " states " + length + " bytes, "
                     + buffer.remaining() + " are left");
         }
         recordEnd = buffer.position() + (int) length;
         return code;
     }
 
-    /** Ends a record; fields added by later versions of the wire are passed over. */
+    /** Ends the current record; fields added by later versions of the wire format are skipped. */
     void endRecord() {
         buffer.position(recordEnd);
     }
@@ -43,67 +43,68 @@
         return !buffer.hasRemaining();
     }
 
-    private void need(long bytes) {
+    private void requireBytes(long bytes) {
         if (bytes > recordEnd - buffer.position()) {
-            throw new WireException("field cut short in the record at byte " + recordStart);
+            throw new MalformedFrameException("field cut short in the record at byte " + recordStart);
         }
     }
 
     int u8() {
-        need(1);
+        requireBytes(1);
         return buffer.get() & 0xff;
     }
 
     int u16() {
-        need(2);
+        requireBytes(2);
         return buffer.getShort() & 0xffff;
     }
 
     long u32() {
-        need(4);
+        requireBytes(4);
         return buffer.getInt() & 0xffffffffL;
     }
 
     long i64() {
-        need(8);
+        requireBytes(8);
         return buffer.getLong();
     }
 
     float f32() {
-        need(4);
+        requireBytes(4);
         return buffer.getFloat();
     }
 
-    /** A time: unsigned on the wire, but no clock or span reaches the top bit. */
+    /** A time in nanoseconds: unsigned in the wire format, but no clock or duration uses the top bit. */
     long time(String field) {
         long value = i64();
         if (value < 0) {
-            throw new WireException(field + " out of range in the record at byte " + recordStart);
+            throw new MalformedFrameException(field + " out of range in the record at byte " + recordStart);
         }
         return value;
     }
 
-    /** An upstream: four address bytes and a port, packed as one opaque number. */
+    /** An upstream id: a four-byte address and a port, packed into one opaque number. */
     long upstream() {
         long address = u32();
         return address << 16 | u16();
     }
 
     byte[] bytes(long count) {
-        need(count);
-        byte[] out = new byte[(int) count];
-        buffer.get(out);
-        return out;
+        requireBytes(count);
+        byte[] data = new byte[(int) count];
+        buffer.get(data);
+        return data;
     }
 
     String text(long count) {
         return new String(bytes(count), StandardCharsets.UTF_8);
     }
 
-    float[] report() {
+    /** The values of a load report; empty if there is none. */
+    float[] loadReport() {
         int count = u8();
         if (count == 0) {
-            return Replies.NO_REPORT;
+            return ReplyFrameWriter.NO_LOAD_REPORT;
         }
         float[] values = new float[count];
         for (int i = 0; i < count; i++) {
@@ -112,10 +113,11 @@
         return values;
     }
 
-    /** The value an ordinal names, or an error saying which field was out of range. */
-    <T> T choice(T[] values, int ordinal, String field) {
+    /** The value with the given ordinal; the exception for one out of range names the field. */
+    <T> T enumValue(T[] values, int ordinal, String field) {
         if (ordinal >= values.length) {
-            throw new WireException(field + " " + ordinal + " out of range in the record at byte " + recordStart);
+            throw new MalformedFrameException(
+                    field + " " + ordinal + " out of range in the record at byte " + recordStart);
         }
         return values[ordinal];
     }
--- a/src/main/java/pondridge/adapter/Main.java
+++ b/src/main/java/pondridge/adapter/Main.java
@@ -10,13 +10,13 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** Entry point: {@code java -jar pondridge.jar adapter} plays the wire on standard input and output. */
+/** Entry point: {@code java -jar pondridge.jar adapter} exchanges frames on standard input and output. */
 public final class Main {
-    private static final int HEADER = 16;
+    private static final int HEADER_BYTES = 16;
 
     private Main() {}
 
-    /** Runs the adapter until input ends; a malformed frame ends it with a message and exit status 1. */
+    /** Runs the adapter until the input ends; a malformed frame stops it with a message and exit status 1. */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("usage: java -jar pondridge.jar adapter");
@@ -26,47 +26,47 @@
             run(
                     new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new FileOutputStream(FileDescriptor.out));
-        } catch (WireException | IllegalArgumentException | IOException e) {
+        } catch (MalformedFrameException | IllegalArgumentException | IOException e) {
             System.err.println("pondridge: " + e.getMessage());
             System.exit(1);
         }
     }
 
     static void run(InputStream in, OutputStream out) throws IOException {
-        Replies replies = new Replies();
-        Host host = new Host(replies);
-        byte[] header = new byte[HEADER];
+        ReplyFrameWriter replyWriter = new ReplyFrameWriter();
+        EventDispatcher dispatcher = new EventDispatcher(replyWriter);
+        byte[] header = new byte[HEADER_BYTES];
         byte[] body = new byte[1 << 16];
         for (long frame = 0; ; frame++) {
-            int got = in.readNBytes(header, 0, HEADER);
-            if (got == 0) {
+            int received = in.readNBytes(header, 0, HEADER_BYTES);
+            if (received == 0) {
                 return;
             }
-            if (got < HEADER) {
-                throw new WireException("frame " + frame + ": header cut short after " + got + " bytes");
+            if (received < HEADER_BYTES) {
+                throw new MalformedFrameException("frame " + frame + ": header cut short after " + received + " bytes");
             }
-            ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-            long now = head.getLong();
-            long length = head.getInt() & 0xffffffffL;
-            long records = head.getInt() & 0xffffffffL;
-            if (now < 0 || length < HEADER || length > Integer.MAX_VALUE - 64) {
-                throw new WireException("frame " + frame + ": clock or length out of range");
+            ByteBuffer headerFields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+            long now = headerFields.getLong();
+            long length = headerFields.getInt() & 0xffffffffL;
+            long records = headerFields.getInt() & 0xffffffffL;
+            if (now < 0 || length < HEADER_BYTES || length > Integer.MAX_VALUE - 64) {
+                throw new MalformedFrameException("frame " + frame + ": clock or length out of range");
             }
-            int size = (int) length - HEADER;
+            int size = (int) length - HEADER_BYTES;
             if (body.length < size) {
                 body = new byte[size + size / 2];
             }
-            got = in.readNBytes(body, 0, size);
-            if (got < size) {
-                throw new WireException(
-                        "frame " + frame + ": states " + length + " bytes, ends after " + (got + HEADER));
+            received = in.readNBytes(body, 0, size);
+            if (received < size) {
+                throw new MalformedFrameException(
+                        "frame " + frame + ": states " + length + " bytes, ends after " + (received + HEADER_BYTES));
             }
             try {
-                host.batch(now, records, new Cursor(body, size));
-            } catch (WireException | IllegalArgumentException e) {
-                throw new WireException("frame " + frame + ": " + e.getMessage());
+                dispatcher.dispatchBatch(now, records, new FrameReader(body, size));
+            } catch (MalformedFrameException | IllegalArgumentException e) {
+                throw new MalformedFrameException("frame " + frame + ": " + e.getMessage());
             }
-            replies.writeTo(out);
+            replyWriter.writeTo(out);
         }
     }
 }
--- a/src/main/java/pondridge/adapter/Replies.java
+++ b/src/main/java/pondridge/adapter/ReplyFrameWriter.java
@@ -8,128 +8,129 @@
 import java.util.Arrays;
 import pondridge.Balancer.Actions;
 
-/** Collects the actions of one batch as a reply frame; written whole or not at all. */
-final class Replies {
-    static final float[] NO_REPORT = {};
-    private static final int HEADER = 8;
+/** Collects the actions of one batch in a reply frame, which is written whole or not at all. */
+final class ReplyFrameWriter {
+    static final float[] NO_LOAD_REPORT = {};
+    private static final int HEADER_BYTES = 8;
+    private static final int RECORD_HEADER_BYTES = 5;
 
     private byte[] bytes = new byte[1 << 16];
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-    private int count;
+    private int recordCount;
 
-    Replies() {
+    ReplyFrameWriter() {
         clear();
     }
 
-    /** A sink that writes actions in one sidecar's name. */
-    Actions sink(int sidecar) {
-        return new Sink(sidecar);
+    /** Returns the actions of one sidecar's instance, which are appended to the frame. */
+    Actions actionsOf(int sidecar) {
+        return new ActionWriter(sidecar);
     }
 
     void clear() {
-        buffer.position(HEADER);
-        count = 0;
+        buffer.position(HEADER_BYTES);
+        recordCount = 0;
     }
 
     void writeTo(OutputStream out) throws IOException {
-        buffer.putInt(0, count);
+        buffer.putInt(0, recordCount);
         buffer.putInt(4, buffer.position());
         out.write(bytes, 0, buffer.position());
         out.flush();
         clear();
     }
 
-    private void begin(int code, int fields, int sidecar) {
-        if (buffer.remaining() < fields + 5) {
+    private void startRecord(int code, int length, int sidecar) {
+        if (buffer.remaining() < length + RECORD_HEADER_BYTES) {
             int position = buffer.position();
-            bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, position + fields + 5));
+            bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, position + length + RECORD_HEADER_BYTES));
             buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).position(position);
         }
-        buffer.put((byte) code).putInt(fields).putShort((short) sidecar);
-        count++;
+        buffer.put((byte) code).putInt(length).putShort((short) sidecar);
+        recordCount++;
     }
 
-    private final class Sink implements Actions {
+    private final class ActionWriter implements Actions {
         private final int sidecar;
 
-        Sink(int sidecar) {
+        ActionWriter(int sidecar) {
             this.sidecar = sidecar;
         }
 
-        private void upstream(long id) {
+        private void putUpstream(long id) {
             buffer.putInt((int) (id >>> 16)).putShort((short) id);
         }
 
-        private void text(int code, int head, byte[] data) {
-            begin(code, head + 2 + data.length, sidecar);
+        private void startVariableRecord(int code, int fixedLength, byte[] data) {
+            startRecord(code, fixedLength + 2 + data.length, sidecar);
         }
 
         @Override
         public void send(long request, long upstream, long timeout) {
-            begin(1, 20, sidecar);
+            startRecord(1, 20, sidecar);
             buffer.putInt((int) request);
-            upstream(upstream);
+            putUpstream(upstream);
             buffer.putLong(timeout);
         }
 
         @Override
         public void refuse(long request, long wait) {
-            begin(2, 14, sidecar);
+            startRecord(2, 14, sidecar);
             buffer.putInt((int) request).putLong(wait);
         }
 
         @Override
         public void fail(long request) {
-            begin(3, 6, sidecar);
+            startRecord(3, 6, sidecar);
             buffer.putInt((int) request);
         }
 
         @Override
         public void cancel(long request, int attempt) {
-            begin(4, 7, sidecar);
+            startRecord(4, 7, sidecar);
             buffer.putInt((int) request).put((byte) attempt);
         }
 
         @Override
         public void timer(long token, long at) {
-            begin(5, 18, sidecar);
+            startRecord(5, 18, sidecar);
             buffer.putLong(token).putLong(at);
         }
 
         @Override
         public void probe(long upstream) {
-            begin(6, 8, sidecar);
-            upstream(upstream);
+            startRecord(6, 8, sidecar);
+            putUpstream(upstream);
         }
 
         @Override
         public void closeIdle(long upstream) {
-            begin(7, 8, sidecar);
-            upstream(upstream);
+            startRecord(7, 8, sidecar);
+            putUpstream(upstream);
         }
 
         @Override
         public void tell(int peer, byte[] message) {
-            text(8, 4, message);
+            startVariableRecord(8, 4, message);
             buffer.putShort((short) peer).putShort((short) message.length).put(message);
         }
 
         @Override
         public void log(String line) {
             byte[] data = line.getBytes(StandardCharsets.UTF_8);
-            text(9, 2, data);
+            startVariableRecord(9, 2, data);
             buffer.putShort((short) data.length).put(data);
         }
 
         @Override
         public void subscribe(boolean on) {
-            begin(11, 3, sidecar);
+            startRecord(11, 3, sidecar);
             buffer.put((byte) (on ? 1 : 0));
         }
 
         @Override
         public void fetchList() {
-            begin(12, 2, sidecar);
+            startRecord(12, 2, sidecar);
         }
     }
 }
--- a/src/main/java/pondridge/adapter/package-info.java
+++ b/src/main/java/pondridge/adapter/package-info.java
@@ -1,2 +1,5 @@
-/** The simulator's wire: reads event frames, drives one module instance a sidecar, writes action frames. */
+/**
+ * Adapter to the simulator's wire format: reads event frames, runs one balancer instance per sidecar and writes
+ * frames of their actions.
+ */
 package pondridge.adapter;
--- a/src/test/java/pondridge/RoomsTest.java
+++ b/src/test/java/pondridge/ArchitectureTest.java
@@ -8,13 +8,13 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Which room may use which, and that what decides does no I/O. */
+/** Dependencies allowed between packages, and no I/O or clock access in decision logic. */
 @AnalyzeClasses(packages = "pondridge", importOptions = ImportOption.DoNotIncludeTests.class)
-class RoomsTest {
+class ArchitectureTest {
     @ArchTest
-    static final ArchRule ROOMS = layeredArchitecture()
+    static final ArchRule PACKAGE_DEPENDENCIES = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
-            .layer("module")
+            .layer("balancer")
             .definedBy("pondridge")
             .layer("adapter")
             .definedBy("pondridge.adapter")
@@ -57,26 +57,35 @@
             .whereLayer("adapter")
             .mayNotBeAccessedByAnyLayer()
             .whereLayer("core")
-            .mayOnlyAccessLayers("module")
+            .mayOnlyAccessLayers("balancer")
             .whereLayer("settings")
             .mayNotAccessAnyLayer()
             .whereLayer("http1")
-            .mayOnlyAccessLayers("module", "core")
+            .mayOnlyAccessLayers("balancer", "core")
             .whereLayer("pool")
             .mayNotAccessAnyLayer()
             .whereLayer("http2")
-            .mayOnlyAccessLayers("module", "core", "settings", "pool")
+            .mayOnlyAccessLayers("balancer", "core", "settings", "pool")
             .whereLayer("grpc")
-            .mayOnlyAccessLayers("module", "core", "settings", "http2")
+            .mayOnlyAccessLayers("balancer", "core", "settings", "http2")
             .whereLayer("transport")
-            .mayOnlyAccessLayers("module", "core", "settings", "http1", "http2", "grpc")
+            .mayOnlyAccessLayers("balancer", "core", "settings", "http1", "http2", "grpc")
             .whereLayer("gateway")
             .mayOnlyAccessLayers(
-                    "module", "core", "settings", "http1", "http2", "transport", "store", "grpc", "siteloss", "control")
+                    "balancer",
+                    "core",
+                    "settings",
+                    "http1",
+                    "http2",
+                    "transport",
+                    "store",
+                    "grpc",
+                    "siteloss",
+                    "control")
             .whereLayer("store")
-            .mayOnlyAccessLayers("module", "core", "settings")
+            .mayOnlyAccessLayers("balancer", "core", "settings")
             .whereLayer("control")
-            .mayOnlyAccessLayers("module", "core", "settings")
+            .mayOnlyAccessLayers("balancer", "core", "settings")
             .whereLayer("siteloss")
             .mayOnlyAccessLayers("settings")
             .whereLayer("demo")
@@ -88,21 +97,21 @@
             .whereLayer("standin")
             .mayOnlyBeAccessedByLayers("cli", "demo", "scale")
             .whereLayer("platform")
-            .mayOnlyAccessLayers("module", "core")
+            .mayOnlyAccessLayers("balancer", "core")
             .whereLayer("sidecar")
             .mayOnlyAccessLayers(
-                    "module", "core", "http1", "platform", "transport", "settings", "store", "grpc", "control")
+                    "balancer", "core", "http1", "platform", "transport", "settings", "store", "grpc", "control")
             .whereLayer("sidecar")
             .mayOnlyBeAccessedByLayers("cli")
             .whereLayer("lab")
-            .mayOnlyAccessLayers("module")
+            .mayOnlyAccessLayers("balancer")
             .whereLayer("lab")
             .mayNotBeAccessedByAnyLayer()
             .whereLayer("cli")
             .mayNotBeAccessedByAnyLayer();
 
     @ArchTest
-    static final ArchRule MODULE = noClasses()
+    static final ArchRule BALANCER_HAS_NO_IO = noClasses()
             .that()
             .resideInAPackage("pondridge")
             .should()
@@ -116,8 +125,8 @@
                     "com.fasterxml..",
                     "java.util.concurrent..");
 
-    /** Names of the deciding classes of all rooms; a new one is added here. */
-    private static final String DECIDING =
+    /** Classes with decision logic in all packages; new ones are added here. */
+    private static final String DECISION_CLASSES =
             ".*\\.(StreamTable|Proof|Liveness|ResetBudget|FloodGuard|ProtocolChoice|ColdStart|Router|Trail"
                     + "|LinkTimes|Pool|SharedRoom|CrossingBudget|StartTimes|OwnSite|Pressure|Views"
                     + "|Stamps|AnswerMemory|CreditControl|Log.LineBudget|HeldBytes|Threads|Keyspace|Commands"
@@ -130,9 +139,9 @@
                     + "|lab\\.(Bed|ColdBudget|Queue|Scene|Tally|Upstreams))";
 
     @ArchTest
-    static final ArchRule DECIDERS = noClasses()
+    static final ArchRule DECISION_CLASSES_HAVE_NO_IO = noClasses()
             .that()
-            .haveNameMatching(DECIDING)
+            .haveNameMatching(DECISION_CLASSES)
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
--- a/src/test/java/pondridge/adapter/WireTest.java
+++ b/src/test/java/pondridge/adapter/AdapterProtocolTest.java
@@ -17,7 +17,8 @@
 import pondridge.Balancer.Settings;
 import pondridge.Options;
 
-class WireTest {
+/** Frame layouts, error messages and settings of the adapter, run in process. */
+class AdapterProtocolTest {
     static final String OPTIONS = String.join(
             "\n",
             "caps.mayCancel=true",
@@ -44,22 +45,22 @@
             "rules.stopSendingWithin=250000000",
             "rules.tipAfter=1500000000");
 
-    /** Builds frames from the documented layout. */
+    /** Builds frames according to the documented layout. */
     static final class Frame {
         private final ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
         private int records;
-        private int start;
+        private int lengthPosition;
 
         Frame record(int code) {
             body.put((byte) code);
-            start = body.position();
+            lengthPosition = body.position();
             body.putInt(0);
             records++;
             return this;
         }
 
         Frame end() {
-            body.putInt(start, body.position() - start - 4);
+            body.putInt(lengthPosition, body.position() - lengthPosition - 4);
             return this;
         }
 
@@ -70,7 +71,7 @@
             return out.array();
         }
 
-        Frame provision(int sidecar, String options) {
+        Frame createInstance(int sidecar, String options) {
             byte[] text = options.getBytes(StandardCharsets.UTF_8);
             record(1)
                     .body
@@ -81,7 +82,7 @@
             return end();
         }
 
-        Frame list(int number, int... upstreams) {
+        Frame defineList(int number, int... upstreams) {
             record(11).body.putInt(number).putInt(upstreams.length);
             for (int id : upstreams) {
                 body.putInt(id)
@@ -96,12 +97,12 @@
             return end();
         }
 
-        Frame membership(int sidecar, int form, int number) {
+        Frame endpointListChanged(int sidecar, int form, int number) {
             record(2).body.putShort((short) sidecar).put((byte) form).putLong(1).putInt(number);
             return end();
         }
 
-        Frame submit(int sidecar, int id) {
+        Frame requestArrived(int sidecar, int id) {
             record(3)
                     .body
                     .putShort((short) sidecar)
@@ -117,37 +118,37 @@
     }
 
     static byte[] join(byte[]... frames) {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+        ByteArrayOutputStream joined = new ByteArrayOutputStream();
         for (byte[] frame : frames) {
-            whole.writeBytes(frame);
+            joined.writeBytes(frame);
         }
-        return whole.toByteArray();
+        return joined.toByteArray();
     }
 
-    private static byte[] play(byte[]... frames) throws IOException {
+    private static byte[] run(byte[]... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Main.run(new ByteArrayInputStream(join(frames)), out);
         return out.toByteArray();
     }
 
-    private static void fails(String part, byte[]... frames) {
-        WireException e = assertThrows(WireException.class, () -> play(frames));
-        assertTrue(e.getMessage().contains(part), e.getMessage());
+    private static void assertFails(String expectedText, byte[]... frames) {
+        MalformedFrameException e = assertThrows(MalformedFrameException.class, () -> run(frames));
+        assertTrue(e.getMessage().contains(expectedText), e.getMessage());
     }
 
     @Test
     void emptyBatchGetsAnEmptyReply() throws IOException {
-        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, play(new Frame().bytes(5)));
-        assertEquals(0, play().length);
+        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, run(new Frame().bytes(5)));
+        assertEquals(0, run().length);
     }
 
     @Test
-    void requestIsPlacedOnTheListedUpstream() throws IOException {
-        byte[] reply = play(new Frame()
-                .provision(3, OPTIONS)
-                .list(0, 0x0100_000a)
-                .membership(3, 2, 0)
-                .submit(3, 0xf0000001)
+    void requestIsSentToTheListedUpstream() throws IOException {
+        byte[] reply = run(new Frame()
+                .createInstance(3, OPTIONS)
+                .defineList(0, 0x0100_000a)
+                .endpointListChanged(3, 2, 0)
+                .requestArrived(3, 0xf0000001)
                 .bytes(1_000_000_000L));
         ByteBuffer in = ByteBuffer.wrap(reply).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(reply.length, in.getInt(4));
@@ -156,7 +157,7 @@
         in.position(in.position() + 4 + 3);
         assertEquals(5, in.get(), "sets a timer");
         in.position(in.position() + 4 + 18);
-        assertEquals(1, in.get(), "places");
+        assertEquals(1, in.get(), "sends");
         assertEquals(20, in.getInt());
         assertEquals(3, in.getShort());
         assertEquals(0xf0000001, in.getInt());
@@ -166,79 +167,93 @@
 
     @Test
     void listNumbersResolveByOrder() throws IOException {
-        byte[] reply = play(new Frame()
-                .provision(1, OPTIONS)
-                .list(0, 7)
-                .membership(1, 2, 0)
-                .list(0, 8)
-                .membership(1, 1, 0)
-                .submit(1, 9)
+        byte[] reply = run(new Frame()
+                .createInstance(1, OPTIONS)
+                .defineList(0, 7)
+                .endpointListChanged(1, 2, 0)
+                .defineList(0, 8)
+                .endpointListChanged(1, 1, 0)
+                .requestArrived(1, 9)
                 .bytes(1_000_000_000L));
         String hex = java.util.HexFormat.of().formatHex(reply);
         assertTrue(hex.contains("09000000" + "08000000" + "5000"), hex);
     }
 
     @Test
-    void restartInOneBatchForgetsTheOldInstance() throws IOException {
-        Frame frame =
-                new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).submit(1, 9);
+    void restartInOneBatchReplacesTheInstance() throws IOException {
+        Frame frame = new Frame()
+                .createInstance(1, OPTIONS)
+                .defineList(0, 7)
+                .endpointListChanged(1, 2, 0)
+                .requestArrived(1, 9);
         frame.record(10).body.putShort((short) 1);
-        frame.end().provision(1, OPTIONS).membership(1, 2, 0);
-        assertTrue(play(frame.bytes(1_000_000_000L)).length > 8);
+        frame.end().createInstance(1, OPTIONS).endpointListChanged(1, 2, 0);
+        assertTrue(run(frame.bytes(1_000_000_000L)).length > 8);
     }
 
     @Test
-    void malformedFramesAreNamed() {
-        fails("header cut short", new byte[5]);
-        byte[] whole = new Frame().provision(1, OPTIONS).bytes(1);
-        fails("ends after", java.util.Arrays.copyOf(whole, whole.length - 3));
-        fails("unknown event code 99", new Frame().record(99).end().bytes(1));
-        fails("unknown instance 5", new Frame().submit(5, 1).bytes(1));
-        fails(
+    void errorOfMalformedFrameNamesTheCause() {
+        assertFails("header cut short", new byte[5]);
+        byte[] frame = new Frame().createInstance(1, OPTIONS).bytes(1);
+        assertFails("ends after", java.util.Arrays.copyOf(frame, frame.length - 3));
+        assertFails("unknown event code 99", new Frame().record(99).end().bytes(1));
+        assertFails("unknown instance 5", new Frame().requestArrived(5, 1).bytes(1));
+        assertFails(
                 "unknown list number 3",
-                new Frame().provision(1, OPTIONS).membership(1, 1, 3).bytes(1));
-        fails(
+                new Frame()
+                        .createInstance(1, OPTIONS)
+                        .endpointListChanged(1, 1, 3)
+                        .bytes(1));
+        assertFails(
                 "form 9 out of range",
-                new Frame().provision(1, OPTIONS).list(0).membership(1, 9, 0).bytes(1));
-        fails(
+                new Frame()
+                        .createInstance(1, OPTIONS)
+                        .defineList(0)
+                        .endpointListChanged(1, 9, 0)
+                        .bytes(1));
+        assertFails(
                 "field cut short",
-                new Frame().provision(1, OPTIONS).record(6).end().bytes(1));
+                new Frame().createInstance(1, OPTIONS).record(6).end().bytes(1));
     }
 
     @Test
-    void settingsAreReadAndMissingOnesNamed() {
+    void settingsAreReadAndErrorsNameTheSetting() {
         Settings settings = new Options(OPTIONS).settings();
         assertEquals(Semantics.ONCE, settings.classes().get(0).semantics());
         assertEquals(2.5, settings.classes().get(0).worth());
         assertEquals(2, settings.reportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
-        fails(
+        assertFails(
                 "setting missing: rules.rampTime",
-                new Frame().provision(1, OPTIONS.replace("rules.rampTime", "x")).bytes(1));
-        fails(
+                new Frame()
+                        .createInstance(1, OPTIONS.replace("rules.rampTime", "x"))
+                        .bytes(1));
+        assertFails(
                 "not a number",
-                new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
-        fails(
+                new Frame()
+                        .createInstance(1, OPTIONS.replace("slo=5", "slo=five"))
+                        .bytes(1));
+        assertFails(
                 "cold share",
                 new Frame()
-                        .provision(1, OPTIONS.replace("coldShare=0.3", "coldShare=7"))
+                        .createInstance(1, OPTIONS.replace("coldShare=0.3", "coldShare=7"))
                         .bytes(1));
     }
 
     @Test
     void everyActionHasItsLayout() throws IOException {
-        Replies replies = new Replies();
-        Actions sink = replies.sink(2);
-        sink.refuse(1, 5);
-        sink.fail(1);
-        sink.cancel(1, 3);
-        sink.probe(0x0000_0001_0050L);
-        sink.closeIdle(1);
-        sink.tell(Actions.ALL_PEERS, new byte[] {9});
-        sink.log("hi");
-        sink.fetchList();
+        ReplyFrameWriter replyWriter = new ReplyFrameWriter();
+        Actions actions = replyWriter.actionsOf(2);
+        actions.refuse(1, 5);
+        actions.fail(1);
+        actions.cancel(1, 3);
+        actions.probe(0x0000_0001_0050L);
+        actions.closeIdle(1);
+        actions.tell(Actions.ALL_PEERS, new byte[] {9});
+        actions.log("hi");
+        actions.fetchList();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        replies.writeTo(out);
+        replyWriter.writeTo(out);
         ByteBuffer in = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(8, in.getInt());
         assertEquals(out.size(), in.getInt());
--- a/src/test/java/pondridge/adapter/PackagedJarIT.java
+++ b/src/test/java/pondridge/adapter/PackagedJarIT.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The packaged jar as a process: exit status, standard error, nothing half-written on standard output. */
+/** Runs the packaged jar as a process: exit status, standard error, and no partial frame on standard output. */
 class PackagedJarIT {
     private record Result(int status, byte[] out, String err) {}
 
@@ -26,7 +26,7 @@
         try (OutputStream in = process.getOutputStream()) {
             in.write(input);
         } catch (IOException e) {
-            // The process may have refused its arguments before reading.
+            // The process may have rejected its arguments and exited before it read the input.
         }
         byte[] out = process.getInputStream().readAllBytes();
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void endOfInputIsAnOrderlyEnd() throws Exception {
+    void endOfInputEndsWithStatusZero() throws Exception {
         Result result = run(new byte[0], "adapter");
         assertEquals(0, result.status);
         assertEquals(0, result.out.length);
@@ -42,31 +42,33 @@
 
     @Test
     void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
-        byte[] provision = new WireTest.Frame().provision(1, WireTest.OPTIONS).bytes(1);
-        Map<String, byte[]> bad = Map.of(
+        byte[] frame = new AdapterProtocolTest.Frame()
+                .createInstance(1, AdapterProtocolTest.OPTIONS)
+                .bytes(1);
+        Map<String, byte[]> inputByError = Map.of(
                 "header cut short",
                 new byte[] {1, 2, 3},
                 "ends after",
-                Arrays.copyOf(provision, provision.length - 3),
+                Arrays.copyOf(frame, frame.length - 3),
                 "unknown event code 99",
-                new WireTest.Frame().record(99).end().bytes(1),
+                new AdapterProtocolTest.Frame().record(99).end().bytes(1),
                 "setting missing: rules.rampTime",
-                new WireTest.Frame()
-                        .provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x"))
+                new AdapterProtocolTest.Frame()
+                        .createInstance(1, AdapterProtocolTest.OPTIONS.replace("rules.rampTime", "x"))
                         .bytes(1));
-        for (Map.Entry<String, byte[]> each : bad.entrySet()) {
-            Result result = run(each.getValue(), "adapter");
-            assertEquals(1, result.status, each.getKey());
-            assertEquals(0, result.out.length, each.getKey());
-            assertTrue(result.err.contains("frame 0: ") && result.err.contains(each.getKey()), result.err);
+        for (Map.Entry<String, byte[]> entry : inputByError.entrySet()) {
+            Result result = run(entry.getValue(), "adapter");
+            assertEquals(1, result.status, entry.getKey());
+            assertEquals(0, result.out.length, entry.getKey());
+            assertTrue(result.err.contains("frame 0: ") && result.err.contains(entry.getKey()), result.err);
             assertTrue(result.err.strip().lines().count() == 1, "one line, no stack trace: " + result.err);
         }
     }
 
     @Test
     void repliesBeforeAMalformedFrameAreComplete() throws Exception {
-        byte[] whole = new WireTest.Frame().bytes(5);
-        Result result = run(WireTest.join(whole, whole, new byte[] {9}), "adapter");
+        byte[] frame = new AdapterProtocolTest.Frame().bytes(5);
+        Result result = run(AdapterProtocolTest.join(frame, frame, new byte[] {9}), "adapter");
         assertEquals(1, result.status);
         assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 8, 0, 0, 0}, result.out);
         assertTrue(result.err.contains("frame 2: header cut short"), result.err);
