--- a/src/main/java/pondridge/Balancer.java
+++ b/src/main/java/pondridge/Balancer.java
@@ -265,7 +265,7 @@
      *
      * @param requestClass index into {@link Settings#classes()}
      * @param tenant index into {@link Settings#tenants()}
-     * @param key idempotency key
+     * @param key hash of the resource that the request refers to; 0 for none
      * @param timeLeft time until the client abandons this try, in nanoseconds
      * @param costHint estimated work in nanoseconds; 0 if unknown
      * @param clientRetry the client marked it as a retry
@@ -283,10 +283,10 @@
     /** Actions issued by an instance. The host executes each at the time of the event being handled. */
     interface Actions {
         /** Starts the request's next attempt; a timeout of 0 lasts until the client's own timeout. */
-        void send(long request, long upstream, long timeout);
+        void send(long request, long upstream, long timeoutNanos);
 
-        /** Final response: not executed, safe to retry after {@code wait} nanoseconds; 0 suggests no delay. */
-        void refuse(long request, long wait);
+        /** Final response: not executed, safe to retry after the given delay; 0 gives the client no retry delay. */
+        void refuse(long request, long retryAfterNanos);
 
         /** Final response: failed, possibly after having been executed. */
         void fail(long request);
@@ -295,7 +295,7 @@
         void cancel(long request, int attempt);
 
         /** Requests a call of {@link Balancer#timer} with this token at or after the given time. */
-        void timer(long token, long at);
+        void timer(long token, long dueNanos);
 
         /** Sends a probe to an upstream. */
         void probe(long upstream);
@@ -310,7 +310,7 @@
         void log(String line);
 
         /** Starts or ends the subscription to endpoint list changes; one list event follows. */
-        void subscribe(boolean on);
+        void subscribe(boolean subscribed);
 
         /** Requests the full endpoint list once; one list event follows. */
         void fetchList();
@@ -329,18 +329,18 @@
     void request(long now, Request request);
 
     /** A streamed response has started: its attempt is bound to the client and has no deadline any more. */
-    void firstByte(long now, long request, int attempt, long upstream, long elapsed);
+    void firstByte(long now, long request, int attempt, long upstream, long elapsedNanos);
 
-    /** An attempt has ended; {@code ended} tells whether the request has ended by this outcome or earlier. */
+    /** An attempt has ended; {@code requestEnded} if the request has ended, by this outcome or earlier. */
     void outcome(
             long now,
             long request,
             int attempt,
             long upstream,
             Outcome outcome,
-            long elapsed,
-            boolean ended,
-            float[] load);
+            long elapsedNanos,
+            boolean requestEnded,
+            float[] loadReport);
 
     /** The client has disconnected or cancelled the request. */
     void hangup(long now, long request);
@@ -349,18 +349,18 @@
     void timer(long now, long token);
 
     /** A probe has ended. */
-    default void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) {}
+    default void probeResult(long now, long upstream, Outcome outcome, long elapsedNanos, float[] loadReport) {}
 
-    /** The host shuts down soon: requests still open at {@code at} get their final response at that time. */
-    default void ending(long now, long at) {}
+    /** The host shuts down soon: requests still open at {@code endNanos} get their final response then. */
+    default void ending(long now, long endNanos) {}
 
-    /** Value of {@code from} for messages with the outlier reports of other sidecars about upstreams. */
+    /** Value of {@code sender} for messages with the outlier reports of other sidecars about upstreams. */
     int HEARSAY = 0;
-    /** Value of {@code from} for leases on this sidecar's part of the common budget for cold upstreams. */
+    /** Value of {@code sender} for leases on this sidecar's part of the common budget for cold upstreams. */
     int LEASES = 1;
 
     /** A message from other sidecars of this tier has arrived; see {@link #HEARSAY} and {@link #LEASES}. */
-    default void peerMessage(long now, int from, byte[] message) {}
+    default void peerMessage(long now, int sender, byte[] message) {}
 
     private static void require(boolean valid, String setting) {
         if (!valid) {
--- a/src/main/java/pondridge/adapter/ReplyFrameWriter.java
+++ b/src/main/java/pondridge/adapter/ReplyFrameWriter.java
@@ -66,17 +66,17 @@
         }
 
         @Override
-        public void send(long request, long upstream, long timeout) {
+        public void send(long request, long upstream, long timeoutNanos) {
             startRecord(1, 20, sidecar);
             buffer.putInt((int) request);
             putUpstream(upstream);
-            buffer.putLong(timeout);
+            buffer.putLong(timeoutNanos);
         }
 
         @Override
-        public void refuse(long request, long wait) {
+        public void refuse(long request, long retryAfterNanos) {
             startRecord(2, 14, sidecar);
-            buffer.putInt((int) request).putLong(wait);
+            buffer.putInt((int) request).putLong(retryAfterNanos);
         }
 
         @Override
@@ -92,9 +92,9 @@
         }
 
         @Override
-        public void timer(long token, long at) {
+        public void timer(long token, long dueNanos) {
             startRecord(5, 18, sidecar);
-            buffer.putLong(token).putLong(at);
+            buffer.putLong(token).putLong(dueNanos);
         }
 
         @Override
@@ -123,9 +123,9 @@
         }
 
         @Override
-        public void subscribe(boolean on) {
+        public void subscribe(boolean subscribed) {
             startRecord(11, 3, sidecar);
-            buffer.put((byte) (on ? 1 : 0));
+            buffer.put((byte) (subscribed ? 1 : 0));
         }
 
         @Override
--- a/src/test/java/pondridge/FleetGoodputTest.java
+++ b/src/test/java/pondridge/FleetGoodputTest.java
@@ -25,11 +25,10 @@
 import pondridge.lab.Tally;
 
 /**
- * Guards against refusing more requests than the servers cannot serve, and against refusing them for longer than
- * the servers are impaired. Real balancers run over six simulated servers of 4 threads and 20 ms +-40 % per
- * request, a capacity of 1,200 requests per second. There are three classes (safe, keyed, unsafe) with a latency
- * objective of 200 ms and a deadline of 1 s. A refused client retries once, after 100 ms. The servers send no
- * load reports.
+ * A fleet refuses only the requests that its servers cannot serve, and only for as long as they cannot. Real
+ * balancers run over six simulated servers of 4 threads and 20 ms +-40 % per request, a capacity of 1,200 requests
+ * per second. There are three classes (safe, keyed, unsafe) with a latency objective of 200 ms and a deadline of
+ * 1 s. A refused client retries once, after 100 ms. The servers send no load reports.
  */
 class FleetGoodputTest {
     private static final long SECOND = 1_000 * MS;
