--- a/src/main/java/pondridge/control/Ack.java
+++ b/src/main/java/pondridge/control/Ack.java
@@ -1,11 +1,11 @@
 package pondridge.control;
 
 /**
- * What a watcher says back: of each update, and a relay also from time to time.
+ * A watcher's reply to an update. A relay also sends it unprompted, to report status.
  *
- * @param serial of the update that is answered; 0 where none is
- * @param version that it has now
- * @param verdict what came of the update
- * @param sums of those below, for a relay
+ * @param serial of the update that is acknowledged; 0 for a status report
+ * @param version that the watcher holds now
+ * @param result the outcome of the update
+ * @param status of the followers below a relay
  */
-record Ack(long serial, Version version, FollowerState.Verdict verdict, Sums sums) {}
+record Ack(long serial, Version version, FollowerState.ApplyResult result, PropagationStatus status) {}
--- a/src/main/java/pondridge/control/Change.java
+++ b/src/main/java/pondridge/control/Change.java
@@ -1,15 +1,15 @@
 package pondridge.control;
 
 /**
- * The last state of one key, as an update tells it.
+ * The latest state of one key, as carried by an update.
  *
- * @param state {@link Resource#DELETED} for one that has gone
- * @param body null where only the state is new, and for one that has gone
- * @param number of the commit that changed it last; 0 where the receiver passes nothing on
- * @param bodyNumber of the commit that changed its body last; 0 where there is no body
+ * @param state {@link Resource#DELETED} for a deleted resource
+ * @param body null if only the state has changed, and for a deleted resource
+ * @param commitNumber of the commit that last changed the resource; 0 if the receiver does not forward it
+ * @param bodyCommitNumber of the commit that last changed the body; 0 if there is no body
  */
-record Change(String service, String name, String state, String body, long number, long bodyNumber) {
-    boolean gone() {
+record Change(String service, String name, String state, String body, long commitNumber, long bodyCommitNumber) {
+    boolean isDeleted() {
         return state.equals(Resource.DELETED);
     }
 }
--- a/src/main/java/pondridge/control/Codec.java
+++ b/src/main/java/pondridge/control/Codec.java
@@ -13,30 +13,31 @@
 import pondridge.core.Json;
 
 /**
- * Messages as JSON with short names. Changes go together by state, and where they are passed on by number;
- * where only the state is new, names go as {@link Names}, so that a zone's loss is short. What can't be
- * understood is an {@link IllegalArgumentException} that names it.
+ * Encodes messages as JSON with short field names. Changes are grouped by state, and by commit number for
+ * receivers that forward them. Where only the state has changed, names are written as {@link NameRanges}, so
+ * that the loss of a zone makes a short message. An invalid message causes an {@link
+ * IllegalArgumentException} that names the problem.
  */
 final class Codec {
-    /** Of the messages; a hello of another one is refused. */
+    /** Version of the protocol; a hello with another version is rejected. */
     static final int PROTOCOL = 1;
 
-    private static final int MOST_CHANGES = 1 << 18;
+    private static final int MAX_CHANGES = 1 << 18;
 
-    /** Of changes that go together. */
-    private record Group(String state, boolean body, long number, long bodyNumber) {}
+    /** What changes that are written together have in common. */
+    private record ChangeGroup(String state, boolean hasBody, long commitNumber, long bodyCommitNumber) {}
 
-    private interface Writing {
-        void to(JsonGenerator json) throws IOException;
+    private interface FieldWriter {
+        void writeTo(JsonGenerator json) throws IOException;
     }
 
     private Codec() {}
 
-    private static byte[] write(Writing what) {
+    private static byte[] encode(FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (JsonGenerator json = Json.MAPPER.createGenerator(bytes)) {
             json.writeStartObject();
-            what.to(json);
+            fields.writeTo(json);
             json.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -44,108 +45,109 @@
         return bytes.toByteArray();
     }
 
-    static byte[] hello(Hello hello) {
-        return write(json -> {
+    static byte[] encodeHello(Hello hello) {
+        return encode(json -> {
             json.writeNumberField("hello", PROTOCOL);
             json.writeStringField("instance", hello.instance());
             json.writeNumberField("e", hello.version().epoch());
             json.writeNumberField("n", hello.version().number());
-            json.writeBooleanField("relay", hello.passesOn());
-            texts(json, "services", hello.services());
+            json.writeBooleanField("relay", hello.isRelay());
+            writeStrings(json, "services", hello.services());
         });
     }
 
-    static byte[] error(String problem) {
-        return write(json -> json.writeStringField("error", problem));
+    static byte[] encodeError(String problem) {
+        return encode(json -> json.writeStringField("error", problem));
     }
 
-    /** Only that there is somebody. */
-    static byte[] alive() {
-        return write(json -> json.writeBooleanField("alive", true));
+    /** Encodes a keepalive, which only shows that the sender is running. */
+    static byte[] encodeKeepalive() {
+        return encode(json -> json.writeBooleanField("alive", true));
     }
 
-    static byte[] ack(Ack ack) {
-        return write(json -> {
+    static byte[] encodeAck(Ack ack) {
+        return encode(json -> {
             json.writeNumberField("k", ack.serial());
             json.writeNumberField("e", ack.version().epoch());
             json.writeNumberField("n", ack.version().number());
-            if (ack.verdict() == FollowerState.Verdict.GAP || ack.verdict() == FollowerState.Verdict.MISMATCH) {
-                json.writeStringField("v", ack.verdict().name());
+            if (ack.result() == FollowerState.ApplyResult.GAP || ack.result() == FollowerState.ApplyResult.MISMATCH) {
+                json.writeStringField("v", ack.result().name());
             }
-            if (ack.sums().count() > 0) {
-                json.writeNumberField("count", ack.sums().count());
-                json.writeNumberField("le", ack.sums().lowest().epoch());
-                json.writeNumberField("ln", ack.sums().lowest().number());
-                texts(json, "behind", ack.sums().behind());
+            if (ack.status().count() > 0) {
+                json.writeNumberField("count", ack.status().count());
+                json.writeNumberField("le", ack.status().lowestVersion().epoch());
+                json.writeNumberField("ln", ack.status().lowestVersion().number());
+                writeStrings(json, "behind", ack.status().laggingInstances());
             }
         });
     }
 
-    static byte[] update(Update update) {
-        return write(json -> {
+    static byte[] encodeUpdate(Update update) {
+        return encode(json -> {
             json.writeNumberField("u", update.serial());
             json.writeNumberField("e", update.version().epoch());
             json.writeNumberField("n", update.version().number());
-            if (update.whole()) {
+            if (update.snapshot()) {
                 json.writeBooleanField("w", true);
             } else {
-                json.writeNumberField("f", update.from());
+                json.writeNumberField("f", update.baseNumber());
             }
-            if (update.floor() != 0) {
-                json.writeNumberField("fl", update.floor());
+            if (update.oldestDeltaBase() != 0) {
+                json.writeNumberField("fl", update.oldestDeltaBase());
             }
             json.writeNumberField("d", update.digest());
             json.writeNumberField("a", update.ageMs());
-            texts(json, "x", update.absent());
-            changes(json, update.changes());
+            writeStrings(json, "x", update.missingServices());
+            writeChanges(json, update.changes());
         });
     }
 
-    private static void texts(JsonGenerator json, String field, List<String> texts) throws IOException {
-        if (!texts.isEmpty()) {
+    private static void writeStrings(JsonGenerator json, String field, List<String> strings) throws IOException {
+        if (!strings.isEmpty()) {
             json.writeArrayFieldStart(field);
-            for (String each : texts) {
+            for (String each : strings) {
                 json.writeString(each);
             }
             json.writeEndArray();
         }
     }
 
-    private static void changes(JsonGenerator json, List<Change> changes) throws IOException {
+    private static void writeChanges(JsonGenerator json, List<Change> changes) throws IOException {
         if (changes.isEmpty()) {
             return;
         }
-        Map<Group, Map<String, List<Change>>> groups = new LinkedHashMap<>();
+        Map<ChangeGroup, Map<String, List<Change>>> groups = new LinkedHashMap<>();
         for (Change each : changes) {
             groups.computeIfAbsent(
-                            new Group(each.state(), each.body() != null, each.number(), each.bodyNumber()),
+                            new ChangeGroup(
+                                    each.state(), each.body() != null, each.commitNumber(), each.bodyCommitNumber()),
                             group -> new TreeMap<>())
                     .computeIfAbsent(each.service(), service -> new ArrayList<>())
                     .add(each);
         }
         json.writeArrayFieldStart("c");
-        for (Map.Entry<Group, Map<String, List<Change>>> group : groups.entrySet()) {
+        for (Map.Entry<ChangeGroup, Map<String, List<Change>>> group : groups.entrySet()) {
             json.writeStartObject();
             json.writeStringField("s", group.getKey().state());
-            if (group.getKey().number() != 0) {
-                json.writeNumberField("n", group.getKey().number());
+            if (group.getKey().commitNumber() != 0) {
+                json.writeNumberField("n", group.getKey().commitNumber());
             }
-            if (group.getKey().bodyNumber() != 0) {
-                json.writeNumberField("b", group.getKey().bodyNumber());
+            if (group.getKey().bodyCommitNumber() != 0) {
+                json.writeNumberField("b", group.getKey().bodyCommitNumber());
             }
             json.writeObjectFieldStart("in");
             for (Map.Entry<String, List<Change>> service : group.getValue().entrySet()) {
-                if (group.getKey().body()) {
+                if (group.getKey().hasBody()) {
                     json.writeObjectFieldStart(service.getKey());
                     for (Change each : service.getValue()) {
                         json.writeStringField(each.name(), each.body());
                     }
                     json.writeEndObject();
                 } else {
-                    texts(
+                    writeStrings(
                             json,
                             service.getKey(),
-                            Names.pack(service.getValue().stream()
+                            NameRanges.pack(service.getValue().stream()
                                     .map(Change::name)
                                     .toList()));
                 }
@@ -156,8 +158,8 @@
         json.writeEndArray();
     }
 
-    /** A message of any kind. */
-    static JsonNode read(byte[] bytes) {
+    /** Parses a message of any kind. */
+    static JsonNode parse(byte[] bytes) {
         try {
             JsonNode node = Json.MAPPER.readTree(bytes);
             if (node == null || !node.isObject()) {
@@ -170,7 +172,7 @@
         }
     }
 
-    private static long number(JsonNode node, String field) {
+    private static long decodeLong(JsonNode node, String field) {
         JsonNode value = node.path(field);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
             throw new IllegalArgumentException(field + ": expected a whole number");
@@ -178,99 +180,99 @@
         return value.asLong();
     }
 
-    private static Version version(JsonNode node, String epoch, String number) {
-        Version version = new Version(number(node, epoch), number(node, number));
+    private static Version decodeVersion(JsonNode node, String epoch, String number) {
+        Version version = new Version(decodeLong(node, epoch), decodeLong(node, number));
         if (version.epoch() < 0 || version.number() < 0) {
             throw new IllegalArgumentException("version: " + version + " makes no sense");
         }
         return version;
     }
 
-    private static List<String> texts(JsonNode node, String field, int most) {
-        List<String> texts = new ArrayList<>();
+    private static List<String> decodeStrings(JsonNode node, String field, int maxCount) {
+        List<String> strings = new ArrayList<>();
         for (JsonNode each : node.path(field)) {
-            if (!each.isTextual() || texts.size() == most) {
-                throw new IllegalArgumentException(field + ": expected texts, " + most + " at most");
+            if (!each.isTextual() || strings.size() == maxCount) {
+                throw new IllegalArgumentException(field + ": expected texts, " + maxCount + " at most");
             }
-            texts.add(each.asText());
+            strings.add(each.asText());
         }
-        return texts;
+        return strings;
     }
 
-    static Hello readHello(JsonNode node) {
-        if (number(node, "hello") != PROTOCOL) {
+    static Hello decodeHello(JsonNode node) {
+        if (decodeLong(node, "hello") != PROTOCOL) {
             throw new IllegalArgumentException(
                     "hello: version " + node.path("hello") + " of the protocol, " + PROTOCOL + " is spoken here");
         }
         return new Hello(
                 node.path("instance").asText(""),
-                texts(node, "services", Hello.MOST_SERVICES),
+                decodeStrings(node, "services", Hello.MAX_SERVICES),
                 node.path("relay").asBoolean(),
-                version(node, "e", "n"));
+                decodeVersion(node, "e", "n"));
     }
 
-    static Ack readAck(JsonNode node) {
-        FollowerState.Verdict verdict =
+    static Ack decodeAck(JsonNode node) {
+        FollowerState.ApplyResult result =
                 switch (node.path("v").asText("")) {
-                    case "" -> FollowerState.Verdict.TAKEN;
-                    case "GAP" -> FollowerState.Verdict.GAP;
-                    case "MISMATCH" -> FollowerState.Verdict.MISMATCH;
+                    case "" -> FollowerState.ApplyResult.APPLIED;
+                    case "GAP" -> FollowerState.ApplyResult.GAP;
+                    case "MISMATCH" -> FollowerState.ApplyResult.MISMATCH;
                     default -> throw new IllegalArgumentException("v: expected GAP or MISMATCH");
                 };
         return new Ack(
-                number(node, "k"),
-                version(node, "e", "n"),
-                verdict,
+                decodeLong(node, "k"),
+                decodeVersion(node, "e", "n"),
+                result,
                 !node.has("count")
-                        ? Sums.NONE
-                        : new Sums(
-                                number(node, "count"),
-                                version(node, "le", "ln"),
-                                texts(node, "behind", Sums.MOST_NAMES)));
+                        ? PropagationStatus.NONE
+                        : new PropagationStatus(
+                                decodeLong(node, "count"),
+                                decodeVersion(node, "le", "ln"),
+                                decodeStrings(node, "behind", PropagationStatus.MAX_LAGGING_INSTANCES)));
     }
 
-    static Update readUpdate(JsonNode node) {
-        boolean whole = node.path("w").asBoolean();
+    static Update decodeUpdate(JsonNode node) {
+        boolean snapshot = node.path("w").asBoolean();
         return new Update(
-                number(node, "u"),
-                version(node, "e", "n"),
-                whole,
-                whole ? 0 : number(node, "f"),
+                decodeLong(node, "u"),
+                decodeVersion(node, "e", "n"),
+                snapshot,
+                snapshot ? 0 : decodeLong(node, "f"),
                 node.path("fl").asLong(),
-                readChanges(node.path("c")),
-                texts(node, "x", Hello.MOST_SERVICES),
-                number(node, "d"),
-                number(node, "a"));
+                decodeChanges(node.path("c")),
+                decodeStrings(node, "x", Hello.MAX_SERVICES),
+                decodeLong(node, "d"),
+                decodeLong(node, "a"));
     }
 
-    private static List<Change> readChanges(JsonNode groups) {
+    private static List<Change> decodeChanges(JsonNode groups) {
         List<Change> changes = new ArrayList<>();
         for (JsonNode group : groups) {
             String state = group.path("s").asText();
-            long number = group.path("n").asLong();
-            long bodyNumber = group.path("b").asLong();
+            long commitNumber = group.path("n").asLong();
+            long bodyCommitNumber = group.path("b").asLong();
             group.path("in").properties().forEach(service -> {
                 if (service.getValue().isObject()) {
                     service.getValue()
                             .properties()
-                            .forEach(each -> add(
+                            .forEach(each -> addChange(
                                     changes,
                                     new Resource(
                                             service.getKey(),
                                             each.getKey(),
                                             state,
                                             each.getValue().asText()),
-                                    number,
-                                    bodyNumber,
+                                    commitNumber,
+                                    bodyCommitNumber,
                                     true));
                 } else {
                     for (JsonNode packed : service.getValue()) {
-                        Names.unpack(packed.asText())
-                                .forEach(name -> add(
+                        NameRanges.unpack(packed.asText())
+                                .forEach(name -> addChange(
                                         changes,
                                         new Resource(service.getKey(), name, state, ""),
-                                        number,
-                                        bodyNumber,
+                                        commitNumber,
+                                        bodyCommitNumber,
                                         false));
                     }
                 }
@@ -279,15 +281,21 @@
         return changes;
     }
 
-    /** By way of a {@link Resource}, which checks the texts. */
-    private static void add(List<Change> changes, Resource checked, long number, long bodyNumber, boolean body) {
-        if (changes.size() == MOST_CHANGES || checked.gone() && body) {
+    /** Adds a change. It is passed as a {@link Resource}, which validates the texts. */
+    private static void addChange(
+            List<Change> changes, Resource resource, long commitNumber, long bodyCommitNumber, boolean hasBody) {
+        if (changes.size() == MAX_CHANGES || resource.isDeleted() && hasBody) {
             throw new IllegalArgumentException(
-                    checked.gone() && body
-                            ? checked.service() + '/' + checked.name() + ": gone, and with a body"
-                            : "c: " + MOST_CHANGES + " changes at most");
+                    resource.isDeleted() && hasBody
+                            ? resource.service() + '/' + resource.name() + ": gone, and with a body"
+                            : "c: " + MAX_CHANGES + " changes at most");
         }
         changes.add(new Change(
-                checked.service(), checked.name(), checked.state(), body ? checked.body() : null, number, bodyNumber));
+                resource.service(),
+                resource.name(),
+                resource.state(),
+                hasBody ? resource.body() : null,
+                commitNumber,
+                bodyCommitNumber));
     }
 }
--- a/src/main/java/pondridge/control/ControlClient.java
+++ b/src/main/java/pondridge/control/ControlClient.java
@@ -23,21 +23,22 @@
 import pondridge.core.Target;
 
 /**
- * Follows some services by one call at a time to one of several relays; moves on when that ends, with the
- * version it has. What was known stays in force whatever happens. Has no thread of its own: all happens on
- * the loop, but {@link #start} and {@link #close}, which may be called anywhere.
+ * Follows some services through one connection at a time to one of several relays. When the connection ends,
+ * the client moves to another relay and resumes from the version that it holds. The state that it holds stays
+ * in effect in any case. The client has no thread of its own: everything runs on the event loop, except
+ * {@link #start} and {@link #close}, which may be called on any thread.
  */
 public final class ControlClient implements AutoCloseable, Directory {
-    private static final int CONNECT_MS = 1_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** Is told of what is new, on the loop. */
+    /** Is notified of updates, on the event loop. */
     public interface Listener {
         /**
-         * A version is in force.
+         * A version has taken effect.
          *
-         * @param kind whether the targets are all, or those that changed; failed, with none, where the list
-         * was asked for and what is known is older than {@code stale}
-         * @param settings by service, a slash and name; null for one that has gone
+         * @param kind whether the targets are the full list or those that changed. It is {@code FAILED},
+         * without targets, if the list was requested and the state is older than {@code stale}
+         * @param settings values by service, a slash and name; null for a deleted setting
          */
         void applied(Version version, ListKind kind, List<Target> targets, Map<String, String> settings);
     }
@@ -45,26 +46,26 @@
     private final EventLoop loop;
     private final ControlSettings settings;
     private final FollowerState state;
-    private final RelayChoice choice;
+    private final RelaySelector selector;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Listener listener;
-    private final Supplier<Sums> sums;
+    private final Supplier<PropagationStatus> downstreamStatus;
     private final Events events;
     private final Traffic traffic;
-    private Call call;
-    private Future<?> waiting;
+    private RelayConnection connection;
+    private Future<?> pendingDial;
     private boolean closed;
-    private long wholes;
-    private long differences;
+    private long snapshotsReceived;
+    private long deltasReceived;
 
-    /** A follower; many may share a loop, events and traffic. */
+    /** Creates a follower. Many may share an event loop, events and traffic. */
     public ControlClient(EventLoop loop, ControlSettings settings, Listener listener, Events events, Traffic traffic) {
         this(
                 loop,
                 settings,
                 new FollowerState(settings.instance(), settings.services(), false, 0),
                 listener,
-                () -> Sums.NONE,
+                () -> PropagationStatus.NONE,
                 events,
                 traffic);
     }
@@ -74,144 +75,158 @@
             ControlSettings settings,
             FollowerState state,
             Listener listener,
-            Supplier<Sums> sums,
+            Supplier<PropagationStatus> downstreamStatus,
             Events events,
             Traffic traffic) {
         this.loop = loop;
         this.settings = settings;
         this.state = state;
         this.listener = listener;
-        this.sums = sums;
+        this.downstreamStatus = downstreamStatus;
         this.events = events;
         this.traffic = traffic;
-        for (InetSocketAddress each : settings.above()) {
+        for (InetSocketAddress each : settings.parentAddresses()) {
             addresses.put(each.getAddress().getHostAddress() + ':' + each.getPort(), each);
         }
-        this.choice = new RelayChoice(settings.instance(), List.copyOf(addresses.keySet()), settings.choice());
+        this.selector = new RelaySelector(settings.instance(), List.copyOf(addresses.keySet()), settings.choice());
     }
 
-    /** Begins to call. */
+    /** Starts to connect. */
     public void start() {
         loop.execute(this::dial);
     }
 
-    /** Ends the call, for good. */
+    /** Closes the connection, for good. */
     @Override
     public void close() {
         loop.execute(() -> {
             closed = true;
-            if (waiting != null) {
-                waiting.cancel(false);
+            if (pendingDial != null) {
+                pendingDial.cancel(false);
             }
-            if (call != null) {
-                Call old = call;
-                call = null;
-                old.close();
+            if (connection != null) {
+                RelayConnection previous = connection;
+                connection = null;
+                previous.close();
             }
         });
     }
 
-    /** What is in force; on the loop. */
+    /** Returns the version in effect. Call on the event loop. */
     public Version version() {
         return state.version();
     }
 
-    /** How old what is in force may be, in nanoseconds; MAX for nothing yet. On the loop. */
-    public long age() {
-        return state.age(System.nanoTime());
+    /**
+     * Returns the age of the state in effect, in nanoseconds; {@code Long.MAX_VALUE} while there is none.
+     * Call on the event loop.
+     */
+    public long ageNanos() {
+        return state.ageNanos(System.nanoTime());
     }
 
-    /** Of all that is held: equal to the source's for the same services. On the loop. */
+    /**
+     * Returns the digest of all resources, which equals the source's for the same services. Call on the event
+     * loop.
+     */
     public long digest() {
-        return state.held().digest(List.of());
+        return state.resources().digest(List.of());
     }
 
-    /** Where it is, as address and port; null while it is nowhere. On the loop. */
-    public String relay() {
-        return call == null || !call.answered ? null : call.relay;
+    /**
+     * Returns the address and port of the relay that this client follows, or null if it follows none now.
+     * Call on the event loop.
+     */
+    public String connectedRelay() {
+        return connection == null || !connection.established ? null : connection.relay;
     }
 
-    /** Updates that brought the whole; on the loop. */
-    public long wholes() {
-        return wholes;
+    /** Returns the number of snapshots received. Call on the event loop. */
+    public long snapshotsReceived() {
+        return snapshotsReceived;
     }
 
-    /** Updates that brought a difference; on the loop. */
-    public long differences() {
-        return differences;
+    /** Returns the number of deltas received. Call on the event loop. */
+    public long deltasReceived() {
+        return deltasReceived;
     }
 
     private void dial() {
-        if (!closed && call == null) {
-            RelayChoice.Dial next = choice.next(System.nanoTime());
-            after(next.at() - System.nanoTime(), () -> {
-                call = new Call(next.relay());
-                call.connect();
+        if (!closed && connection == null) {
+            RelaySelector.DialPlan plan = selector.nextDial(System.nanoTime());
+            scheduleUnlessConnected(plan.atNanos() - System.nanoTime(), () -> {
+                connection = new RelayConnection(plan.relay());
+                connection.connect();
             });
         }
     }
 
-    private void after(long nanos, Runnable what) {
-        waiting = loop.schedule(
+    private void scheduleUnlessConnected(long delayNanos, Runnable task) {
+        pendingDial = loop.schedule(
                 () -> {
-                    if (!closed && call == null) {
-                        what.run();
+                    if (!closed && connection == null) {
+                        task.run();
                     }
                 },
-                Math.max(0, nanos),
+                Math.max(0, delayNanos),
                 TimeUnit.NANOSECONDS);
     }
 
-    /** Changes are told in any case; the word that nothing has changed is given at once, if it may be. */
+    /**
+     * Changes are always reported. If the state is fresh, the listener is notified at once that nothing has
+     * changed.
+     */
     @Override
     public void watch(boolean on) {
-        if (on && age() <= settings.stale()) {
-            tell(ListKind.DELTA, List.of());
+        if (on && ageNanos() <= settings.stale()) {
+            notifyListener(ListKind.DELTA, List.of());
         }
     }
 
-    /** Tells all that is known, from memory. */
+    /** Reports the full list from memory, or a failure if the state is stale. */
     @Override
     public void fetch() {
-        boolean fresh = age() <= settings.stale();
-        tell(fresh ? ListKind.FULL : ListKind.FAILED, fresh ? state.held().since(-1, List.of(), false) : List.of());
+        boolean fresh = ageNanos() <= settings.stale();
+        notifyListener(
+                fresh ? ListKind.FULL : ListKind.FAILED,
+                fresh ? state.resources().changesSince(-1, List.of(), false) : List.of());
     }
 
-    private void tell(ListKind kind, List<Change> changes) {
+    private void notifyListener(ListKind kind, List<Change> changes) {
         List<Target> targets = new ArrayList<>();
-        Map<String, String> others = new LinkedHashMap<>();
+        Map<String, String> changedSettings = new LinkedHashMap<>();
         for (Change each : changes) {
-            Resource held = each.gone() ? null : state.held().get(each.service(), each.name());
+            Resource current = each.isDeleted() ? null : state.resources().get(each.service(), each.name());
             if (each.name().startsWith("@")) {
-                others.put(each.service() + '/' + each.name(), held == null ? null : held.body());
+                changedSettings.put(each.service() + '/' + each.name(), current == null ? null : current.body());
                 continue;
             }
             try {
-                targets.add(Targets.target(each.name(), each.state(), held == null ? "" : held.body()));
+                targets.add(Targets.toTarget(each.name(), each.state(), current == null ? "" : current.body()));
             } catch (IllegalArgumentException e) {
                 events.told("entry_passed_over", each.service(), e.getMessage());
             }
         }
         try {
-            listener.applied(state.version(), kind, targets, others);
+            listener.applied(state.version(), kind, targets, changedSettings);
         } catch (RuntimeException e) {
             events.told("listener_failed", "", e.toString());
         }
     }
 
-    /** One call, until it ends. */
-    private final class Call extends Frames {
+    /** One connection to a relay, until it ends. */
+    private final class RelayConnection extends FrameHandler {
         private final String relay;
-        private long heard = System.nanoTime();
-        private long begun;
-        private long homeAt = Long.MAX_VALUE;
+        private long lastMessageNanos = System.nanoTime();
+        private long establishedNanos;
+        private long failbackNanos = Long.MAX_VALUE;
         private Channel channel;
         private Future<?> timer;
-        private Sums told = Sums.NONE;
-        private Version toldOf = Version.NONE;
-        private boolean answered;
+        private PropagationStatus reportedStatus = PropagationStatus.NONE;
+        private Version reportedVersion = Version.NONE;
+        private boolean established;
 
-        Call(String relay) {
+        RelayConnection(String relay) {
             super(settings.longestMessage(), traffic);
             this.relay = relay;
         }
@@ -220,137 +235,140 @@
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel made) {
-                            addTo(made.pipeline());
+                        protected void initChannel(Channel newChannel) {
+                            addTo(newChannel.pipeline());
                         }
                     })
                     .connect(addresses.get(relay))
-                    .addListener((ChannelFutureListener) made -> {
-                        if (call != this) {
-                            made.channel().close();
-                        } else if (made.isSuccess()) {
-                            channel = made.channel();
-                            send(channel, Codec.hello(state.hello()), traffic);
-                            watch();
+                    .addListener((ChannelFutureListener) future -> {
+                        if (connection != this) {
+                            future.channel().close();
+                        } else if (future.isSuccess()) {
+                            channel = future.channel();
+                            send(channel, Codec.encodeHello(state.hello()), traffic);
+                            scheduleCheck();
                         } else {
-                            end("can't be reached");
+                            disconnect("connection failed");
                         }
                     });
         }
 
-        /** Looks again and again whether the call is still of use. */
-        private void watch() {
-            long every = state.hello().passesOn() ? settings.report() : settings.silence() / 4;
+        /** Checks periodically whether the connection is still of use. */
+        private void scheduleCheck() {
+            long intervalNanos = state.hello().isRelay() ? settings.report() : settings.silence() / 4;
             timer = loop.schedule(
                     () -> {
-                        long now = System.nanoTime();
-                        if (now - heard > settings.silence()) {
-                            end("silent");
-                        } else if (answered && now - begun > settings.stale() && state.age(now) > settings.stale()) {
-                            answered = false;
-                            end("its word is old");
-                        } else if (now > homeAt) {
-                            choice.home();
-                            call = null;
+                        long nowNanos = System.nanoTime();
+                        if (nowNanos - lastMessageNanos > settings.silence()) {
+                            disconnect("silent");
+                        } else if (established
+                                && nowNanos - establishedNanos > settings.stale()
+                                && state.ageNanos(nowNanos) > settings.stale()) {
+                            established = false;
+                            disconnect("stale state");
+                        } else if (nowNanos > failbackNanos) {
+                            selector.failBack();
+                            connection = null;
                             close();
                             dial();
                         } else {
-                            report();
-                            watch();
+                            reportStatus();
+                            scheduleCheck();
                         }
                     },
-                    every,
+                    intervalNanos,
                     TimeUnit.NANOSECONDS);
         }
 
-        /** Sums go up when they are new. */
-        private void report() {
-            Sums now = sums.get();
-            if (answered && (!now.equals(told) || !state.version().equals(toldOf))) {
-                acknowledge(0, FollowerState.Verdict.BEAT);
+        /** Reports the status of the followers below, or the version held, when it has changed. */
+        private void reportStatus() {
+            PropagationStatus status = downstreamStatus.get();
+            if (established
+                    && (!status.equals(reportedStatus) || !state.version().equals(reportedVersion))) {
+                sendAck(0, FollowerState.ApplyResult.UNCHANGED);
             }
         }
 
-        private void acknowledge(long serial, FollowerState.Verdict verdict) {
-            told = sums.get();
-            toldOf = state.version();
-            send(channel, Codec.ack(new Ack(serial, toldOf, verdict, told)), traffic);
+        private void sendAck(long serial, FollowerState.ApplyResult result) {
+            reportedStatus = downstreamStatus.get();
+            reportedVersion = state.version();
+            send(channel, Codec.encodeAck(new Ack(serial, reportedVersion, result, reportedStatus)), traffic);
         }
 
         @Override
-        void message(byte[] bytes) {
-            if (call != this) {
+        void onMessage(byte[] bytes) {
+            if (connection != this) {
                 return;
             }
-            JsonNode node = Codec.read(bytes);
+            JsonNode node = Codec.parse(bytes);
             if (node.has("error")) {
-                answered = false;
-                end("refused: " + node.path("error").asText());
+                established = false;
+                disconnect("refused by the server: " + node.path("error").asText());
                 return;
             }
-            long now = System.nanoTime();
-            heard = now;
+            long nowNanos = System.nanoTime();
+            lastMessageNanos = nowNanos;
             if (node.has("alive")) {
                 return;
             }
-            Update update = Codec.readUpdate(node);
-            List<String> absent = state.absent();
-            Version before = state.version();
-            FollowerState.Verdict verdict = state.take(update, now);
-            if (!answered) {
-                answered = true;
-                begun = now;
-                homeAt = choice.homeward(relay, now);
-                events.told("following", relay, "from " + before);
+            Update update = Codec.decodeUpdate(node);
+            List<String> missingBefore = state.missingServices();
+            Version versionBefore = state.version();
+            FollowerState.ApplyResult result = state.apply(update, nowNanos);
+            if (!established) {
+                established = true;
+                establishedNanos = nowNanos;
+                failbackNanos = selector.failbackAtNanos(relay, nowNanos);
+                events.told("following", relay, "from version " + versionBefore);
             }
-            choice.good(relay);
-            switch (verdict) {
-                case TAKEN -> {
-                    wholes += update.whole() ? 1 : 0;
-                    differences += update.whole() ? 0 : 1;
-                    tell(update.whole() ? ListKind.FULL : ListKind.DELTA, update.changes());
+            selector.recordSuccess(relay);
+            switch (result) {
+                case APPLIED -> {
+                    snapshotsReceived += update.snapshot() ? 1 : 0;
+                    deltasReceived += update.snapshot() ? 0 : 1;
+                    notifyListener(update.snapshot() ? ListKind.FULL : ListKind.DELTA, update.changes());
                 }
                 case GAP, MISMATCH -> events.told(
                         "refused",
                         relay,
-                        (verdict == FollowerState.Verdict.GAP
-                                        ? "a difference since "
-                                                + update.version().epoch() + '.' + update.from()
-                                        : "a wrong digest, the whole is asked for: ")
-                                + " at " + update.version()
-                                + ", known is " + before);
+                        (result == FollowerState.ApplyResult.GAP
+                                        ? "delta can't be applied, its base is version "
+                                                + update.version().epoch() + '.' + update.baseNumber()
+                                        : "digest mismatch, requesting a snapshot")
+                                + "; update to version " + update.version()
+                                + ", holding version " + versionBefore);
                 default -> {}
             }
-            if (!state.absent().isEmpty() && !state.absent().equals(absent)) {
-                events.told("not_there", relay, "services " + String.join(", ", state.absent()));
+            if (!state.missingServices().isEmpty() && !state.missingServices().equals(missingBefore)) {
+                events.told("not_there", relay, "services " + String.join(", ", state.missingServices()));
             }
-            acknowledge(update.serial(), verdict);
+            sendAck(update.serial(), result);
         }
 
         @Override
-        void bad(String problem) {
-            if (call == this) {
-                answered = false;
-                end("not understood: " + problem);
+        void onProtocolError(String problem) {
+            if (connection == this) {
+                established = false;
+                disconnect("protocol error: " + problem);
             }
         }
 
-        private void end(String why) {
-            if (call != this) {
+        private void disconnect(String reason) {
+            if (connection != this) {
                 return;
             }
-            call = null;
+            connection = null;
             close();
-            long now = System.nanoTime();
-            events.told("left", relay, why + ", known is " + state.version());
-            if (answered) {
-                after(choice.lost(relay, now) - now, ControlClient.this::dial);
+            long nowNanos = System.nanoTime();
+            events.told("left", relay, reason + "; holding version " + state.version());
+            if (established) {
+                scheduleUnlessConnected(selector.connectionLost(relay, nowNanos) - nowNanos, ControlClient.this::dial);
             } else {
-                choice.failed(relay, now);
+                selector.recordFailure(relay, nowNanos);
                 dial();
             }
         }
@@ -366,7 +384,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            end("ended");
+            disconnect("ended");
         }
     }
 }
--- a/src/main/java/pondridge/control/ControlRelay.java
+++ b/src/main/java/pondridge/control/ControlRelay.java
@@ -6,10 +6,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A relay: one call upwards for all below it, and answers from memory. It follows all services: what some
- * hundred sidecars of twenty services each follow together is nearly all, and so it knows at once what is not
- * there. Cut off, it goes on with what it had, and says how old that is. On the loop, but {@link #start} and
- * {@link #close}.
+ * A relay: holds one connection to the source or another relay, and serves its own watchers from memory. It
+ * follows all services. The sidecars below it, some hundreds with twenty services each, together follow
+ * nearly all of them anyway, and the relay can tell at once which services do not exist. When cut off it
+ * keeps serving the state that it has, and reports how old that state is. Runs on the event loop, except
+ * {@link #start} and {@link #close}.
  */
 public final class ControlRelay implements AutoCloseable {
     private final EventLoop loop;
@@ -17,45 +18,47 @@
     private final ControlServer server;
     private final ControlClient client;
 
-    public ControlRelay(EventLoop loop, ControlSettings settings, Events events, Traffic up, Traffic down) {
+    public ControlRelay(
+            EventLoop loop, ControlSettings settings, Events events, Traffic upstreamTraffic, Traffic watcherTraffic) {
         this.loop = loop;
         this.settings = settings;
         FollowerState state = new FollowerState(settings.instance(), List.of(), true, settings.markers());
-        this.server = new ControlServer(loop, settings.serving(), state::held, state::age, down, events);
+        this.server =
+                new ControlServer(loop, settings.serving(), state::resources, state::ageNanos, watcherTraffic, events);
         this.client = new ControlClient(
                 loop,
                 settings,
                 state,
-                (version, kind, targets, others) -> server.changed(),
-                server.serving()::sums,
+                (version, kind, targets, changedSettings) -> server.stateChanged(),
+                server.scheduler()::propagationStatus,
                 events,
-                up);
+                upstreamTraffic);
     }
 
-    /** Begins; gives where it listens. */
+    /** Starts the relay and returns the address on which it listens. */
     public CompletableFuture<InetSocketAddress> start() {
         client.start();
-        return server.listen(settings.listen());
+        return server.listen(settings.listenAddress());
     }
 
-    /** As of a follower; see there. On the loop. */
+    /** Returns the client through which the relay follows. Call on the event loop. */
     public ControlClient client() {
         return client;
     }
 
-    /** Who below it has what; on the loop. */
-    public Sums sums() {
-        return server.serving().sums();
+    /** Returns which versions the followers below have. Call on the event loop. */
+    public PropagationStatus sums() {
+        return server.scheduler().propagationStatus();
     }
 
-    /** Updates sent that were the whole; on the loop. */
+    /** Returns the number of snapshots sent. Call on the event loop. */
     public long wholes() {
-        return server.serving().wholes();
+        return server.scheduler().snapshotsSent();
     }
 
-    /** Updates sent that were a difference; on the loop. */
+    /** Returns the number of deltas sent. Call on the event loop. */
     public long differences() {
-        return server.serving().differences();
+        return server.scheduler().deltasSent();
     }
 
     @Override
--- a/src/main/java/pondridge/control/ControlServer.java
+++ b/src/main/java/pondridge/control/ControlServer.java
@@ -21,43 +21,43 @@
 import java.util.function.Supplier;
 
 /**
- * Takes watchers, for a source and a relay alike; {@link Serving} decides what they are told. A call that
- * doesn't say within five seconds who it is ends, and so does one that says what makes no sense. On the loop,
- * but for {@link #listen}.
+ * Accepts watchers, for a source or a relay; {@link UpdateScheduler} decides what they are sent. Closes a
+ * connection whose hello does not arrive within five seconds, and one that sends an invalid message. Runs on
+ * the event loop, except {@link #listen}.
  */
 final class ControlServer {
-    private static final long HELLO_MS = 5_000;
-    private static final int LONGEST_MESSAGE = Frames.LONGEST_FRAME;
-    /** Calls may come before others have been seen to end. */
-    private static final int SPARE_CALLS = 64;
+    private static final long HELLO_TIMEOUT_MS = 5_000;
+    private static final int MAX_MESSAGE_BYTES = FrameHandler.MAX_FRAME_BYTES;
+    /** New connections may arrive before old ones are seen to close. */
+    private static final int SPARE_CONNECTIONS = 64;
 
     private final EventLoop loop;
-    private final Serving.Limits limits;
-    private final Serving serving;
+    private final UpdateScheduler.Limits limits;
+    private final UpdateScheduler scheduler;
     private final Traffic traffic;
     private final Events events;
-    private final Map<Long, Call> calls = new HashMap<>();
-    private final Set<Channel> open = new HashSet<>();
-    private Channel door;
+    private final Map<Long, WatcherConnection> connections = new HashMap<>();
+    private final Set<Channel> openChannels = new HashSet<>();
+    private Channel serverChannel;
     private long lastId;
 
     ControlServer(
             EventLoop loop,
-            Serving.Limits limits,
-            Supplier<Holdings> held,
-            LongUnaryOperator age,
+            UpdateScheduler.Limits limits,
+            Supplier<ResourceStore> resources,
+            LongUnaryOperator ageNanos,
             Traffic traffic,
             Events events) {
         this.loop = loop;
         this.limits = limits;
-        this.serving = new Serving(limits, held, age);
+        this.scheduler = new UpdateScheduler(limits, resources, ageNanos);
         this.traffic = traffic;
         this.events = events;
     }
 
-    /** Begins to take watchers; gives the address, or what went wrong. */
+    /** Starts to accept watchers. The future holds the bound address or the failure. */
     CompletableFuture<InetSocketAddress> listen(InetSocketAddress at) {
-        CompletableFuture<InetSocketAddress> told = new CompletableFuture<>();
+        CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
         new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -66,80 +66,80 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        new Call(made).begin();
+                    protected void initChannel(Channel channel) {
+                        new WatcherConnection(channel).start();
                     }
                 })
                 .bind(at)
                 .addListener((io.netty.channel.ChannelFuture bound) -> {
                     if (bound.isSuccess()) {
-                        door = bound.channel();
-                        told.complete((InetSocketAddress) door.localAddress());
+                        serverChannel = bound.channel();
+                        address.complete((InetSocketAddress) serverChannel.localAddress());
                     } else {
-                        told.completeExceptionally(bound.cause());
+                        address.completeExceptionally(bound.cause());
                     }
                 });
-        return told;
+        return address;
     }
 
-    /** What is held has changed. */
-    void changed() {
-        List.copyOf(calls.values()).forEach(Call::pump);
+    /** Sends watchers what is due after the state has changed. */
+    void stateChanged() {
+        List.copyOf(connections.values()).forEach(WatcherConnection::pump);
     }
 
-    Serving serving() {
-        return serving;
+    UpdateScheduler scheduler() {
+        return scheduler;
     }
 
     void close() {
-        if (door != null) {
-            door.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
-        List.copyOf(open).forEach(Channel::close);
+        List.copyOf(openChannels).forEach(Channel::close);
     }
 
-    private final class Call extends Frames {
+    private final class WatcherConnection extends FrameHandler {
         private final long id = ++lastId;
         private final Channel channel;
         private Future<?> timer;
         private String instance = "";
-        private boolean over;
+        private boolean closed;
 
-        Call(Channel channel) {
-            super(LONGEST_MESSAGE, traffic);
+        WatcherConnection(Channel channel) {
+            super(MAX_MESSAGE_BYTES, traffic);
             this.channel = channel;
         }
 
-        private void begin() {
-            if (open.size() >= limits.mostWatchers() + SPARE_CALLS) {
+        private void start() {
+            if (openChannels.size() >= limits.maxWatchers() + SPARE_CONNECTIONS) {
                 refuse("full: too many calls");
                 return;
             }
-            open.add(channel);
+            openChannels.add(channel);
             addTo(channel.pipeline());
-            timer = loop.schedule(() -> bad("no hello in time"), HELLO_MS, TimeUnit.MILLISECONDS);
+            timer = loop.schedule(() -> onProtocolError("no hello in time"), HELLO_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
-        void message(byte[] bytes) {
-            if (over) {
+        void onMessage(byte[] bytes) {
+            if (closed) {
                 return;
             }
-            JsonNode node = Codec.read(bytes);
+            JsonNode node = Codec.parse(bytes);
             if (!instance.isEmpty()) {
-                serving.acknowledged(id, Codec.readAck(node));
+                scheduler.handleAck(id, Codec.decodeAck(node));
             } else {
-                Hello hello = Codec.readHello(node);
-                String full = serving.full();
-                if (full != null) {
-                    refuse(full);
+                Hello hello = Codec.decodeHello(node);
+                String capacityError = scheduler.capacityError();
+                if (capacityError != null) {
+                    refuse(capacityError);
                     return;
                 }
                 instance = hello.instance();
-                calls.put(id, this);
-                long former = serving.joined(id, hello, System.nanoTime());
-                if (former >= 0) {
-                    calls.get(former).end("came again");
+                connections.put(id, this);
+                long previousId = scheduler.addWatcher(id, hello, System.nanoTime());
+                if (previousId >= 0) {
+                    connections.get(previousId).close("replaced by a new connection of the same instance");
                 }
             }
             pump();
@@ -149,39 +149,39 @@
             if (timer != null) {
                 timer.cancel(false);
             }
-            long now = System.nanoTime();
-            Serving.Step step = serving.next(id, now);
-            if (step.end() != null) {
-                end(step.end());
+            long nowNanos = System.nanoTime();
+            UpdateScheduler.Action action = scheduler.nextAction(id, nowNanos);
+            if (action.closeReason() != null) {
+                close(action.closeReason());
                 return;
             }
-            if (step.update() != null) {
-                serving.sent(id, send(channel, Codec.update(step.update()), traffic));
+            if (action.update() != null) {
+                scheduler.recordSentBytes(id, send(channel, Codec.encodeUpdate(action.update()), traffic));
             }
-            if (step.alive()) {
-                send(channel, Codec.alive(), traffic);
+            if (action.keepalive()) {
+                send(channel, Codec.encodeKeepalive(), traffic);
             }
-            timer = loop.schedule(this::pump, step.at() - now, TimeUnit.NANOSECONDS);
+            timer = loop.schedule(this::pump, action.nextCheckNanos() - nowNanos, TimeUnit.NANOSECONDS);
         }
 
-        private void refuse(String why) {
-            send(channel, Codec.error(why), traffic);
-            end(why);
+        private void refuse(String reason) {
+            send(channel, Codec.encodeError(reason), traffic);
+            close(reason);
         }
 
         @Override
-        void bad(String problem) {
-            if (!over) {
+        void onProtocolError(String problem) {
+            if (!closed) {
                 refuse(problem);
             }
         }
 
-        private void end(String why) {
-            if (!over) {
-                over = true;
-                events.told("watcher_ended", instance, why);
-                calls.remove(id);
-                serving.left(id);
+        private void close(String reason) {
+            if (!closed) {
+                closed = true;
+                events.told("watcher_ended", instance, reason);
+                connections.remove(id);
+                scheduler.removeWatcher(id);
                 if (timer != null) {
                     timer.cancel(false);
                 }
@@ -191,11 +191,11 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            open.remove(channel);
-            if (!over) {
-                over = true;
-                calls.remove(id);
-                serving.left(id);
+            openChannels.remove(channel);
+            if (!closed) {
+                closed = true;
+                connections.remove(id);
+                scheduler.removeWatcher(id);
                 timer.cancel(false);
             }
         }
--- a/src/main/java/pondridge/control/ControlSettings.java
+++ b/src/main/java/pondridge/control/ControlSettings.java
@@ -12,35 +12,35 @@
 import pondridge.settings.SettingsFile;
 
 /**
- * The section {@code [control]}; times in nanoseconds.
+ * The section {@code [control]}; times are in nanoseconds.
  *
- * @param role what this process is
- * @param instance its name, one of its own
- * @param listen where a source or a relay takes watchers
+ * @param role of this process
+ * @param instance unique name of this process
+ * @param listenAddress where a source or a relay accepts watchers
  * @param stateFile of the source
- * @param feed of the source: what is to be in force; null for none
- * @param above whom a relay or a follower may call: relays, or the source
+ * @param feedFile file with the desired state, for the source; null for none
+ * @param parentAddresses addresses that a relay or a follower may connect to: those of relays or of the source
  * @param services that a follower follows; empty for all
- * @param serving how watchers are served
- * @param choice how relays are chosen
- * @param silence a call without a word for so long is over
- * @param stale a relay whose word is older is left for another one
- * @param fold the source collects changes for so long
- * @param report a relay tells its sums so often, if they are new
- * @param markers of what has gone are kept at most
- * @param entries at most
- * @param longestMessage that is taken, in bytes
+ * @param serving limits on watchers and updates
+ * @param choice limits on reconnecting to relays
+ * @param silence a connection without a message for this long is closed
+ * @param stale a relay whose state is older than this is left for another one
+ * @param fold how long the source collects changes before it commits them
+ * @param report how often a relay reports the status of its followers, if it has changed
+ * @param markers the most tombstones that are kept
+ * @param entries the most entries and settings at the source
+ * @param longestMessage the longest message that is accepted, in bytes
  */
 public record ControlSettings(
         Role role,
         String instance,
-        InetSocketAddress listen,
+        InetSocketAddress listenAddress,
         Path stateFile,
-        Path feed,
-        List<InetSocketAddress> above,
+        Path feedFile,
+        List<InetSocketAddress> parentAddresses,
         List<String> services,
-        Serving.Limits serving,
-        RelayChoice.Limits choice,
+        UpdateScheduler.Limits serving,
+        RelaySelector.Limits choice,
         long silence,
         long stale,
         long fold,
@@ -48,7 +48,7 @@
         int markers,
         int entries,
         int longestMessage) {
-    /** What a process is. */
+    /** The role of a process. */
     public enum Role {
         OFF,
         SOURCE,
@@ -56,7 +56,7 @@
         FOLLOWER
     }
 
-    /** Reads a whole file that holds nothing else. */
+    /** Reads a file that holds this section only. */
     public static ControlSettings read(Path path) {
         SettingsFile file = SettingsFile.read(path);
         ControlSettings read = of(file, path.toAbsolutePath().getParent());
@@ -64,8 +64,8 @@
         return read;
     }
 
-    /** Reads the section {@code [control]}; the role is off where the file has none. */
-    public static ControlSettings of(SettingsFile file, Path folder) {
+    /** Reads the section {@code [control]}. The role is off if the file does not have the section. */
+    public static ControlSettings of(SettingsFile file, Path directory) {
         Section section = file.section("control");
         Role role = Role.valueOf(section.word("role", "off", List.of("off", "source", "relay", "follower"))
                 .toUpperCase(Locale.ROOT));
@@ -75,9 +75,9 @@
         String listen = section.text("listen", "none");
         String stateFile = section.text("state_file", "none");
         String feed = section.text("feed", "none");
-        List<InetSocketAddress> above = new ArrayList<>();
+        List<InetSocketAddress> parentAddresses = new ArrayList<>();
         for (String each : section.texts("above")) {
-            above.add(address(section, "above", each));
+            parentAddresses.add(address(section, "above", each));
         }
         List<String> services = section.texts("services");
         try {
@@ -85,52 +85,53 @@
         } catch (IllegalArgumentException e) {
             throw section.contradiction("instance or services", e.getMessage());
         }
-        boolean serves = role == Role.SOURCE || role == Role.RELAY;
-        if (serves && listen.equals("none")) {
-            throw section.contradiction("listen", "expected an address and a port for role " + name(role));
+        boolean acceptsWatchers = role == Role.SOURCE || role == Role.RELAY;
+        if (acceptsWatchers && listen.equals("none")) {
+            throw section.contradiction("listen", "expected an address and a port for role " + roleName(role));
         }
         if (role == Role.SOURCE && stateFile.equals("none")) {
             throw section.contradiction("state_file", "expected a file for role source");
         }
-        if ((role == Role.RELAY || role == Role.FOLLOWER) && above.isEmpty()) {
-            throw section.contradiction("above", "expected whom to call, for role " + name(role));
+        if ((role == Role.RELAY || role == Role.FOLLOWER) && parentAddresses.isEmpty()) {
+            throw section.contradiction(
+                    "above", "expected addresses of relays or of the source for role " + roleName(role));
         }
-        if (role == Role.SOURCE && !above.isEmpty()) {
-            throw section.contradiction("above", "of no use for role source");
+        if (role == Role.SOURCE && !parentAddresses.isEmpty()) {
+            throw section.contradiction("above", "not used for role source");
         }
-        long beat = section.time("beat", "2s", "10ms", "1min");
-        long silence = section.time("silence", "7s", "20ms", "10min");
-        if (silence < 2 * beat) {
-            throw section.contradiction("silence", "less than twice beat: each lost word would end a call");
+        long heartbeatNanos = section.time("beat", "2s", "10ms", "1min");
+        long silenceNanos = section.time("silence", "7s", "20ms", "10min");
+        if (silenceNanos < 2 * heartbeatNanos) {
+            throw section.contradiction("silence", "less than twice beat: each lost message would close a connection");
         }
-        long stale = section.time("stale", "15s", "20ms", "60min");
-        if (stale < 2 * beat) {
-            throw section.contradiction("stale", "less than twice beat: a good relay would be left");
+        long staleNanos = section.time("stale", "15s", "20ms", "60min");
+        if (staleNanos < 2 * heartbeatNanos) {
+            throw section.contradiction("stale", "less than twice beat: a healthy relay would be left");
         }
         return new ControlSettings(
                 role,
                 instance,
-                serves ? address(section, "listen", listen) : null,
-                stateFile.equals("none") ? null : folder.resolve(stateFile),
-                feed.equals("none") ? null : folder.resolve(feed),
-                above,
+                acceptsWatchers ? address(section, "listen", listen) : null,
+                stateFile.equals("none") ? null : directory.resolve(stateFile),
+                feed.equals("none") ? null : directory.resolve(feed),
+                parentAddresses,
                 services,
-                new Serving.Limits(
+                new UpdateScheduler.Limits(
                         section.size("bytes_per_second", "2KiB", "64B", "1MiB"),
                         section.size("burst", "16KiB", "1KiB", "64MiB"),
                         section.size("relay_bytes_per_second", "1MiB", "1KiB", "64MiB"),
                         section.fraction("joins_per_second", 100, 0.1, 1e6),
                         section.number("most_watchers", 1_500, 1, 100_000),
                         section.time("gap", "1s", "0ms", "1min"),
-                        beat,
+                        heartbeatNanos,
                         section.time("ack_within", "10s", "20ms", "10min")),
-                new RelayChoice.Limits(
+                new RelaySelector.Limits(
                         section.time("spread", "2s", "0ms", "10min"),
                         section.time("pause", "500ms", "1ms", "10min"),
                         section.time("longest_pause", "8s", "1ms", "60min"),
                         section.time("home", "5min", "10ms", "60min")),
-                silence,
-                stale,
+                silenceNanos,
+                staleNanos,
                 section.time("fold", "500ms", "10ms", "1min"),
                 section.time("report", "500ms", "10ms", "1min"),
                 section.number("markers", 8_192, 16, 1 << 20),
@@ -138,20 +139,20 @@
                 section.size("message", "32MiB", "64KiB", "256MiB"));
     }
 
-    private static String name(Role role) {
+    private static String roleName(Role role) {
         return role.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The same for another follower. */
-    public ControlSettings as(String other, List<String> its) {
+    /** Returns the same settings for another follower. */
+    public ControlSettings as(String otherInstance, List<String> otherServices) {
         return new ControlSettings(
                 role,
-                other,
-                listen,
+                otherInstance,
+                listenAddress,
                 stateFile,
-                feed,
-                above,
-                its,
+                feedFile,
+                parentAddresses,
+                otherServices,
                 serving,
                 choice,
                 silence,
@@ -163,17 +164,17 @@
                 longestMessage);
     }
 
-    private static InetSocketAddress address(Section section, String key, String text) {
-        int colon = text.lastIndexOf(':');
-        InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
+    private static InetSocketAddress address(Section section, String key, String value) {
+        int colon = value.lastIndexOf(':');
+        InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(value.substring(0, colon));
         try {
-            int port = Integer.parseInt(text.substring(colon + 1));
+            int port = Integer.parseInt(value.substring(colon + 1));
             if (host != null && port >= (key.equals("listen") ? 0 : 1) && port <= 0xffff) {
                 return new InetSocketAddress(host, port);
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
-        throw section.contradiction(key, "expected an address and a port, found \"" + text + '"');
+        throw section.contradiction(key, "expected an address and a port, found \"" + value + '"');
     }
 }
--- a/src/main/java/pondridge/control/ControlSource.java
+++ b/src/main/java/pondridge/control/ControlSource.java
@@ -16,60 +16,66 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The source: one process with a durable file. What it is told is written before it is told on. One thread
- * reads and writes files; all else is on the loop, but {@link #start}, {@link #put} and {@link #close}.
+ * The source of the lists and settings: one process with a durable state file. A change is written to the
+ * file before it is sent to watchers. One thread reads and writes files; everything else runs on the event
+ * loop, except {@link #start}, {@link #put} and {@link #close}.
  */
 public final class ControlSource implements AutoCloseable {
-    private static final long LOOK_MS = 1_000;
+    private static final long FEED_POLL_MS = 1_000;
 
     private final EventLoop loop;
     private final ControlSettings settings;
     private final Events events;
-    private final SourceFile file;
+    private final StateFile file;
     private final SourceState state;
     private final ControlServer server;
-    private final Spread spread = new Spread();
-    private final ScheduledExecutorService files = Executors.newSingleThreadScheduledExecutor(task -> {
+    private final PropagationLatency propagationLatency = new PropagationLatency();
+    private final ScheduledExecutorService fileExecutor = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "control files");
         thread.setDaemon(true);
         return thread;
     });
-    /** Of puts that are in no commit yet, and of those in the one that is being written. */
-    private List<CompletableFuture<Version>> asked = new ArrayList<>();
+    /**
+     * Futures of puts that are not part of a commit yet, and of those in the commit that is being written.
+     */
+    private List<CompletableFuture<Version>> pendingPuts = new ArrayList<>();
 
-    private List<CompletableFuture<Version>> sealed = new ArrayList<>();
-    private boolean planned;
-    private FileTime feedOf;
+    private List<CompletableFuture<Version>> committingPuts = new ArrayList<>();
+    private boolean commitScheduled;
+    private FileTime feedModified;
 
-    /** Reads the state file; without one a new epoch begins, numbered by the clock. */
+    /** Reads the state file. Without one, starts a new epoch that is numbered by the clock. */
     public ControlSource(EventLoop loop, ControlSettings settings, Events events, Traffic traffic) throws IOException {
         this.loop = loop;
         this.settings = settings;
         this.events = events;
-        this.file = new SourceFile(settings.stateFile(), settings.markers());
-        Holdings known = file.read();
-        if (known == null) {
-            known = SourceState.fresh(System.currentTimeMillis(), settings.markers());
-            file.write(known);
-            events.told("new_epoch", "", "no " + settings.stateFile() + ", begins at " + known.version());
+        this.file = new StateFile(settings.stateFile(), settings.markers());
+        ResourceStore restored = file.read();
+        if (restored == null) {
+            restored = SourceState.newEpoch(System.currentTimeMillis(), settings.markers());
+            file.write(restored);
+            events.told(
+                    "new_epoch", "", "no file " + settings.stateFile() + ", starting at version " + restored.version());
         }
-        this.state = new SourceState(known, settings.fold(), settings.entries());
-        this.server = new ControlServer(loop, settings.serving(), state::held, now -> 0, traffic, events);
+        this.state = new SourceState(restored, settings.fold(), settings.entries());
+        this.server = new ControlServer(loop, settings.serving(), state::committed, now -> 0, traffic, events);
     }
 
-    /** Begins; gives where it listens. */
+    /** Starts the source and returns the address on which it listens. */
     public CompletableFuture<InetSocketAddress> start() {
-        loop.scheduleWithFixedDelay(this::measure, settings.report(), settings.report(), TimeUnit.NANOSECONDS);
-        if (settings.feed() != null) {
-            files.scheduleWithFixedDelay(this::feed, 0, LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::reportPropagation, settings.report(), settings.report(), TimeUnit.NANOSECONDS);
+        if (settings.feedFile() != null) {
+            fileExecutor.scheduleWithFixedDelay(this::pollFeed, 0, FEED_POLL_MS, TimeUnit.MILLISECONDS);
         }
-        return server.listen(settings.listen());
+        return server.listen(settings.listenAddress());
     }
 
     /**
-     * What is new of some keys; all in one call go into one commit. On any thread.
+     * Changes resources; all changes of one call are part of the same commit. May be called on any thread.
      *
-     * @return the version that has it, told on the loop when it is durable and before any watcher has it
+     * @return the version that includes the changes, completed on the event loop when the version is durable
+     * and before any watcher receives it
      */
     public CompletableFuture<Version> put(Collection<Resource> resources) {
         CompletableFuture<Version> durable = new CompletableFuture<>();
@@ -81,63 +87,63 @@
                     events.told("not_taken", "", e.getMessage());
                 }
             }
-            asked.add(durable);
-            settle();
-            plan();
+            pendingPuts.add(durable);
+            completePutsIfIdle();
+            scheduleCommit();
         });
         return durable;
     }
 
-    /** Where nothing is to be committed, what is asked for is there already. */
-    private void settle() {
-        if (state.pending() == 0) {
-            List<CompletableFuture<Version>> done = asked;
-            asked = new ArrayList<>();
-            done.forEach(each -> each.complete(state.held().version()));
+    /** Completes the waiting puts if nothing is left to commit: the state already includes them. */
+    private void completePutsIfIdle() {
+        if (state.pendingCount() == 0) {
+            List<CompletableFuture<Version>> completed = pendingPuts;
+            pendingPuts = new ArrayList<>();
+            completed.forEach(each -> each.complete(state.committed().version()));
         }
     }
 
-    private void feed() {
+    private void pollFeed() {
         try {
-            FileTime changed = Files.getLastModifiedTime(settings.feed());
-            if (!changed.equals(feedOf)) {
-                feedOf = changed;
-                List<Resource> all = Feed.read(settings.feed());
-                loop.execute(() -> putAll(all));
+            FileTime modified = Files.getLastModifiedTime(settings.feedFile());
+            if (!modified.equals(feedModified)) {
+                feedModified = modified;
+                List<Resource> all = FeedFile.read(settings.feedFile());
+                loop.execute(() -> replaceAll(all));
             }
         } catch (IOException e) {
             loop.execute(() -> events.told("feed_not_taken", "", e.toString()));
         }
     }
 
-    /** All that is to be in force: what is not among it goes. */
-    private void putAll(List<Resource> all) {
-        Set<String> named = new HashSet<>();
-        all.forEach(each -> named.add(each.service() + '/' + each.name()));
-        state.held().since(-1, List.of(), false).stream()
-                .filter(each -> !named.contains(each.service() + '/' + each.name()))
+    /** Replaces the whole state: resources that are not in the collection are deleted. */
+    private void replaceAll(List<Resource> all) {
+        Set<String> keys = new HashSet<>();
+        all.forEach(each -> keys.add(each.service() + '/' + each.name()));
+        state.committed().changesSince(-1, List.of(), false).stream()
+                .filter(each -> !keys.contains(each.service() + '/' + each.name()))
                 .forEach(each ->
                         state.put(new Resource(each.service(), each.name(), Resource.DELETED, ""), System.nanoTime()));
         put(all);
     }
 
-    private void plan() {
-        long due = state.due();
-        if (!planned && due < Long.MAX_VALUE) {
-            planned = true;
+    private void scheduleCommit() {
+        long due = state.nextCommitNanos();
+        if (!commitScheduled && due < Long.MAX_VALUE) {
+            commitScheduled = true;
             loop.schedule(this::commit, Math.max(0, due - System.nanoTime()), TimeUnit.NANOSECONDS);
         }
     }
 
     private void commit() {
-        planned = false;
-        Holdings draft = state.due() < Long.MAX_VALUE ? state.seal() : null;
+        commitScheduled = false;
+        ResourceStore draft = state.nextCommitNanos() < Long.MAX_VALUE ? state.prepareCommit() : null;
         if (draft == null) {
-            settle();
+            completePutsIfIdle();
         } else {
-            sealed = asked;
-            asked = new ArrayList<>();
-            files.execute(() -> {
+            committingPuts = pendingPuts;
+            pendingPuts = new ArrayList<>();
+            fileExecutor.execute(() -> {
                 IOException problem = null;
                 try {
                     file.write(draft);
@@ -145,82 +151,86 @@
                     problem = e;
                 }
                 IOException failed = problem;
-                loop.execute(() -> written(draft, failed));
+                loop.execute(() -> finishCommit(draft, failed));
             });
         }
     }
 
-    private void written(Holdings draft, IOException failed) {
+    private void finishCommit(ResourceStore draft, IOException failed) {
         if (failed == null) {
-            state.written();
-            spread.committed(draft.version(), System.nanoTime());
-            sealed.forEach(each -> each.complete(draft.version()));
-            server.changed();
+            state.commitSucceeded();
+            propagationLatency.recordCommit(draft.version(), System.nanoTime());
+            committingPuts.forEach(each -> each.complete(draft.version()));
+            server.stateChanged();
         } else {
             events.told("not_written", "", settings.stateFile() + ": " + failed);
-            state.failed(System.nanoTime());
-            asked.addAll(0, sealed);
+            state.commitFailed(System.nanoTime());
+            pendingPuts.addAll(0, committingPuts);
         }
-        sealed = new ArrayList<>();
-        plan();
+        committingPuts = new ArrayList<>();
+        scheduleCommit();
     }
 
-    private void measure() {
-        long before = spread.count();
-        Sums sums = server.serving().sums();
-        spread.told(sums, System.nanoTime());
-        if (spread.count() > before) {
+    private void reportPropagation() {
+        long countBefore = propagationLatency.completedCommits();
+        PropagationStatus status = server.scheduler().propagationStatus();
+        propagationLatency.recordStatus(status, System.nanoTime());
+        if (propagationLatency.completedCommits() > countBefore) {
             events.told(
                     "in_force",
                     "",
-                    sums.lowest() + " at " + sums.count() + " after " + spread.last() / 1_000_000 + " ms");
-        } else if (spread.waiting(System.nanoTime()) > settings.silence()) {
+                    "version " + status.lowestVersion() + " reached " + status.count() + " followers after "
+                            + propagationLatency.lastNanos() / 1_000_000 + " ms");
+        } else if (propagationLatency.oldestPendingNanos(System.nanoTime()) > settings.silence()) {
             events.told(
                     "not_in_force",
-                    String.join(",", sums.behind()),
-                    "lowest " + sums.lowest() + " of " + sums.count() + ", newest "
-                            + state.held().version());
+                    String.join(",", status.laggingInstances()),
+                    "lowest version " + status.lowestVersion() + " of " + status.count() + " followers, newest "
+                            + state.committed().version());
         }
     }
 
-    /** What is durable; on the loop. */
+    /** Returns the durable version. Call on the event loop. */
     public Version version() {
-        return state.held().version();
+        return state.committed().version();
     }
 
-    /** Of some services, or of all where none are named; on the loop. */
+    /** Returns the digest of the given services, or of all if none are given. Call on the event loop. */
     public long digest(Collection<String> services) {
-        return state.held().digest(services);
+        return state.committed().digest(services);
     }
 
-    /** Who has what; on the loop. */
-    public Sums sums() {
-        return server.serving().sums();
+    /** Returns which versions the followers have. Call on the event loop. */
+    public PropagationStatus propagationStatus() {
+        return server.scheduler().propagationStatus();
     }
 
-    /** Updates sent that were the whole; on the loop. */
+    /** Returns the number of snapshots sent. Call on the event loop. */
     public long wholes() {
-        return server.serving().wholes();
+        return server.scheduler().snapshotsSent();
     }
 
-    /** Updates sent that were a difference; on the loop. */
+    /** Returns the number of deltas sent. Call on the event loop. */
     public long differences() {
-        return server.serving().differences();
+        return server.scheduler().deltasSent();
     }
 
-    /** The longest that a commit took to be in force everywhere, in nanoseconds; -1 for none. On the loop. */
-    public long longestSpread() {
-        return spread.longest();
+    /**
+     * Returns the longest time that a commit took to reach all followers, in nanoseconds; -1 if none has yet.
+     * Call on the event loop.
+     */
+    public long longestPropagationNanos() {
+        return propagationLatency.longestNanos();
     }
 
-    /** Commits that are in force everywhere; on the loop. */
-    public long inForce() {
-        return spread.count();
+    /** Returns the number of commits that have reached all followers. Call on the event loop. */
+    public long fullyPropagatedCommits() {
+        return propagationLatency.completedCommits();
     }
 
     @Override
     public void close() {
         loop.execute(server::close);
-        files.shutdown();
+        fileExecutor.shutdown();
     }
 }
--- a/src/main/java/pondridge/control/Events.java
+++ b/src/main/java/pondridge/control/Events.java
@@ -7,64 +7,67 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What an operator should know; told on the loop. */
+/** Receives events that an operator should know of. Called on the event loop. */
 public interface Events {
-    /** Nobody is told. */
+    /** Ignores all events. */
     Events NONE = (event, peer, detail) -> {};
 
     /**
-     * Something has happened.
+     * Reports an event.
      *
      * @param event its kind, one word
-     * @param peer whom it is about; empty for nobody
+     * @param peer the instance or relay concerned; empty for none
      */
     void told(String event, String peer, String detail);
 
-    /** JSON lines, five a second of one kind; the next one says how many were left out. */
+    /**
+     * Returns a sink that logs events as JSON lines, five a second of each kind at most. The next line logged
+     * says how many were omitted.
+     */
     static Events lines(String instance) {
-        return new Lines(instance);
+        return new JsonLines(instance);
     }
 
     /** See {@link #lines}. */
-    final class Lines implements Events {
-        private static final Logger LINES = LoggerFactory.getLogger("bankflow.control");
-        private static final int PER_SECOND = 5;
-        private static final long SECOND = 1_000_000_000;
+    final class JsonLines implements Events {
+        private static final Logger LOGGER = LoggerFactory.getLogger("bankflow.control");
+        private static final int MAX_LINES_PER_SECOND = 5;
+        private static final long SECOND_NANOS = 1_000_000_000;
 
-        private static final class Budget {
-            private long began;
-            private int told;
-            private int leftOut;
+        private static final class RateLimit {
+            private long windowStartNanos;
+            private int linesLogged;
+            private int linesOmitted;
         }
 
         private final String instance;
-        private final Map<String, Budget> budgets = new HashMap<>();
+        private final Map<String, RateLimit> rateLimits = new HashMap<>();
 
-        private Lines(String instance) {
+        private JsonLines(String instance) {
             this.instance = instance;
         }
 
         @Override
         public synchronized void told(String event, String peer, String detail) {
-            long now = System.nanoTime();
-            Budget budget = budgets.computeIfAbsent(event, each -> new Budget());
-            if (budget.told == 0 || now - budget.began >= SECOND) {
-                budget.began = now;
-                budget.told = 0;
+            long nowNanos = System.nanoTime();
+            RateLimit rateLimit = rateLimits.computeIfAbsent(event, each -> new RateLimit());
+            if (rateLimit.linesLogged == 0 || nowNanos - rateLimit.windowStartNanos >= SECOND_NANOS) {
+                rateLimit.windowStartNanos = nowNanos;
+                rateLimit.linesLogged = 0;
             }
-            if (budget.told == PER_SECOND) {
-                budget.leftOut++;
+            if (rateLimit.linesLogged == MAX_LINES_PER_SECOND) {
+                rateLimit.linesOmitted++;
                 return;
             }
-            budget.told++;
+            rateLimit.linesLogged++;
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("event", event);
             fields.put("instance", instance);
             fields.put("peer", peer);
             fields.put("detail", detail);
-            fields.put("left_out", budget.leftOut);
-            budget.leftOut = 0;
-            LINES.info("{}", event, StructuredArguments.entries(fields));
+            fields.put("left_out", rateLimit.linesOmitted);
+            rateLimit.linesOmitted = 0;
+            LOGGER.info("{}", event, StructuredArguments.entries(fields));
         }
     }
 }
--- a/src/main/java/pondridge/control/Feed.java
+++ b/src/main/java/pondridge/control/FeedFile.java
@@ -8,20 +8,20 @@
 import java.util.List;
 
 /**
- * A file that says all that is to be in force, a line of JSON for each entry and setting: {@code service},
- * {@code name}, {@code state}, {@code body}. One bad line and nothing of it is taken.
+ * A file with the complete desired state: one line of JSON for each entry and setting, with {@code service},
+ * {@code name}, {@code state} and {@code body}. If one line is invalid, the whole file is rejected.
  */
-final class Feed {
-    private static final int LARGEST = 64 << 20;
+final class FeedFile {
+    private static final int MAX_BYTES = 64 << 20;
 
-    private Feed() {}
+    private FeedFile() {}
 
-    /** Reads it; an {@link IOException} names file and line of the first mistake. */
+    /** Reads the file. An {@link IOException} names the file and the line of the first error. */
     static List<Resource> read(Path path) throws IOException {
-        if (Files.size(path) > LARGEST) {
-            throw new IOException(path + ": larger than " + LARGEST + " bytes");
+        if (Files.size(path) > MAX_BYTES) {
+            throw new IOException(path + ": larger than " + MAX_BYTES + " bytes");
         }
-        List<Resource> all = new ArrayList<>();
+        List<Resource> resources = new ArrayList<>();
         int line = 0;
         for (String text : Files.readAllLines(path)) {
             line++;
@@ -29,8 +29,8 @@
                 continue;
             }
             try {
-                JsonNode node = Codec.read(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-                all.add(new Resource(
+                JsonNode node = Codec.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                resources.add(new Resource(
                         node.path("service").asText(),
                         node.path("name").asText(),
                         node.path("state").asText("SERVING"),
@@ -39,6 +39,6 @@
                 throw new IOException(path + ": line " + line + ": " + e.getMessage(), e);
             }
         }
-        return all;
+        return resources;
     }
 }
--- a/src/main/java/pondridge/control/FollowerState.java
+++ b/src/main/java/pondridge/control/FollowerState.java
@@ -3,93 +3,97 @@
 import java.util.List;
 
 /**
- * What a watcher knows, and what it takes over: nothing older than it has within an epoch, nothing of an
- * earlier epoch, nothing that does not fit on what it has, and nothing whose digest is not the sender's. What
- * is not taken changes nothing. Times in nanoseconds. Not for several threads.
+ * The state that a watcher holds, and the rules by which it accepts updates. It rejects an older version of
+ * the same epoch, an earlier epoch, a delta from a version that it doesn't hold, and an update whose digest
+ * differs from the sender's. A rejected update changes nothing. Not thread-safe.
  */
 final class FollowerState {
-    /** What came of an update. */
-    enum Verdict {
-        /** What is held is new. */
-        TAKEN,
-        /** All is as it was, and known to be so. */
-        BEAT,
-        /** The sender is behind; it may catch up. */
-        OLDER,
-        /** A difference since a version that is not held. */
+    /** The outcome of an update. */
+    enum ApplyResult {
+        /** The update was applied and changed the state. */
+        APPLIED,
+        /** The update confirmed the state that is held. */
+        UNCHANGED,
+        /** The sender's version is older than the one held. The sender may catch up. */
+        SENDER_BEHIND,
+        /** The update is a delta from a version that is not held. */
         GAP,
-        /** Taken over it would not be what the sender holds: the whole is needed. */
+        /** Applying the update would not give the sender's state. A snapshot is needed. */
         MISMATCH
     }
 
-    private final Hello who;
-    private final int mostMarkers;
-    private Holdings held;
-    private long heardAt;
-    private boolean heard;
-    private List<String> absent = List.of();
+    private final Hello identity;
+    private final int maxTombstones;
+    private ResourceStore resources;
+    private long lastSourceContactNanos;
+    private boolean sourceContacted;
+    private List<String> missingServices = List.of();
 
     /**
-     * Knows nothing yet.
+     * Creates an empty state.
      *
-     * @param mostMarkers of what has gone, for a relay; 0 for one that passes nothing on
+     * @param maxTombstones the limit for a relay; 0 for a follower, which forwards nothing
      */
-    FollowerState(String instance, List<String> services, boolean passesOn, int mostMarkers) {
-        this.who = new Hello(instance, services, passesOn, Version.NONE);
-        this.mostMarkers = mostMarkers;
-        this.held = new Holdings(mostMarkers);
+    FollowerState(String instance, List<String> services, boolean isRelay, int maxTombstones) {
+        this.identity = new Hello(instance, services, isRelay, Version.NONE);
+        this.maxTombstones = maxTombstones;
+        this.resources = new ResourceStore(maxTombstones);
     }
 
-    Holdings held() {
-        return held;
+    ResourceStore resources() {
+        return resources;
     }
 
     Version version() {
-        return held.version();
+        return resources.version();
     }
 
-    /** Services asked for that were not there by the last word. */
-    List<String> absent() {
-        return absent;
+    /** Returns the followed services that did not exist as of the last update. */
+    List<String> missingServices() {
+        return missingServices;
     }
 
-    /** How it begins at a server: with the version it has. */
+    /** Builds the hello that opens a connection. It carries the version that is held. */
     Hello hello() {
-        return new Hello(who.instance(), who.services(), who.passesOn(), held.version());
+        return new Hello(identity.instance(), identity.services(), identity.isRelay(), resources.version());
     }
 
-    /** How old what is known may be: since the source was heard, by however many relays; MAX for never. */
-    long age(long now) {
-        return heard ? Math.max(0, now - heardAt) : Long.MAX_VALUE;
+    /**
+     * Returns the age of the state: the time since the source was known to confirm it, through any number of
+     * relays. {@code Long.MAX_VALUE} if it never was.
+     */
+    long ageNanos(long nowNanos) {
+        return sourceContacted ? Math.max(0, nowNanos - lastSourceContactNanos) : Long.MAX_VALUE;
     }
 
-    /** Takes an update over if it may. */
-    Verdict take(Update update, long now) {
-        Version has = held.version();
-        if (update.version().compareTo(has) < 0) {
-            return Verdict.OLDER;
+    /** Applies an update if the rules permit it. */
+    ApplyResult apply(Update update, long nowNanos) {
+        Version current = resources.version();
+        if (update.version().compareTo(current) < 0) {
+            return ApplyResult.SENDER_BEHIND;
         }
-        if (!update.whole() && (update.version().epoch() != has.epoch() || update.from() > has.number())) {
-            return Verdict.GAP;
+        if (!update.snapshot()
+                && (update.version().epoch() != current.epoch() || update.baseNumber() > current.number())) {
+            return ApplyResult.GAP;
         }
-        Holdings into = update.whole() ? new Holdings(mostMarkers) : held;
-        Long after = into.digestAfter(update.changes());
-        if (after == null || after != update.digest()) {
-            return Verdict.MISMATCH;
+        ResourceStore next = update.snapshot() ? new ResourceStore(maxTombstones) : resources;
+        Long digestAfter = next.digestAfter(update.changes());
+        if (digestAfter == null || digestAfter != update.digest()) {
+            return ApplyResult.MISMATCH;
         }
-        boolean news = update.whole() || !update.changes().isEmpty();
-        into.apply(update.changes(), update.version(), update.whole() ? update.floor() : 0);
-        held = into;
-        absent = update.absent();
-        heardNow(update, now);
-        return news ? Verdict.TAKEN : Verdict.BEAT;
+        boolean changed = update.snapshot() || !update.changes().isEmpty();
+        next.apply(update.changes(), update.version(), update.snapshot() ? update.oldestDeltaBase() : 0);
+        resources = next;
+        missingServices = update.missingServices();
+        recordSourceContact(update, nowNanos);
+        return changed ? ApplyResult.APPLIED : ApplyResult.UNCHANGED;
     }
 
-    private void heardNow(Update update, long now) {
+    private void recordSourceContact(Update update, long nowNanos) {
         if (update.ageMs() >= 0) {
-            long at = now - update.ageMs() * 1_000_000;
-            heardAt = heard ? Math.max(heardAt, at) : at;
-            heard = true;
+            long contactNanos = nowNanos - update.ageMs() * 1_000_000;
+            lastSourceContactNanos = sourceContacted ? Math.max(lastSourceContactNanos, contactNanos) : contactNanos;
+            sourceContacted = true;
         }
     }
 }
--- a/src/main/java/pondridge/control/Following.java
+++ b/src/main/java/pondridge/control/Following.java
@@ -5,19 +5,19 @@
 import pondridge.core.Engine;
 import pondridge.core.Target;
 
-/** A sidecar whose lists come by control in place of discovery. */
+/** Connects a sidecar to the control plane, as its source of endpoint lists in place of discovery. */
 public final class Following {
     private Following() {}
 
-    /** Starts the engine with what is known and follows from now on; on the loop. */
-    public static void begin(EventLoop loop, Engine engine, ControlSettings settings, List<Target> known) {
+    /** Starts the engine with the known targets and follows changes from then on. Call on the event loop. */
+    public static void begin(EventLoop loop, Engine engine, ControlSettings settings, List<Target> knownTargets) {
         ControlClient client = new ControlClient(
                 loop,
                 settings,
-                (version, kind, targets, others) -> engine.listed(kind, targets),
+                (version, kind, targets, changedSettings) -> engine.listed(kind, targets),
                 (event, peer, detail) -> System.err.println("control: " + event + ' ' + peer + ' ' + detail),
                 new Traffic());
-        engine.start(client, known);
+        engine.start(client, knownTargets);
         client.start();
     }
 }
--- a/src/main/java/pondridge/control/SourceState.java
+++ b/src/main/java/pondridge/control/SourceState.java
@@ -6,111 +6,122 @@
 import java.util.Map;
 
 /**
- * The one source. Changes of one moment fold into one commit: a new number, told to nobody before it is
- * durable. Times in nanoseconds; no I/O, not for several threads.
+ * The state of the source. Changes that arrive within a short delay are combined into one commit with a new
+ * version number. A commit becomes visible to watchers only when it is durable. Does no I/O. Not thread-safe.
  */
 final class SourceState {
     private record Key(String service, String name) {}
 
-    private final long fold;
-    private final int mostEntries;
+    private final long commitDelayNanos;
+    private final int maxEntries;
     private final Map<Key, Resource> pending = new LinkedHashMap<>();
-    private Map<Key, Resource> writing = Map.of();
-    private Holdings live;
-    private Holdings draft;
-    private long since;
+    private Map<Key, Resource> committing = Map.of();
+    private ResourceStore committed;
+    private ResourceStore draft;
+    private long firstPendingNanos;
 
     /**
-     * Goes on from what was durable.
+     * Resumes from durable state.
      *
-     * @param fold changes are collected for so long
+     * @param commitDelayNanos how long changes are collected before they are committed
      */
-    SourceState(Holdings live, long fold, int mostEntries) {
-        this.live = live;
-        this.fold = fold;
-        this.mostEntries = mostEntries;
+    SourceState(ResourceStore committed, long commitDelayNanos, int maxEntries) {
+        this.committed = committed;
+        this.commitDelayNanos = commitDelayNanos;
+        this.maxEntries = maxEntries;
     }
 
-    /** Without history: in an epoch after all that were before. */
-    static Holdings fresh(long epoch, int mostMarkers) {
-        Holdings made = new Holdings(mostMarkers);
-        made.apply(List.of(), new Version(epoch, 1), 0);
-        return made;
+    /** Creates the state of a source without history, in an epoch later than all earlier ones. */
+    static ResourceStore newEpoch(long epoch, int maxTombstones) {
+        ResourceStore store = new ResourceStore(maxTombstones);
+        store.apply(List.of(), new Version(epoch, 1), 0);
+        return store;
     }
 
-    /** What is durable, and may be told. */
-    Holdings held() {
-        return live;
+    /** Returns the durable state, the only one that may be sent to watchers. */
+    ResourceStore committed() {
+        return committed;
     }
 
-    int pending() {
-        return pending.size() + writing.size();
+    int pendingCount() {
+        return pending.size() + committing.size();
     }
 
-    /** A key's new state; the last one before a commit counts. */
-    void put(Resource resource, long now) {
+    /** Sets the state of a key. The last state set before a commit takes effect. */
+    void put(Resource resource, long nowNanos) {
         Key key = new Key(resource.service(), resource.name());
-        if (live.live() + pending() >= mostEntries
-                && !resource.gone()
+        if (committed.liveCount() + pendingCount() >= maxEntries
+                && !resource.isDeleted()
                 && !pending.containsKey(key)
-                && live.get(resource.service(), resource.name()) == null) {
+                && committed.get(resource.service(), resource.name()) == null) {
             throw new IllegalArgumentException(
-                    resource.service() + '/' + resource.name() + ": " + mostEntries + " entries at most");
+                    resource.service() + '/' + resource.name() + ": " + maxEntries + " entries at most");
         }
         if (pending.isEmpty()) {
-            since = now;
+            firstPendingNanos = nowNanos;
         }
         pending.put(key, resource);
     }
 
-    /** When the next commit is to be made; MAX while there is nothing to commit, or one is being written. */
-    long due() {
-        return pending.isEmpty() || draft != null ? Long.MAX_VALUE : since + fold;
+    /**
+     * Returns when the next commit is due, or {@code Long.MAX_VALUE} while nothing is pending or a commit is
+     * being written.
+     */
+    long nextCommitNanos() {
+        return pending.isEmpty() || draft != null ? Long.MAX_VALUE : firstPendingNanos + commitDelayNanos;
     }
 
-    /** What is to be written as the next state; null where all is as it was. */
-    Holdings seal() {
-        Version version = new Version(live.version().epoch(), live.version().number() + 1);
+    /**
+     * Builds the state to be written by the next commit, or returns null if the pending changes alter
+     * nothing.
+     */
+    ResourceStore prepareCommit() {
+        Version version =
+                new Version(committed.version().epoch(), committed.version().number() + 1);
         List<Change> changes = new ArrayList<>();
         pending.forEach((key, wanted) -> {
-            Resource old = live.get(key.service(), key.name());
-            if (old == null ? !wanted.gone() : !old.equals(wanted)) {
-                boolean same = wanted.gone() || old != null && old.body().equals(wanted.body());
+            Resource previous = committed.get(key.service(), key.name());
+            if (previous == null ? !wanted.isDeleted() : !previous.equals(wanted)) {
+                boolean sameBody = wanted.isDeleted()
+                        || previous != null && previous.body().equals(wanted.body());
                 changes.add(new Change(
                         key.service(),
                         key.name(),
                         wanted.state(),
-                        same ? null : wanted.body(),
+                        sameBody ? null : wanted.body(),
                         version.number(),
-                        same ? 0 : version.number()));
+                        sameBody ? 0 : version.number()));
             }
         });
-        writing = new LinkedHashMap<>(pending);
+        committing = new LinkedHashMap<>(pending);
         pending.clear();
         if (changes.isEmpty()) {
-            writing = Map.of();
+            committing = Map.of();
             return null;
         }
-        draft = live.copy();
+        draft = committed.copy();
         draft.apply(changes, version, 0);
         return draft;
     }
 
-    /** What was sealed is durable. */
-    void written() {
-        live = draft;
+    /** Publishes the prepared commit, which is now durable. */
+    void commitSucceeded() {
+        committed = draft;
         draft = null;
-        writing = Map.of();
+        committing = Map.of();
     }
 
-    /** What was sealed could not be written: it is to be sealed again, with what has come since. */
-    void failed(long now) {
+    /**
+     * Discards the prepared commit, which could not be written. Its changes become pending again, together
+     * with those that arrived in the meantime.
+     */
+    void commitFailed(long nowNanos) {
         Map<Key, Resource> newer = new LinkedHashMap<>(pending);
         pending.clear();
-        pending.putAll(writing);
+        pending.putAll(committing);
         pending.putAll(newer);
-        writing = Map.of();
+        committing = Map.of();
         draft = null;
-        since = now;
+        firstPendingNanos = nowNanos;
     }
 }
--- a/src/main/java/pondridge/control/Targets.java
+++ b/src/main/java/pondridge/control/Targets.java
@@ -7,15 +7,16 @@
 import pondridge.core.Target;
 
 /**
- * Entries of a list as resources: the body is endpoint, zone, kind, cell, weight and start time, with a space
- * between; {@code -} stands for an empty text. Addresses only, no names are looked up.
+ * Converts entries of an endpoint list to resources and back. The body holds endpoint, zone, kind, cell,
+ * weight and start time, separated by spaces; {@code -} stands for an empty text. Endpoints are IP addresses;
+ * host names are not resolved.
  */
 public final class Targets {
     private static final int FIELDS = 6;
 
     private Targets() {}
 
-    /** As a resource of a service. */
+    /** Converts a target to a resource of a service. */
     public static Resource resource(String service, Target target) {
         String state =
                 switch (target.state()) {
@@ -33,9 +34,9 @@
                                 + ':'
                                 + target.endpoint().getPort()
                                 + ' '
-                                + text(target.zone())
+                                + encodeText(target.zone())
                                 + ' '
-                                + text(target.kind())
+                                + encodeText(target.kind())
                                 + ' '
                                 + target.cell()
                                 + ' '
@@ -46,39 +47,39 @@
                                 + target.startedMs());
     }
 
-    private static String text(String text) {
+    private static String encodeText(String text) {
         return text.isEmpty() ? "-" : text.replace(' ', '_');
     }
 
-    /** Back again; an {@link IllegalArgumentException} names one that makes no sense. */
-    static Target target(String name, String state, String body) {
+    /** Converts a resource to a target. An {@link IllegalArgumentException} names an invalid one. */
+    static Target toTarget(String name, String state, String body) {
         if (state.equals(Resource.DELETED)) {
             return new Target(name, null, "", "", 0, State.GONE, 0, 0);
         }
-        String[] parts = body.split(" ");
+        String[] fields = body.split(" ");
         try {
-            int colon = parts[0].lastIndexOf(':');
-            String host = parts[0].substring(0, Math.max(0, colon));
-            if (parts.length == FIELDS && host.matches("[0-9.]{7,15}|[0-9a-fA-F:]{2,45}")) {
+            int colon = fields[0].lastIndexOf(':');
+            String host = fields[0].substring(0, Math.max(0, colon));
+            if (fields.length == FIELDS && host.matches("[0-9.]{7,15}|[0-9a-fA-F:]{2,45}")) {
                 return new Target(
                         name,
                         new InetSocketAddress(
-                                InetAddress.getByName(host), Integer.parseInt(parts[0].substring(colon + 1))),
-                        empty(parts[1]),
-                        empty(parts[2]),
-                        Integer.parseInt(parts[3]),
+                                InetAddress.getByName(host), Integer.parseInt(fields[0].substring(colon + 1))),
+                        decodeText(fields[1]),
+                        decodeText(fields[2]),
+                        Integer.parseInt(fields[3]),
                         state.equals("SERVING") ? State.READY : State.DRAINING,
-                        Float.parseFloat(parts[4]),
-                        Long.parseLong(parts[5]));
+                        Float.parseFloat(fields[4]),
+                        Long.parseLong(fields[5]));
             }
         } catch (IllegalArgumentException | UnknownHostException e) {
-            // Told below.
+            // Reported below.
         }
         throw new IllegalArgumentException(name + ": expected endpoint, zone, kind, cell, weight and start, "
                 + "found \"" + (body.length() <= 80 ? body : body.substring(0, 80) + "...") + '"');
     }
 
-    private static String empty(String text) {
+    private static String decodeText(String text) {
         return text.equals("-") ? "" : text.intern();
     }
 }
--- a/src/main/java/pondridge/control/Traffic.java
+++ b/src/main/java/pondridge/control/Traffic.java
@@ -2,19 +2,22 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** What went over sockets, frames included; may be shared by many clients. On any thread. */
+/**
+ * Counts messages and bytes on connections, including frame headers. May be shared by many clients.
+ * Thread-safe.
+ */
 public final class Traffic {
     private final LongAdder messagesIn = new LongAdder();
     private final LongAdder bytesIn = new LongAdder();
     private final LongAdder messagesOut = new LongAdder();
     private final LongAdder bytesOut = new LongAdder();
 
-    void in(int bytes) {
+    void recordReceived(int bytes) {
         messagesIn.increment();
         bytesIn.add(bytes);
     }
 
-    void out(int bytes) {
+    void recordSent(int bytes) {
         messagesOut.increment();
         bytesOut.add(bytes);
     }
--- a/src/main/java/pondridge/control/Update.java
+++ b/src/main/java/pondridge/control/Update.java
@@ -3,25 +3,25 @@
 import java.util.List;
 
 /**
- * What a server tells a watcher: the whole of its services, or the difference since a version that it has;
- * without changes it is a beat.
+ * An update from a server to a watcher: a snapshot of the watcher's services, or a delta from a version that
+ * it holds. Without changes it is a heartbeat.
  *
- * @param serial within the call, from 1
- * @param version that it brings the watcher to
- * @param whole whether all that is not in it has gone
- * @param from the difference is since this number, of the same epoch; 0 for the whole
- * @param floor the sender can tell differences since this number, and later ones
- * @param absent services asked for that are not there
- * @param digest of all that the watcher holds when it has taken this
- * @param ageMs how long ago the source was heard by the sender, in milliseconds
+ * @param serial sequence number within the connection, from 1
+ * @param version that the watcher has after this update
+ * @param snapshot whether resources that are not in the update are to be removed
+ * @param baseNumber commit number that the delta starts from, in the same epoch; 0 for a snapshot
+ * @param oldestDeltaBase lowest commit number from which the sender can compute a delta
+ * @param missingServices requested services that do not exist
+ * @param digest of all that the watcher holds after applying this update
+ * @param ageMs time since the source last confirmed the sender's state, in milliseconds; -1 if it never did
  */
 record Update(
         long serial,
         Version version,
-        boolean whole,
-        long from,
-        long floor,
+        boolean snapshot,
+        long baseNumber,
+        long oldestDeltaBase,
         List<Change> changes,
-        List<String> absent,
+        List<String> missingServices,
         long digest,
         long ageMs) {}
--- a/src/main/java/pondridge/control/Version.java
+++ b/src/main/java/pondridge/control/Version.java
@@ -1,11 +1,11 @@
 package pondridge.control;
 
 /**
- * How new a state is. Numbers count the source's commits within an epoch; a source that has lost its history
- * begins a later epoch, so that its numbers are never taken for those of before.
+ * The version of a state. Numbers count the commits of the source within an epoch. A source that has lost its
+ * history starts a later epoch, so that its numbers can't be confused with earlier ones.
  */
 public record Version(long epoch, long number) implements Comparable<Version> {
-    /** Of one that knows nothing yet. */
+    /** The version of an empty state. */
     public static final Version NONE = new Version(0, 0);
 
     @Override
--- a/src/main/java/pondridge/control/package-info.java
+++ b/src/main/java/pondridge/control/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Carries lists and settings from one source over relays to many sidecars: state is a version, what is new is
- * a folded difference, and what is known by whom is a sum. Off unless switched on by settings; nothing of it
- * is loaded by the platform's own start. What decides stands apart from sockets and takes the time as an
- * argument, in nanoseconds.
+ * Distributes endpoint lists and settings from one source through relays to many sidecars. The state has a
+ * version; changes are sent as deltas that combine all changes since the receiver's version; the versions
+ * that followers have are reported as aggregates. Off unless enabled in the settings; the platform does not
+ * load these classes when it starts without them. Classes that decide are separate from sockets and take the
+ * time as an argument, in nanoseconds.
  */
 package pondridge.control;
--- a/src/test/java/pondridge/control/ControlIT.java
+++ b/src/test/java/pondridge/control/ControlIT.java
@@ -16,9 +16,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import pondridge.demo.Child;
 
-/** Processes of the shipped program: a relay is killed, another one stopped, the source killed. */
+/**
+ * Runs the packaged program in several processes: one relay is killed, another is stopped, the source is
+ * killed.
+ */
 class ControlIT {
-    private static final String TIMES = "beat = \"300ms\"\nsilence = \"1500ms\"\nstale = \"6s\"\n"
+    private static final String TIMING = "beat = \"300ms\"\nsilence = \"1500ms\"\nstale = \"6s\"\n"
             + "fold = \"50ms\"\ngap = \"50ms\"\nspread = \"300ms\"\nack_within = \"3s\"\nreport = \"100ms\"\n"
             + "bytes_per_second = \"64KiB\"\n";
     private final List<Child> children = new ArrayList<>();
@@ -32,9 +35,10 @@
         children.forEach(Child::kill);
     }
 
-    private Child start(String name, String role, String more) throws IOException {
+    private Child start(String name, String role, String extraSettings) throws IOException {
         Path file = folder.resolve(name + ".toml");
-        Files.writeString(file, "[control]\nrole = \"" + role + "\"\ninstance = \"" + name + "\"\n" + TIMES + more);
+        Files.writeString(
+                file, "[control]\nrole = \"" + role + "\"\ninstance = \"" + name + "\"\n" + TIMING + extraSettings);
         Child child = Child.start(
                 name,
                 "pondridge.cli.Bankflow",
@@ -67,12 +71,13 @@
         text.append("{\"service\":\"svc1\",\"name\":\"@version\",\"state\":\"SET\",\"body\":\"")
                 .append(version)
                 .append("\"}\n");
-        Path beside = folder.resolve("feed.new");
-        Files.writeString(beside, text);
-        Files.move(beside, folder.resolve("feed"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path newFile = folder.resolve("feed.new");
+        Files.writeString(newFile, text);
+        Files.move(
+                newFile, folder.resolve("feed"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static String at(Child follower, String number) throws IOException {
+    private static String appliedDetail(Child follower, String number) throws IOException {
         return follower.await(line -> line.event().equals("applied")
                         && line.json().path("detail").asText().contains("." + number + ' '))
                 .json()
@@ -80,47 +85,52 @@
                 .asText();
     }
 
-    private static String relayOf(Child follower, long after) throws IOException {
-        return follower.await(line -> line.event().equals("following") && line.at() > after)
+    private static String relayOf(Child follower, long afterNanos) throws IOException {
+        return follower.await(line -> line.event().equals("following") && line.at() > afterNanos)
                 .json()
                 .path("peer")
                 .asText();
     }
 
     @Test
-    void followersMoveOnFromARelayThatIsKilledOrStopped() throws IOException {
+    void aFollowerMovesToAnotherRelayWhenItsRelayIsKilledOrStopped() throws IOException {
         feed(1);
-        String sourceMore = "feed = \"feed\"\nstate_file = \"state\"\n";
-        Child source = start("source", "source", "listen = \"127.0.0.1:0\"\n" + sourceMore);
-        String sourceAt = address(source);
+        String sourceSettings = "feed = \"feed\"\nstate_file = \"state\"\n";
+        Child source = start("source", "source", "listen = \"127.0.0.1:0\"\n" + sourceSettings);
+        String sourceAddress = address(source);
         Child[] relays = new Child[2];
-        String[] at = new String[2];
+        String[] relayAddresses = new String[2];
         for (int i = 0; i < 2; i++) {
-            relays[i] = start("r" + i, "relay", "listen = \"127.0.0.1:0\"\nabove = [\"" + sourceAt + "\"]\n");
-            at[i] = address(relays[i]);
+            relays[i] = start("r" + i, "relay", "listen = \"127.0.0.1:0\"\nabove = [\"" + sourceAddress + "\"]\n");
+            relayAddresses[i] = address(relays[i]);
         }
-        Child follower =
-                start("f1", "follower", "services = [\"svc1\"]\nabove = [\"" + at[0] + "\", \"" + at[1] + "\"]\n");
-        assertTrue(at(follower, "2").endsWith("FULL 20 entries 1 settings"));
+        Child follower = start(
+                "f1",
+                "follower",
+                "services = [\"svc1\"]\nabove = [\"" + relayAddresses[0] + "\", \"" + relayAddresses[1] + "\"]\n");
+        assertTrue(appliedDetail(follower, "2").endsWith("FULL 20 entries 1 settings"));
 
-        int first = relayOf(follower, Long.MIN_VALUE).equals(at[0]) ? 0 : 1;
-        long then = System.nanoTime();
+        int first = relayOf(follower, Long.MIN_VALUE).equals(relayAddresses[0]) ? 0 : 1;
+        long killedNanos = System.nanoTime();
         relays[first].kill();
         feed(2);
-        assertTrue(at(follower, "3").endsWith("DELTA 0 entries 1 settings"));
-        assertEquals(at[1 - first], relayOf(follower, then));
+        assertTrue(appliedDetail(follower, "3").endsWith("DELTA 0 entries 1 settings"));
+        assertEquals(relayAddresses[1 - first], relayOf(follower, killedNanos));
 
-        relays[first] = start("r" + first, "relay", "listen = \"" + at[first] + "\"\nabove = [\"" + sourceAt + "\"]\n");
-        long stopped = System.nanoTime();
+        relays[first] = start(
+                "r" + first,
+                "relay",
+                "listen = \"" + relayAddresses[first] + "\"\nabove = [\"" + sourceAddress + "\"]\n");
+        long stoppedNanos = System.nanoTime();
         relays[1 - first].pause(6_000);
         feed(3);
-        assertTrue(at(follower, "4").endsWith("DELTA 0 entries 1 settings"));
-        assertEquals(at[first], relayOf(follower, stopped));
+        assertTrue(appliedDetail(follower, "4").endsWith("DELTA 0 entries 1 settings"));
+        assertEquals(relayAddresses[first], relayOf(follower, stoppedNanos));
 
         source.kill();
-        start("source2", "source", "listen = \"" + sourceAt + "\"\n" + sourceMore);
+        start("source2", "source", "listen = \"" + sourceAddress + "\"\n" + sourceSettings);
         feed(4);
-        assertTrue(at(follower, "5").endsWith("DELTA 0 entries 1 settings"));
+        assertTrue(appliedDetail(follower, "5").endsWith("DELTA 0 entries 1 settings"));
         assertTrue(lines.stream().noneMatch(line -> line.event().equals("refused")));
     }
 }
--- a/src/test/java/pondridge/control/ControlModel.java
+++ b/src/test/java/pondridge/control/ControlModel.java
@@ -12,58 +12,62 @@
 import java.util.TreeMap;
 
 /**
- * A source, three relays (one of them below the others) and followers, all with the real deciding classes, in
- * virtual time: the same seed plays the same run. For a minute calls break or fall silent, updates come
- * twice, late or torn, readers stand still, and each part restarts, the source also within a write and
- * without its history. Then all is whole again, and by a stated time all have to have the same. Everything
- * taken over is held against what the source had at that version.
+ * Simulates a source, three relays (one of them below the others) and followers in virtual time. It runs the
+ * real classes that decide; the same seed repeats the same run. For a minute connections break or fall
+ * silent, updates arrive twice, late or truncated, readers stall, and every process restarts: the source also
+ * during a write and without its history. Then the faults end, and all must have the same state by a fixed
+ * deadline. Each state that an update produces is compared with what the source had committed at that
+ * version.
  */
 final class ControlModel {
-    static final long MS = 1_000_000;
-    static final long SECOND = 1_000 * MS;
-    static final long CHAOS = 60 * SECOND;
-    /** Stated: longest pause and spread, the joins of one relay, silence and a stale relay, twice over. */
-    static final long SETTLED = CHAOS + 45 * SECOND;
+    static final long MILLISECOND = 1_000_000;
+    static final long SECOND = 1_000 * MILLISECOND;
+    static final long FAULT_PHASE_END = 60 * SECOND;
+    /**
+     * Twice the sum of the longest backoff, the reconnect spread, the time one relay takes to serve new
+     * watchers, the silence timeout and the time after which a relay is stale.
+     */
+    static final long CONVERGENCE_DEADLINE = FAULT_PHASE_END + 45 * SECOND;
 
-    private static final int MOST_MARKERS = 8;
+    private static final int MAX_TOMBSTONES = 8;
     private static final int SERVICES = 12;
-    private static final long SILENCE = 5 * SECOND;
-    private static final long STALE = 6 * SECOND;
-    private static final Serving.Limits SERVING =
-            new Serving.Limits(300, 1_500, 400, 5, 40, 400 * MS, 2 * SECOND, 4 * SECOND);
-    private static final RelayChoice.Limits CHOICE =
-            new RelayChoice.Limits(2 * SECOND, SECOND, 8 * SECOND, 20 * SECOND);
+    private static final long SILENCE_TIMEOUT = 5 * SECOND;
+    private static final long STALE_AFTER = 6 * SECOND;
+    private static final UpdateScheduler.Limits SCHEDULER_LIMITS =
+            new UpdateScheduler.Limits(300, 1_500, 400, 5, 40, 400 * MILLISECOND, 2 * SECOND, 4 * SECOND);
+    private static final RelaySelector.Limits SELECTION_LIMITS =
+            new RelaySelector.Limits(2 * SECOND, SECOND, 8 * SECOND, 20 * SECOND);
 
     /**
-     * Of an update on its way.
+     * How an update was delivered.
      *
-     * @param torn one change is missing
-     * @param wrong the same, but with a digest that fits
-     * @param heardOf as of the sender
+     * @param truncated whether one change is missing
+     * @param undetectable whether one change is missing but the digest matches
+     * @param sourceContactNanos when the source last confirmed the sender's state
      */
-    private record Fate(boolean torn, boolean wrong, long heardOf, long sentAt) {}
+    private record Delivery(boolean truncated, boolean undetectable, long sourceContactNanos, long sentNanos) {}
 
-    private record Event(long at, long serial, Runnable what) {}
+    private record Event(long timeNanos, long sequence, Runnable action) {}
 
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
+            a.timeNanos != b.timeNanos ? Long.compare(a.timeNanos, b.timeNanos) : Long.compare(a.sequence, b.sequence));
     private final Random random;
     private final long seed;
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final List<Client> clients = new ArrayList<>();
-    private final Map<String, Resource> desired = new TreeMap<>();
-    private final Map<Version, Holdings> truth = new HashMap<>();
-    private final Set<String> cut = new HashSet<>();
+    private final Map<String, Resource> desiredResources = new TreeMap<>();
+    private final Map<Version, ResourceStore> committedStates = new HashMap<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private final Source source;
-    private long now = SECOND;
-    private long serial;
-    private long calls;
-    long taken;
-    long wholes;
-    long differences;
-    long refused;
-    long older;
-    long longestSpread;
+    private long nowNanos = SECOND;
+    private long sequence;
+    private long lastConnectionId;
+    long applied;
+    long snapshotsSent;
+    long deltasSent;
+    long rejectedUpdates;
+    long olderUpdates;
+    long longestPropagationNanos;
 
     ControlModel(long seed, int followers) {
         this.seed = seed;
@@ -78,195 +82,204 @@
             clients.add(each.client);
         }
         for (int i = 0; i < followers; i++) {
-            Set<String> follows = new HashSet<>();
+            Set<String> services = new HashSet<>();
             for (int j = 0; j < 3; j++) {
-                follows.add("s" + random.nextInt(SERVICES));
+                services.add("s" + random.nextInt(SERVICES));
             }
-            clients.add(new Client("f" + i, List.copyOf(follows), false, List.of("r0", "r1", "r2")));
+            clients.add(new Client("f" + i, List.copyOf(services), false, List.of("r0", "r1", "r2")));
         }
     }
 
-    void check(boolean good, String what) {
-        if (!good) {
-            throw new AssertionError("seed " + seed + " at " + (now - SECOND) / MS + " ms: " + what);
+    void check(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError("seed " + seed + " at " + (nowNanos - SECOND) / MILLISECOND + " ms: " + message);
         }
     }
 
-    private void at(long time, Runnable what) {
-        events.add(new Event(time, serial++, what));
+    private void schedule(long timeNanos, Runnable action) {
+        events.add(new Event(timeNanos, sequence++, action));
     }
 
-    private long draw(long least, long most) {
-        return least + (long) (random.nextDouble() * (most - least));
+    private long randomBetween(long min, long max) {
+        return min + (long) (random.nextDouble() * (max - min));
     }
 
-    private boolean chaos() {
-        return now < CHAOS;
+    private boolean injectsFaults() {
+        return nowNanos < FAULT_PHASE_END;
     }
 
     void run() {
-        clients.forEach(each -> at(now + draw(0, SECOND), each::dial));
-        at(now, this::change);
-        at(now + 3 * SECOND, this::trouble);
-        at(now, this::look);
-        at(CHAOS, () -> cut.clear());
-        while (!events.isEmpty() && events.peek().at < SETTLED) {
+        clients.forEach(each -> schedule(nowNanos + randomBetween(0, SECOND), each::dial));
+        schedule(nowNanos, this::changeResources);
+        schedule(nowNanos + 3 * SECOND, this::injectFault);
+        schedule(nowNanos, this::checkServers);
+        schedule(FAULT_PHASE_END, () -> cutLinks.clear());
+        while (!events.isEmpty() && events.peek().timeNanos < CONVERGENCE_DEADLINE) {
             Event next = events.poll();
-            now = next.at;
-            next.what.run();
+            nowNanos = next.timeNanos;
+            next.action.run();
         }
-        Version last = source.state.held().version();
+        Version last = source.state.committed().version();
         for (Client each : clients) {
             check(
-                    each.state.held().digest(List.of()) == source.state.held().digest(each.services),
-                    each.name + " has " + each.state.version() + " and not the digest of " + last);
-            check(each.state.age(now) < 8 * SECOND, each.name + " is old");
+                    each.state.resources().digest(List.of())
+                            == source.state.committed().digest(each.services),
+                    each.name + " at version " + each.state.version() + " does not have the digest of " + last);
+            check(each.state.ageNanos(nowNanos) < 8 * SECOND, each.name + " has stale state");
         }
-        Map<String, Resource> has = new TreeMap<>();
+        Map<String, Resource> actual = new TreeMap<>();
         source.state
-                .held()
-                .since(-1, List.of(), false)
-                .forEach(each -> has.put(
+                .committed()
+                .changesSince(-1, List.of(), false)
+                .forEach(each -> actual.put(
                         each.service() + '/' + each.name(),
                         new Resource(each.service(), each.name(), each.state(), each.body())));
-        desired.values().removeIf(Resource::gone);
-        check(has.equals(desired), "the source has not what is wanted");
-        Sums sums = source.serving.sums();
-        check(sums.count() == clients.size() - 3, "counted " + sums.count());
-        check(sums.lowest().equals(last) && sums.behind().isEmpty(), "summed " + sums + " for " + last);
-        check(source.spread.waiting(now) == 0 && source.spread.count() > 0, "a commit is still under way");
-        longestSpread = source.spread.longest();
+        desiredResources.values().removeIf(Resource::isDeleted);
+        check(actual.equals(desiredResources), "the source does not have the desired resources");
+        PropagationStatus status = source.scheduler.propagationStatus();
+        check(status.count() == clients.size() - 3, "followers counted: " + status.count());
+        check(
+                status.lowestVersion().equals(last) && status.laggingInstances().isEmpty(),
+                "status " + status + " at version " + last);
+        check(
+                source.propagationLatency.oldestPendingNanos(nowNanos) == 0
+                        && source.propagationLatency.completedCommits() > 0,
+                "a commit has not reached all followers, or none was measured");
+        longestPropagationNanos = source.propagationLatency.longestNanos();
     }
 
-    /** What the application wants; a zone's worth of entries at once now and then. */
-    private void change() {
-        int many = random.nextInt(12) == 0 ? 40 : 1 + random.nextInt(3);
-        for (int i = 0; i < many; i++) {
+    /** Changes what the application wants; now and then many entries at once, as when a zone is lost. */
+    private void changeResources() {
+        int changeCount = random.nextInt(12) == 0 ? 40 : 1 + random.nextInt(3);
+        for (int i = 0; i < changeCount; i++) {
             String service = "s" + random.nextInt(SERVICES);
             String name = "u" + random.nextInt(10);
             int kind = random.nextInt(4);
-            Resource old = desired.get(service + '/' + name);
-            Resource made = kind == 0
+            Resource previous = desiredResources.get(service + '/' + name);
+            Resource updated = kind == 0
                     ? new Resource(service, name, Resource.DELETED, "")
                     : new Resource(
                             service,
                             name,
                             kind == 1 ? "DRAINING" : "SERVING",
-                            old != null && random.nextBoolean() ? old.body() : "b" + random.nextInt(1_000));
-            desired.put(service + '/' + name, made);
-            source.put(made);
+                            previous != null && random.nextBoolean() ? previous.body() : "b" + random.nextInt(1_000));
+            desiredResources.put(service + '/' + name, updated);
+            source.put(updated);
         }
-        if (chaos()) {
-            at(now + draw(50 * MS, 1_200 * MS), this::change);
+        if (injectsFaults()) {
+            schedule(nowNanos + randomBetween(50 * MILLISECOND, 1_200 * MILLISECOND), this::changeResources);
         }
     }
 
-    private void trouble() {
-        if (!chaos()) {
+    private void injectFault() {
+        if (!injectsFaults()) {
             return;
         }
-        at(now + draw(100 * MS, 3 * SECOND), this::trouble);
+        schedule(nowNanos + randomBetween(100 * MILLISECOND, 3 * SECOND), this::injectFault);
         Client client = clients.get(random.nextInt(clients.size()));
         Server server = new ArrayList<>(servers.values()).get(random.nextInt(servers.size()));
         switch (random.nextInt(8)) {
-            case 0 -> client.end();
+            case 0 -> client.disconnect();
             case 1 -> {
-                if (client.call != null) {
-                    client.call.silent = true;
+                if (client.connection != null) {
+                    client.connection.silent = true;
                 }
             }
-            case 2 -> client.pausedUntil = now + draw(SECOND, 8 * SECOND);
+            case 2 -> client.pausedUntilNanos = nowNanos + randomBetween(SECOND, 8 * SECOND);
             case 3 -> client.restart();
             case 4 -> server.crash();
             case 5 -> {
-                String pair = "r" + random.nextInt(2) + ">source";
-                cut.add(pair);
-                servers.values().forEach(each -> each.calls
+                String link = "r" + random.nextInt(2) + ">source";
+                cutLinks.add(link);
+                servers.values().forEach(each -> each.connections
                         .values()
-                        .forEach(call -> call.silent |= cut.contains(call.client.name + '>' + call.server.name)));
-                at(now + draw(SECOND, 20 * SECOND), () -> cut.remove(pair));
+                        .forEach(connection -> connection.silent |=
+                                cutLinks.contains(connection.client.name + '>' + connection.server.name)));
+                schedule(nowNanos + randomBetween(SECOND, 20 * SECOND), () -> cutLinks.remove(link));
             }
             default -> {}
         }
     }
 
-    /** Joins a second and watchers are bounded; what is told upwards is measured. */
-    private void look() {
-        at(now + 250 * MS, this::look);
+    /** Checks that a server has one connection for each watcher, and measures propagation. */
+    private void checkServers() {
+        schedule(nowNanos + 250 * MILLISECOND, this::checkServers);
         for (Server each : servers.values()) {
-            Set<String> named = new HashSet<>();
-            each.calls
+            Set<String> instances = new HashSet<>();
+            each.connections
                     .values()
-                    .forEach(call -> check(
-                            !call.joined || named.add(call.client.name),
-                            each.name + " serves " + call.client.name + " twice"));
+                    .forEach(connection -> check(
+                            !connection.joined || instances.add(connection.client.name),
+                            each.name + " serves " + connection.client.name + " twice"));
         }
-        if (source.up) {
-            source.spread.told(source.serving.sums(), now);
+        if (source.running) {
+            source.propagationLatency.recordStatus(source.scheduler.propagationStatus(), nowNanos);
         }
     }
 
     private abstract class Server {
         final String name;
-        final Map<Long, Call> calls = new TreeMap<>();
-        final List<Long> joins = new ArrayList<>();
-        Serving serving;
-        long began;
-        boolean up = true;
+        final Map<Long, Connection> connections = new TreeMap<>();
+        final List<Long> firstUpdateTimes = new ArrayList<>();
+        UpdateScheduler scheduler;
+        long startedNanos;
+        boolean running = true;
 
         Server(String name) {
             this.name = name;
         }
 
-        abstract Holdings held();
+        abstract ResourceStore resources();
 
         abstract void crash();
 
-        void begin(java.util.function.LongUnaryOperator age) {
-            joins.clear();
-            began = now;
-            serving = new Serving(SERVING, this::held, age);
+        void startScheduler(java.util.function.LongUnaryOperator ageNanos) {
+            firstUpdateTimes.clear();
+            startedNanos = nowNanos;
+            scheduler = new UpdateScheduler(SCHEDULER_LIMITS, this::resources, ageNanos);
         }
 
-        void closeAll() {
-            wholes += serving.wholes();
-            differences += serving.differences();
-            refused += serving.refused();
-            List.copyOf(calls.values()).forEach(call -> call.close(false));
+        void closeAllConnections() {
+            snapshotsSent += scheduler.snapshotsSent();
+            deltasSent += scheduler.deltasSent();
+            rejectedUpdates += scheduler.rejectedUpdates();
+            List.copyOf(connections.values()).forEach(connection -> connection.close(false));
         }
 
         void pumpAll() {
-            List.copyOf(calls.values()).forEach(this::pump);
+            List.copyOf(connections.values()).forEach(this::pump);
         }
 
-        void pump(Call call) {
-            if (!up || calls.get(call.id) != call || !call.joined) {
+        void pump(Connection connection) {
+            if (!running || connections.get(connection.id) != connection || !connection.joined) {
                 return;
             }
-            Serving.Step step = serving.next(call.id, now);
-            if (step.end() != null) {
-                call.close(false);
+            UpdateScheduler.Action action = scheduler.nextAction(connection.id, nowNanos);
+            if (action.closeReason() != null) {
+                connection.close(false);
                 return;
             }
-            if (step.update() != null) {
-                if (call.sent++ == 0) {
-                    joins.add(now);
-                    int size = joins.size();
-                    check(size <= 6 || now - joins.get(size - 7) >= SECOND, name + " answers too many joins");
+            if (action.update() != null) {
+                if (connection.updatesSent++ == 0) {
+                    firstUpdateTimes.add(nowNanos);
+                    int size = firstUpdateTimes.size();
+                    check(
+                            size <= 6 || nowNanos - firstUpdateTimes.get(size - 7) >= SECOND,
+                            name + " serves too many new watchers a second");
                 }
-                int bytes = 60 + 30 * step.update().changes().size();
-                serving.sent(call.id, bytes);
-                call.sent(step.update(), bytes);
+                int bytes = 60 + 30 * action.update().changes().size();
+                scheduler.recordSentBytes(connection.id, bytes);
+                connection.sendUpdate(action.update(), bytes);
             }
-            if (step.alive()) {
-                call.send(call.toClient, () -> call.heard = now, call);
+            if (action.keepalive()) {
+                connection.send(connection.toClient, () -> connection.lastMessageNanos = nowNanos, connection);
             }
-            if (call.pumpAt <= now || step.at() < call.pumpAt) {
-                long when = Math.max(now + 1, step.at());
-                call.pumpAt = when;
-                at(when, () -> {
-                    if (call.pumpAt == when) {
-                        pump(call);
+            if (connection.pumpNanos <= nowNanos || action.nextCheckNanos() < connection.pumpNanos) {
+                long nextPumpNanos = Math.max(nowNanos + 1, action.nextCheckNanos());
+                connection.pumpNanos = nextPumpNanos;
+                schedule(nextPumpNanos, () -> {
+                    if (connection.pumpNanos == nextPumpNanos) {
+                        pump(connection);
                     }
                 });
             }
@@ -275,72 +288,72 @@
 
     private final class Source extends Server {
         SourceState state;
-        Spread spread = new Spread();
-        Holdings durable = SourceState.fresh(1, MOST_MARKERS);
-        long born;
+        PropagationLatency propagationLatency = new PropagationLatency();
+        ResourceStore durable = SourceState.newEpoch(1, MAX_TOMBSTONES);
+        long incarnation;
 
         Source() {
             super("source");
-            truth.put(durable.version(), durable.copy());
+            committedStates.put(durable.version(), durable.copy());
             start();
         }
 
         private void start() {
-            born++;
-            state = new SourceState(durable, 100 * MS, 1_000);
-            spread = new Spread();
-            begin(time -> 0);
+            incarnation++;
+            state = new SourceState(durable, 100 * MILLISECOND, 1_000);
+            propagationLatency = new PropagationLatency();
+            startScheduler(time -> 0);
         }
 
         @Override
-        Holdings held() {
-            return state.held();
+        ResourceStore resources() {
+            return state.committed();
         }
 
         void put(Resource resource) {
-            if (up) {
-                state.put(resource, now);
-                if (state.due() < Long.MAX_VALUE) {
-                    long its = born;
-                    at(state.due(), () -> commit(its));
+            if (running) {
+                state.put(resource, nowNanos);
+                if (state.nextCommitNanos() < Long.MAX_VALUE) {
+                    long startedIn = incarnation;
+                    schedule(state.nextCommitNanos(), () -> commit(startedIn));
                 }
             }
         }
 
-        private void commit(long its) {
-            if (!up || its != born || state.due() > now) {
+        private void commit(long startedIn) {
+            if (!running || startedIn != incarnation || state.nextCommitNanos() > nowNanos) {
                 return;
             }
-            Holdings draft = state.seal();
+            ResourceStore draft = state.prepareCommit();
             if (draft == null) {
                 return;
             }
             if (random.nextInt(10) == 0) {
-                at(now + draw(MS, 300 * MS), () -> {
-                    if (its == born && up) {
-                        state.failed(now);
-                        at(state.due(), () -> commit(its));
+                schedule(nowNanos + randomBetween(MILLISECOND, 300 * MILLISECOND), () -> {
+                    if (startedIn == incarnation && running) {
+                        state.commitFailed(nowNanos);
+                        schedule(state.nextCommitNanos(), () -> commit(startedIn));
                     }
                 });
                 return;
             }
-            at(now + draw(MS, 300 * MS), () -> {
-                if (its != born || !up) {
+            schedule(nowNanos + randomBetween(MILLISECOND, 300 * MILLISECOND), () -> {
+                if (startedIn != incarnation || !running) {
                     return;
                 }
                 durable = draft;
-                Holdings before = truth.put(draft.version(), draft.copy());
+                ResourceStore existing = committedStates.put(draft.version(), draft.copy());
                 check(
-                        before == null || before.digest(List.of()) == draft.digest(List.of()),
-                        "two states of " + draft.version());
-                at(now + draw(0, 5 * MS), () -> {
-                    if (its == born && up) {
-                        state.written();
-                        spread.committed(draft.version(), now);
-                        check(draft.markers() <= MOST_MARKERS, "too many markers");
+                        existing == null || existing.digest(List.of()) == draft.digest(List.of()),
+                        "two different states at version " + draft.version());
+                schedule(nowNanos + randomBetween(0, 5 * MILLISECOND), () -> {
+                    if (startedIn == incarnation && running) {
+                        state.commitSucceeded();
+                        propagationLatency.recordCommit(draft.version(), nowNanos);
+                        check(draft.tombstoneCount() <= MAX_TOMBSTONES, "too many tombstones");
                         pumpAll();
-                        if (state.due() < Long.MAX_VALUE) {
-                            at(Math.max(now, state.due()), () -> commit(its));
+                        if (state.nextCommitNanos() < Long.MAX_VALUE) {
+                            schedule(Math.max(nowNanos, state.nextCommitNanos()), () -> commit(startedIn));
                         }
                     }
                 });
@@ -349,19 +362,19 @@
 
         @Override
         void crash() {
-            if (!up) {
+            if (!running) {
                 return;
             }
-            up = false;
-            closeAll();
+            running = false;
+            closeAllConnections();
             if (random.nextInt(4) == 0) {
-                durable = SourceState.fresh(durable.version().epoch() + 1, MOST_MARKERS);
-                truth.put(durable.version(), durable.copy());
+                durable = SourceState.newEpoch(durable.version().epoch() + 1, MAX_TOMBSTONES);
+                committedStates.put(durable.version(), durable.copy());
             }
-            at(now + draw(200 * MS, 4 * SECOND), () -> {
-                up = true;
+            schedule(nowNanos + randomBetween(200 * MILLISECOND, 4 * SECOND), () -> {
+                running = true;
                 start();
-                desired.values().forEach(this::put);
+                desiredResources.values().forEach(this::put);
             });
         }
     }
@@ -369,27 +382,27 @@
     private final class Relay extends Server {
         final Client client;
 
-        Relay(String name, List<String> above) {
+        Relay(String name, List<String> parents) {
             super(name);
-            client = new Client(name, List.of(), true, above);
+            client = new Client(name, List.of(), true, parents);
             client.relay = this;
-            begin(time -> client.state.age(time));
+            startScheduler(time -> client.state.ageNanos(time));
         }
 
         @Override
-        Holdings held() {
-            return client.state.held();
+        ResourceStore resources() {
+            return client.state.resources();
         }
 
         @Override
         void crash() {
-            if (up) {
-                up = false;
-                closeAll();
+            if (running) {
+                running = false;
+                closeAllConnections();
                 client.restart();
-                at(now + draw(200 * MS, 6 * SECOND), () -> {
-                    up = true;
-                    begin(time -> client.state.age(time));
+                schedule(nowNanos + randomBetween(200 * MILLISECOND, 6 * SECOND), () -> {
+                    running = true;
+                    startScheduler(time -> client.state.ageNanos(time));
                 });
             }
         }
@@ -398,316 +411,335 @@
     private final class Client {
         final String name;
         final List<String> services;
-        final boolean passesOn;
-        final List<String> above;
+        final boolean isRelay;
+        final List<String> parents;
         Relay relay;
         FollowerState state;
-        RelayChoice choice;
-        Call call;
-        long pausedUntil;
-        long born;
-        long since;
-        /** When the source said what is held, later by the time that it was on its way. */
-        long heardOf = Long.MIN_VALUE;
-        /** Whether it was made to hold what is wrong. */
-        boolean wrong;
-
-        final Map<String, Long> failedAt = new HashMap<>();
-
-        Client(String name, List<String> services, boolean passesOn, List<String> above) {
+        RelaySelector selector;
+        Connection connection;
+        long pausedUntilNanos;
+        long incarnation;
+        long connectedNanos;
+        /** When the source last confirmed the state that is held, plus the time spent in transit. */
+        long sourceContactNanos = Long.MIN_VALUE;
+        /** Whether an undetectable fault has been injected into the state. */
+        boolean holdsWrongState;
+
+        final Map<String, Long> failedNanos = new HashMap<>();
+
+        Client(String name, List<String> services, boolean isRelay, List<String> parents) {
             this.name = name;
             this.services = services;
-            this.passesOn = passesOn;
-            this.above = above;
-            begin();
+            this.isRelay = isRelay;
+            this.parents = parents;
+            reset();
         }
 
-        private void begin() {
-            state = new FollowerState(name, services, passesOn, passesOn ? MOST_MARKERS : 0);
-            choice = new RelayChoice(name, above, CHOICE);
-            heardOf = Long.MIN_VALUE;
-            wrong = false;
-            failedAt.clear();
+        private void reset() {
+            state = new FollowerState(name, services, isRelay, isRelay ? MAX_TOMBSTONES : 0);
+            selector = new RelaySelector(name, parents, SELECTION_LIMITS);
+            sourceContactNanos = Long.MIN_VALUE;
+            holdsWrongState = false;
+            failedNanos.clear();
         }
 
         void restart() {
-            if (call != null) {
-                call.close(true);
+            if (connection != null) {
+                connection.close(true);
             }
-            born++;
-            begin();
-            long its = born;
-            at(now + draw(100 * MS, 2 * SECOND), () -> {
-                if (its == born) {
+            incarnation++;
+            reset();
+            long startedIn = incarnation;
+            schedule(nowNanos + randomBetween(100 * MILLISECOND, 2 * SECOND), () -> {
+                if (startedIn == incarnation) {
                     dial();
                 }
             });
         }
 
-        void end() {
-            if (call != null) {
-                call.close(true);
+        void disconnect() {
+            if (connection != null) {
+                connection.close(true);
             }
         }
 
         void dial() {
-            RelayChoice.Dial dial = choice.next(now);
-            long its = born;
-            at(dial.at(), () -> {
-                if (its != born || call != null) {
+            RelaySelector.DialPlan plan = selector.nextDial(nowNanos);
+            long startedIn = incarnation;
+            schedule(plan.atNanos(), () -> {
+                if (startedIn != incarnation || connection != null) {
                     return;
                 }
-                Server server = servers.get(dial.relay());
+                Server server = servers.get(plan.relay());
                 check(
-                        now - failedAt.getOrDefault(dial.relay(), 0L) >= 500 * MS,
-                        name + " dials " + dial.relay() + " again at once");
-                if (!server.up || cut.contains(name + '>' + server.name)) {
-                    choice.failed(dial.relay(), now);
-                    failedAt.put(dial.relay(), now);
-                    at(now + draw(MS, 300 * MS), () -> {
-                        if (its == born && call == null) {
+                        nowNanos - failedNanos.getOrDefault(plan.relay(), 0L) >= 500 * MILLISECOND,
+                        name + " dials " + plan.relay() + " again at once");
+                if (!server.running || cutLinks.contains(name + '>' + server.name)) {
+                    selector.recordFailure(plan.relay(), nowNanos);
+                    failedNanos.put(plan.relay(), nowNanos);
+                    schedule(nowNanos + randomBetween(MILLISECOND, 300 * MILLISECOND), () -> {
+                        if (startedIn == incarnation && connection == null) {
                             dial();
                         }
                     });
                     return;
                 }
-                call = new Call(this, server);
-                since = now;
-                call.send(
-                        call.toServer,
+                connection = new Connection(this, server);
+                connectedNanos = nowNanos;
+                connection.send(
+                        connection.toServer,
                         () -> {
-                            call.server.calls.put(call.id, call);
+                            connection.server.connections.put(connection.id, connection);
                         },
-                        call);
-                Call made = call;
+                        connection);
+                Connection opened = connection;
                 Hello hello = state.hello();
-                made.said = hello.version();
-                made.send(
-                        made.toServer,
+                opened.ackedVersion = hello.version();
+                opened.send(
+                        opened.toServer,
                         () -> {
-                            long former = server.serving.joined(made.id, hello, now);
-                            made.joined = true;
-                            if (former >= 0 && server.calls.containsKey(former)) {
-                                server.calls.get(former).close(false);
+                            long previousId = server.scheduler.addWatcher(opened.id, hello, nowNanos);
+                            opened.joined = true;
+                            if (previousId >= 0 && server.connections.containsKey(previousId)) {
+                                server.connections.get(previousId).close(false);
                             }
-                            server.pump(made);
+                            server.pump(opened);
                         },
-                        made);
-                watch(made);
+                        opened);
+                scheduleCheck(opened);
             });
         }
 
-        private void watch(Call of) {
-            at(now + 500 * MS, () -> {
-                if (call != of) {
+        private void scheduleCheck(Connection conn) {
+            schedule(nowNanos + 500 * MILLISECOND, () -> {
+                if (connection != conn) {
                     return;
                 }
-                if (now - of.heard > SILENCE) {
+                if (nowNanos - conn.lastMessageNanos > SILENCE_TIMEOUT) {
                     check(
-                            of.silent
-                                    || !of.server.up
-                                    || now - of.server.began < SILENCE + SECOND
-                                    || now - pausedUntil < SILENCE + SECOND,
-                            name + " waits in silence");
-                    of.close(true);
-                } else if (of.sent > 0 && now - since > STALE && state.age(now) > STALE) {
-                    choice.failed(of.server.name, now);
-                    of.close(true);
+                            conn.silent
+                                    || !conn.server.running
+                                    || nowNanos - conn.server.startedNanos < SILENCE_TIMEOUT + SECOND
+                                    || nowNanos - pausedUntilNanos < SILENCE_TIMEOUT + SECOND,
+                            name + " gets no message from a running server");
+                    conn.close(true);
+                } else if (conn.updatesSent > 0
+                        && nowNanos - connectedNanos > STALE_AFTER
+                        && state.ageNanos(nowNanos) > STALE_AFTER) {
+                    selector.recordFailure(conn.server.name, nowNanos);
+                    conn.close(true);
                 } else {
-                    if (passesOn) {
-                        ack(of, 0, FollowerState.Verdict.BEAT);
+                    if (isRelay) {
+                        sendAck(conn, 0, FollowerState.ApplyResult.UNCHANGED);
                     }
-                    watch(of);
+                    scheduleCheck(conn);
                 }
             });
         }
 
-        void lost(Call of) {
-            if (call == of) {
-                call = null;
-                long its = born;
-                at(choice.lost(of.server.name, now), () -> {
-                    if (its == born && call == null) {
+        void connectionLost(Connection conn) {
+            if (connection == conn) {
+                connection = null;
+                long startedIn = incarnation;
+                schedule(selector.connectionLost(conn.server.name, nowNanos), () -> {
+                    if (startedIn == incarnation && connection == null) {
                         dial();
                     }
                 });
             }
         }
 
-        void ack(Call of, long serial, FollowerState.Verdict verdict) {
-            Sums sums = relay == null || !relay.up ? Sums.NONE : relay.serving.sums();
-            Ack ack = new Ack(serial, state.version(), verdict, sums);
-            of.send(
-                    of.toServer,
+        void sendAck(Connection conn, long serial, FollowerState.ApplyResult result) {
+            PropagationStatus status =
+                    relay == null || !relay.running ? PropagationStatus.NONE : relay.scheduler.propagationStatus();
+            Ack ack = new Ack(serial, state.version(), result, status);
+            conn.send(
+                    conn.toServer,
                     () -> {
-                        of.said = verdict == FollowerState.Verdict.MISMATCH ? Version.NONE : ack.version();
-                        of.server.serving.acknowledged(of.id, ack);
-                        of.server.pump(of);
+                        conn.ackedVersion = result == FollowerState.ApplyResult.MISMATCH ? Version.NONE : ack.version();
+                        conn.server.scheduler.handleAck(conn.id, ack);
+                        conn.server.pump(conn);
                     },
-                    of);
+                    conn);
         }
 
-        void take(Update update, Call of, boolean first, Fate fate) {
-            Version before = state.version();
-            FollowerState.Verdict verdict = state.take(update, now);
+        void receive(Update update, Connection conn, boolean firstDelivery, Delivery delivery) {
+            Version versionBefore = state.version();
+            FollowerState.ApplyResult result = state.apply(update, nowNanos);
             check(
-                    fate.torn || wrong || fate.wrong || verdict != FollowerState.Verdict.MISMATCH,
-                    name + " finds a sound update wrong");
+                    delivery.truncated
+                            || holdsWrongState
+                            || delivery.undetectable
+                            || result != FollowerState.ApplyResult.MISMATCH,
+                    name + " rejects a valid update");
             check(
-                    state.version().compareTo(before) >= 0,
-                    name + " went back from " + before + " to " + state.version());
-            taken += verdict == FollowerState.Verdict.TAKEN ? 1 : 0;
-            older += verdict == FollowerState.Verdict.OLDER ? 1 : 0;
-            if (verdict == FollowerState.Verdict.TAKEN || verdict == FollowerState.Verdict.BEAT) {
-                wrong = fate.wrong || wrong && !update.whole();
-                heardOf = Math.max(
-                        heardOf, fate.heardOf == Long.MIN_VALUE ? Long.MIN_VALUE : fate.heardOf + now - fate.sentAt);
+                    state.version().compareTo(versionBefore) >= 0,
+                    name + " went back from " + versionBefore + " to " + state.version());
+            applied += result == FollowerState.ApplyResult.APPLIED ? 1 : 0;
+            olderUpdates += result == FollowerState.ApplyResult.SENDER_BEHIND ? 1 : 0;
+            if (result == FollowerState.ApplyResult.APPLIED || result == FollowerState.ApplyResult.UNCHANGED) {
+                holdsWrongState = delivery.undetectable || holdsWrongState && !update.snapshot();
+                sourceContactNanos = Math.max(
+                        sourceContactNanos,
+                        delivery.sourceContactNanos == Long.MIN_VALUE
+                                ? Long.MIN_VALUE
+                                : delivery.sourceContactNanos + nowNanos - delivery.sentNanos);
             }
             check(
-                    state.age(now) == Long.MAX_VALUE
-                            ? heardOf == Long.MIN_VALUE
-                            : Math.abs(state.age(now) - (now - heardOf)) < 5 * MS,
-                    name + " is " + state.age(now) / MS + " ms old and not " + (now - heardOf) / MS);
-            if (passesOn && verdict == FollowerState.Verdict.TAKEN) {
-                Holdings its = truth.get(state.version());
+                    state.ageNanos(nowNanos) == Long.MAX_VALUE
+                            ? sourceContactNanos == Long.MIN_VALUE
+                            : Math.abs(state.ageNanos(nowNanos) - (nowNanos - sourceContactNanos)) < 5 * MILLISECOND,
+                    name + " is " + state.ageNanos(nowNanos) / MILLISECOND + " ms old and not "
+                            + (nowNanos - sourceContactNanos) / MILLISECOND);
+            if (isRelay && result == FollowerState.ApplyResult.APPLIED) {
+                ResourceStore expected = committedStates.get(state.version());
                 long from = Math.max(
-                        Math.max(its.floor(), state.held().floor()),
+                        Math.max(expected.oldestDeltaBase(), state.resources().oldestDeltaBase()),
                         state.version().number() - random.nextInt(8));
                 check(
-                        Set.copyOf(its.since(from, List.of(), true))
-                                .equals(Set.copyOf(state.held().since(from, List.of(), true))),
-                        name + " tells another history");
+                        Set.copyOf(expected.changesSince(from, List.of(), true))
+                                .equals(Set.copyOf(state.resources().changesSince(from, List.of(), true))),
+                        name + " has a different history than the source");
             }
-            if (!state.version().equals(Version.NONE) && !wrong) {
+            if (!state.version().equals(Version.NONE) && !holdsWrongState) {
                 check(
-                        state.held().digest(List.of())
-                                == truth.get(state.version()).digest(services),
-                        name + " holds what was never the state at " + state.version());
+                        state.resources().digest(List.of())
+                                == committedStates.get(state.version()).digest(services),
+                        name + " holds a state that the source never had at version " + state.version());
             }
-            if (call == of) {
-                of.heard = now;
-                if (first) {
-                    of.undelivered--;
+            if (connection == conn) {
+                conn.lastMessageNanos = nowNanos;
+                if (firstDelivery) {
+                    conn.undelivered--;
                 }
-                choice.good(of.server.name);
-                ack(of, update.serial(), verdict);
+                selector.recordSuccess(conn.server.name);
+                sendAck(conn, update.serial(), result);
             }
-            if (relay != null && verdict == FollowerState.Verdict.TAKEN && relay.up) {
+            if (relay != null && result == FollowerState.ApplyResult.APPLIED && relay.running) {
                 relay.pumpAll();
             }
         }
     }
 
-    /** A call: in order each way, until it breaks or falls silent. */
-    private final class Call {
-        final long id = ++calls;
+    /** A connection that delivers in order in each direction until it breaks or falls silent. */
+    private final class Connection {
+        final long id = ++lastConnectionId;
         final Client client;
         final Server server;
-        final long[] toServer = {now};
-        final long[] toClient = {now};
-        final long begun = now;
-        final long latency = draw(MS, 80 * MS);
-        long heard = now;
-        boolean over;
+        final long[] toServer = {nowNanos};
+        final long[] toClient = {nowNanos};
+        final long openedNanos = nowNanos;
+        final long latencyNanos = randomBetween(MILLISECOND, 80 * MILLISECOND);
+        long lastMessageNanos = nowNanos;
+        boolean closed;
         boolean silent;
         boolean joined;
-        Version said = Version.NONE;
-        int sent;
-        long pumpAt;
+        Version ackedVersion = Version.NONE;
+        int updatesSent;
+        long pumpNanos;
         int undelivered;
-        long bytes;
+        long bytesSent;
 
-        Call(Client client, Server server) {
+        Connection(Client client, Server server) {
             this.client = client;
             this.server = server;
         }
 
-        void send(long[] way, Runnable what, Call of) {
-            way[0] = Math.max(way[0] + 1, now + latency + draw(0, 30 * MS));
-            at(way[0], () -> {
-                if (!of.over && !of.silent && (of.server.up || way == toClient)) {
-                    what.run();
+        void send(long[] direction, Runnable action, Connection conn) {
+            direction[0] = Math.max(direction[0] + 1, nowNanos + latencyNanos + randomBetween(0, 30 * MILLISECOND));
+            schedule(direction[0], () -> {
+                if (!conn.closed && !conn.silent && (conn.server.running || direction == toClient)) {
+                    action.run();
                 }
             });
         }
 
-        void sent(Update sound, int size) {
-            bytes += size;
+        void sendUpdate(Update update, int size) {
+            bytesSent += size;
             check(
-                    bytes
-                            <= (client.passesOn ? 400 + 400 * (now - begun) / 1e9 : 1_500 + 300 * (now - begun) / 1e9)
+                    bytesSent
+                            <= (client.isRelay
+                                            ? 400 + 400 * (nowNanos - openedNanos) / 1e9
+                                            : 1_500 + 300 * (nowNanos - openedNanos) / 1e9)
                                     + 60
                                     + 30 * 130,
-                    server.name + " sends " + bytes + " bytes to " + client.name);
-            check(++undelivered <= 1, server.name + " has more than one update out for " + client.name);
+                    server.name + " sends " + bytesSent + " bytes to " + client.name);
+            check(++undelivered <= 1, server.name + " has more than one unacknowledged update for " + client.name);
             check(
-                    sound.changes().isEmpty() || said.compareTo(sound.version()) < 0,
-                    server.name + " tells what is known already");
-            // Not a marker for a relay: the digest is of what is there, and would not miss it.
-            boolean torn = chaos()
-                    && !sound.changes().isEmpty()
-                    && (client.relay == null || !sound.changes().get(0).gone())
+                    update.changes().isEmpty() || ackedVersion.compareTo(update.version()) < 0,
+                    server.name + " sends changes that are already acknowledged");
+            // Does not drop a tombstone on its way to a relay: the digest covers only what exists and would
+            // not detect that.
+            boolean truncated = injectsFaults()
+                    && !update.changes().isEmpty()
+                    && (client.relay == null || !update.changes().get(0).isDeleted())
                     && random.nextInt(60) == 0;
-            // One that is wrong in itself, and so is taken; only its next digest can show it.
-            boolean wrong = torn && client.relay == null && random.nextInt(3) == 0;
-            Fate fate = new Fate(torn && !wrong, wrong, server == source ? now : ((Relay) server).client.heardOf, now);
-            Update update = !torn
-                    ? sound
+            // Consistent in itself and therefore applied; only the digest of a later update can reveal it.
+            boolean undetectable = truncated && client.relay == null && random.nextInt(3) == 0;
+            Delivery delivery = new Delivery(
+                    truncated && !undetectable,
+                    undetectable,
+                    server == source ? nowNanos : ((Relay) server).client.sourceContactNanos,
+                    nowNanos);
+            Update delivered = !truncated
+                    ? update
                     : new Update(
-                            sound.serial(),
-                            sound.version(),
-                            sound.whole(),
-                            sound.from(),
-                            sound.floor(),
-                            sound.changes().subList(1, sound.changes().size()),
-                            sound.absent(),
-                            wrong ? wrongDigest(sound) : sound.digest(),
-                            sound.ageMs());
-            long its = client.born;
-            send(toClient, () -> deliver(update, its, true, fate), this);
-            if (chaos() && random.nextInt(10) == 0) {
-                // A repeat, or what is left of a call that is over: whenever it comes.
-                at(now + draw(10 * MS, 9 * SECOND), () -> deliver(update, its, false, fate));
+                            update.serial(),
+                            update.version(),
+                            update.snapshot(),
+                            update.baseNumber(),
+                            update.oldestDeltaBase(),
+                            update.changes().subList(1, update.changes().size()),
+                            update.missingServices(),
+                            undetectable ? matchingDigest(update) : update.digest(),
+                            update.ageMs());
+            long startedIn = client.incarnation;
+            send(toClient, () -> deliver(delivered, startedIn, true, delivery), this);
+            if (injectsFaults() && random.nextInt(10) == 0) {
+                // A duplicate, or the remains of a closed connection; it may arrive at any time.
+                schedule(
+                        nowNanos + randomBetween(10 * MILLISECOND, 9 * SECOND),
+                        () -> deliver(delivered, startedIn, false, delivery));
             }
         }
 
-        private long wrongDigest(Update sound) {
-            Holdings into = sound.whole() ? new Holdings(0) : client.state.held();
-            Long digest =
-                    into.digestAfter(sound.changes().subList(1, sound.changes().size()));
-            return digest == null ? sound.digest() : digest;
+        private long matchingDigest(Update update) {
+            ResourceStore base = update.snapshot() ? new ResourceStore(0) : client.state.resources();
+            Long digest = base.digestAfter(
+                    update.changes().subList(1, update.changes().size()));
+            return digest == null ? update.digest() : digest;
         }
 
-        private void deliver(Update update, long its, boolean first, Fate fate) {
-            if (first && (client.born != its || over)) {
+        private void deliver(Update update, long startedIn, boolean firstDelivery, Delivery delivery) {
+            if (firstDelivery && (client.incarnation != startedIn || closed)) {
                 return;
             }
-            if (now < client.pausedUntil) {
-                toClient[0] = Math.max(toClient[0] + 1, client.pausedUntil);
-                at(toClient[0], () -> deliver(update, its, first, fate));
+            if (nowNanos < client.pausedUntilNanos) {
+                toClient[0] = Math.max(toClient[0] + 1, client.pausedUntilNanos);
+                schedule(toClient[0], () -> deliver(update, startedIn, firstDelivery, delivery));
                 return;
             }
-            client.take(update, this, first, fate);
+            client.receive(update, this, firstDelivery, delivery);
         }
 
-        /** Each end sees it; the server may see the client's end only later. */
+        /** Both ends see the end of the connection. The server may see an end by the client later. */
         void close(boolean byClient) {
-            Serving its = server.serving;
+            UpdateScheduler serverScheduler = server.scheduler;
             if (!byClient) {
-                server.calls.remove(id, this);
-                its.left(id);
+                server.connections.remove(id, this);
+                serverScheduler.removeWatcher(id);
             }
-            if (over) {
+            if (closed) {
                 return;
             }
-            over = true;
+            closed = true;
             if (byClient) {
-                at(now + draw(0, 3 * SECOND), () -> {
-                    server.calls.remove(id, this);
-                    its.left(id);
+                schedule(nowNanos + randomBetween(0, 3 * SECOND), () -> {
+                    server.connections.remove(id, this);
+                    serverScheduler.removeWatcher(id);
                 });
             }
-            client.lost(this);
+            client.connectionLost(this);
         }
     }
 }
