--- a/src/test/java/pondridge/control/ControlTest.java
+++ b/src/test/java/pondridge/control/ControlTest.java
@@ -29,13 +29,13 @@
 import pondridge.core.Target;
 import pondridge.settings.SettingsFile;
 
-/** Source, relays and followers over loopback connections. */
+/** Tests a source, relays and followers over loopback connections. */
 class ControlTest {
     private static final int SERVICES = 100;
     private static final int PER_SERVICE = 16;
-    private static final int FOLLOWS = 20;
-    private static final int LIMIT_S = 30;
-    private static final String TIMES =
+    private static final int SERVICES_PER_FOLLOWER = 20;
+    private static final int TIMEOUT_S = 30;
+    private static final String TIMING =
             """
             beat = "200ms"
             silence = "1500ms"
@@ -56,8 +56,8 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final List<String> told = new CopyOnWriteArrayList<>();
-    private final Events events = (event, peer, detail) -> told.add(event + " | " + peer + " | " + detail);
+    private final List<String> reported = new CopyOnWriteArrayList<>();
+    private final Events events = (event, peer, detail) -> reported.add(event + " | " + peer + " | " + detail);
     private final Traffic fromSource = new Traffic();
 
     @TempDir
@@ -82,7 +82,7 @@
 
     private static ControlSettings settings(String role, String more, Path folder) {
         return ControlSettings.of(
-                SettingsFile.parse("test", "[control]\nrole = \"" + role + "\"\n" + TIMES + more), folder);
+                SettingsFile.parse("test", "[control]\nrole = \"" + role + "\"\n" + TIMING + more), folder);
     }
 
     private void startSource(String listen) throws Exception {
@@ -92,17 +92,17 @@
                 events,
                 fromSource);
         open.add(source);
-        sourceAt = source.start().get(LIMIT_S, TimeUnit.SECONDS);
+        sourceAt = source.start().get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private <T> T onLoop(Callable<T> what) throws Exception {
-        return loop.submit(what).get(LIMIT_S, TimeUnit.SECONDS);
+    private <T> T onLoop(Callable<T> task) throws Exception {
+        return loop.submit(task).get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private void await(String what, Callable<Boolean> so) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (!onLoop(so)) {
-            assertTrue(System.nanoTime() < until, "seed " + seed + ": " + what + "; " + told);
+    private void await(String what, Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!onLoop(condition)) {
+            assertTrue(System.nanoTime() < deadlineNanos, "seed " + seed + ": " + what + "; " + reported);
             Thread.sleep(5);
         }
     }
@@ -129,7 +129,7 @@
             all.add(entry(i, State.READY));
         }
         source.put(all);
-        await("filled", () -> source.version().number() > 1);
+        await("initial resources committed", () -> source.version().number() > 1);
     }
 
     private final class Relay {
@@ -138,23 +138,25 @@
         final ControlRelay relay;
         final InetSocketAddress at;
 
-        Relay(String name, InetSocketAddress above) throws Exception {
+        Relay(String name, InetSocketAddress parent) throws Exception {
             relay = new ControlRelay(
                     loop,
                     settings(
                             "relay",
-                            "instance = \"" + name + "\"\nlisten = \"127.0.0.1:0\"\nabove = [" + text(above) + "]\n",
+                            "instance = \"" + name + "\"\nlisten = \"127.0.0.1:0\"\nabove = [" + quoted(parent) + "]\n",
                             folder),
                     events,
                     up,
                     down);
             open.add(relay);
-            at = relay.start().get(LIMIT_S, TimeUnit.SECONDS);
-            await(name + " has all", () -> relay.client().version().equals(source.version()));
+            at = relay.start().get(TIMEOUT_S, TimeUnit.SECONDS);
+            await(
+                    name + " has the newest version",
+                    () -> relay.client().version().equals(source.version()));
         }
     }
 
-    private static String text(InetSocketAddress... all) {
+    private static String quoted(InetSocketAddress... all) {
         List<String> texts = new ArrayList<>();
         for (InetSocketAddress each : all) {
             texts.add("\"127.0.0.1:" + each.getPort() + '"');
@@ -170,19 +172,19 @@
         final List<Integer> sizes = new ArrayList<>();
         final ControlClient client;
 
-        Follower(String name, int follows, InetSocketAddress... above) {
-            int first = follows == FOLLOWS ? random.nextInt(SERVICES) : 0;
-            for (int i = 0; i < follows; i++) {
+        Follower(String name, int serviceCount, InetSocketAddress... parents) {
+            int first = serviceCount == SERVICES_PER_FOLLOWER ? random.nextInt(SERVICES) : 0;
+            for (int i = 0; i < serviceCount; i++) {
                 services.add("svc" + (first + i * 3) % SERVICES);
             }
             client = new ControlClient(
                     loop,
-                    settings("follower", "above = [" + text(above) + "]\n", folder)
+                    settings("follower", "above = [" + quoted(parents) + "]\n", folder)
                             .as(name, services),
-                    (version, kind, targets, others) -> {
+                    (version, kind, targets, changedSettings) -> {
                         versions.add(version);
                         kinds.add(kind);
-                        sizes.add(targets.size() + others.size());
+                        sizes.add(targets.size() + changedSettings.size());
                     },
                     events,
                     traffic);
@@ -190,12 +192,12 @@
             client.start();
         }
 
-        boolean inForce() {
+        boolean isUpToDate() {
             return client.digest() == source.digest(services)
                     && client.version().number() > 1;
         }
 
-        void neverWentBack() throws Exception {
+        void assertVersionsNeverGoBack() throws Exception {
             onLoop(() -> {
                 for (int i = 1; i < versions.size(); i++) {
                     assertTrue(versions.get(i - 1).compareTo(versions.get(i)) <= 0, "seed " + seed);
@@ -206,63 +208,65 @@
     }
 
     private void awaitAll(List<Follower> followers, String what) throws Exception {
-        await(what, () -> followers.stream().allMatch(Follower::inForce));
+        await(what, () -> followers.stream().allMatch(Follower::isUpToDate));
     }
 
     @Test
-    void aChangeReachesAllAndARelayKilledInItsMiddleHoldsUpNobody() throws Exception {
+    void aChangeReachesAllFollowersDespiteARelayFailure() throws Exception {
         fill();
         Relay one = new Relay("r1", sourceAt);
         Relay other = new Relay("r2", sourceAt);
         List<Follower> followers = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            followers.add(new Follower("f" + i, FOLLOWS, one.at, other.at));
+            followers.add(new Follower("f" + i, SERVICES_PER_FOLLOWER, one.at, other.at));
         }
-        awaitAll(followers, "all have the list");
+        awaitAll(followers, "all followers have the list");
         await(
-                "all are counted",
-                () -> source.sums().count() == 50 && source.sums().lowest().equals(source.version()));
+                "all followers are counted",
+                () -> source.propagationStatus().count() == 50
+                        && source.propagationStatus().lowestVersion().equals(source.version()));
         int atOne = onLoop(() -> (int) one.relay.sums().count());
         assertTrue(atOne > 10 && atOne < 40, "relays share the followers: " + atOne);
-        assertTrue(fromSource.messagesOut() < 50, "the source speaks to its relays only");
+        assertTrue(fromSource.messagesOut() < 50, "the source sends to its relays only");
 
-        long wholes = onLoop(
-                () -> followers.stream().mapToLong(each -> each.client.wholes()).sum());
-        assertEquals(50, wholes);
+        long snapshots = onLoop(() -> followers.stream()
+                .mapToLong(each -> each.client.snapshotsReceived())
+                .sum());
+        assertEquals(50, snapshots);
         source.put(List.of(new Resource("svc7", "@timeout", "SET", "250ms"), entry(7, State.DRAINING)));
         one.relay.close();
         source.put(List.of(entry(8, State.GONE)));
-        awaitAll(followers, "all have the change");
+        awaitAll(followers, "all followers have the change");
         await(
-                "all are at the other relay and have all",
+                "all followers are at the other relay and up to date",
                 () -> other.relay.sums().count() == 50
-                        && source.sums().count() == 50
-                        && source.sums().lowest().equals(source.version())
-                        && source.sums().behind().isEmpty());
+                        && source.propagationStatus().count() == 50
+                        && source.propagationStatus().lowestVersion().equals(source.version())
+                        && source.propagationStatus().laggingInstances().isEmpty());
         assertEquals(
                 50,
                 onLoop(() -> followers.stream()
-                        .mapToLong(each -> each.client.wholes())
+                        .mapToLong(each -> each.client.snapshotsReceived())
                         .sum()),
-                "whoever moves on brings its version and gets a difference");
-        assertTrue(onLoop(source::longestSpread) > 0);
+                "a follower that changes relays sends its version and gets a delta");
+        assertTrue(onLoop(source::longestPropagationNanos) > 0);
         for (Follower each : followers) {
-            each.neverWentBack();
+            each.assertVersionsNeverGoBack();
         }
     }
 
     @Test
-    void aFollowerCutOffGetsOneFoldedDifferenceAtItsReturn() throws Exception {
+    void aReconnectingFollowerGetsOneCombinedDelta() throws Exception {
         fill();
         Relay relay = new Relay("r1", sourceAt);
         Follower follower = new Follower("f1", SERVICES / 3, relay.at);
-        awaitAll(List.of(follower), "it has the list");
-        long whole = follower.traffic.bytesIn();
+        awaitAll(List.of(follower), "the follower has the list");
+        long snapshotBytes = follower.traffic.bytesIn();
         InetSocketAddress at = relay.at;
         relay.relay.close();
-        await("it is cut off", () -> follower.client.relay() == null);
-        assertTrue(onLoop(() -> follower.client.version().number()) > 1, "what was known stays");
-        int known = onLoop(() -> follower.kinds.size());
+        await("the follower is disconnected", () -> follower.client.connectedRelay() == null);
+        assertTrue(onLoop(() -> follower.client.version().number()) > 1, "the state is kept");
+        int updatesBefore = onLoop(() -> follower.kinds.size());
         for (int round = 0; round < 21; round++) {
             List<Resource> changes = new ArrayList<>();
             for (int i = 0; i < SERVICES * PER_SERVICE; i += 10) {
@@ -273,85 +277,91 @@
             source.put(changes);
             await("committed", () -> source.version().number() > number);
         }
-        long before = follower.traffic.bytesIn();
-        ControlRelay again = new ControlRelay(
+        long bytesBefore = follower.traffic.bytesIn();
+        ControlRelay restarted = new ControlRelay(
                 loop,
                 settings(
                         "relay",
                         "instance = \"r1\"\nlisten = \"" + "127.0.0.1:" + at.getPort() + "\"\nabove = ["
-                                + text(sourceAt) + "]\n",
+                                + quoted(sourceAt) + "]\n",
                         folder),
                 events,
                 new Traffic(),
                 new Traffic());
-        open.add(again);
-        again.start().get(LIMIT_S, TimeUnit.SECONDS);
-        await("it is back", () -> follower.inForce() && follower.client.relay() != null);
-        long back = follower.traffic.bytesIn() - before;
-        System.out.println("control: whole_bytes=" + whole + " return_bytes=" + back);
-        assertEquals(1, onLoop(() -> follower.client.wholes()), "a relay that is new knows the history, too");
-        assertTrue(onLoop(() -> follower.kinds.size()) - known <= 3, "21 changes fold");
-        assertTrue(back < whole / 4, "back " + back + " of " + whole);
+        open.add(restarted);
+        restarted.start().get(TIMEOUT_S, TimeUnit.SECONDS);
+        await(
+                "the follower is connected and up to date",
+                () -> follower.isUpToDate() && follower.client.connectedRelay() != null);
+        long returnBytes = follower.traffic.bytesIn() - bytesBefore;
+        System.out.println("control: whole_bytes=" + snapshotBytes + " return_bytes=" + returnBytes);
+        assertEquals(1, onLoop(() -> follower.client.snapshotsReceived()), "a new relay has the history, too");
+        assertTrue(onLoop(() -> follower.kinds.size()) - updatesBefore <= 3, "21 changes are combined");
+        assertTrue(returnBytes < snapshotBytes / 4, "return took " + returnBytes + " of " + snapshotBytes);
     }
 
     @Test
-    void aSlowReaderHoldsUpNobody() throws Exception {
+    void aSlowWatcherDelaysNoOther() throws Exception {
         fill();
         Relay relay = new Relay("r1", sourceAt);
         List<Follower> followers = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            followers.add(new Follower("f" + i, FOLLOWS, relay.at));
+            followers.add(new Follower("f" + i, SERVICES_PER_FOLLOWER, relay.at));
         }
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(1_024);
             slow.connect(relay.at);
-            slow.getOutputStream().write(frame(Codec.hello(new Hello("slow", List.of(), false, Version.NONE))));
-            await("it is taken", () -> relay.relay.sums().count() == 6);
+            slow.getOutputStream().write(frame(Codec.encodeHello(new Hello("slow", List.of(), false, Version.NONE))));
+            await("the slow watcher is accepted", () -> relay.relay.sums().count() == 6);
             for (int round = 0; round < 10; round++) {
                 source.put(List.of(entry(round, State.DRAINING)));
-                awaitAll(followers, "others go on");
+                awaitAll(followers, "other followers are up to date");
             }
-            await("it is counted no more", () -> relay.relay.sums().count() == 5);
+            await(
+                    "the slow watcher is no longer counted",
+                    () -> relay.relay.sums().count() == 5);
         }
-        assertTrue(told.stream().anyMatch(each -> each.startsWith("watcher_ended | slow | nothing ack")));
-        await("in force at the rest", () -> source.sums().lowest().equals(source.version()));
+        assertTrue(reported.stream().anyMatch(each -> each.startsWith("watcher_ended | slow | update not ack")));
+        await(
+                "all other followers are up to date",
+                () -> source.propagationStatus().lowestVersion().equals(source.version()));
     }
 
     @Test
-    void aZonesLossIsOneShortMessage() throws Exception {
+    void theLossOfAZoneIsOneShortMessage() throws Exception {
         List<Resource> all = new ArrayList<>();
         for (int i = 0; i < 16_000; i++) {
             all.add(Targets.resource("svc" + i % 1_000, target(i, State.READY)));
         }
         source.put(all);
-        await("filled", () -> source.version().number() > 1);
+        await("initial resources committed", () -> source.version().number() > 1);
         Relay relay = new Relay("r1", sourceAt);
-        Traffic one = new Traffic();
+        Traffic followerTraffic = new Traffic();
         List<String> services = new ArrayList<>();
-        for (int i = 0; i < FOLLOWS; i++) {
+        for (int i = 0; i < SERVICES_PER_FOLLOWER; i++) {
             services.add("svc" + i * 50);
         }
         ControlClient follower = new ControlClient(
                 loop,
-                settings("follower", "above = [" + text(relay.at) + "]\n", folder)
+                settings("follower", "above = [" + quoted(relay.at) + "]\n", folder)
                         .as("f1", services),
-                (version, kind, targets, others) -> {},
+                (version, kind, targets, changedSettings) -> {},
                 events,
-                one);
+                followerTraffic);
         open.add(follower);
         follower.start();
-        await("it has its list", () -> follower.version().equals(source.version()));
-        long whole = one.bytesIn();
-        long relayWhole = relay.up.bytesIn();
+        await("the follower has its list", () -> follower.version().equals(source.version()));
+        long snapshotBytes = followerTraffic.bytesIn();
+        long relaySnapshotBytes = relay.up.bytesIn();
         List<Resource> lost = new ArrayList<>();
         for (int i = 0; i < 16_000; i += 13) {
             lost.add(Targets.resource("svc" + i % 1_000, target(i, State.DRAINING)));
         }
         long number = onLoop(() -> source.version().number());
         source.put(lost.subList(0, 1_230));
-        await("the zone is lost", () -> follower.version().number() > number);
+        await("the loss of the zone is received", () -> follower.version().number() > number);
         assertEquals(number + 1, onLoop(() -> source.version().number()), "one commit");
-        assertEquals(1, onLoop(() -> follower.differences()));
+        assertEquals(1, onLoop(() -> follower.deltasReceived()));
         Update toRelay = onLoop(() -> new Update(
                 1,
                 source.version(),
@@ -365,8 +375,8 @@
                 List.of(),
                 Long.MAX_VALUE,
                 0));
-        int perService = Codec.update(toRelay).length;
-        int oneService = Codec.update(new Update(
+        int relayUpdateBytes = Codec.encodeUpdate(toRelay).length;
+        int oneServiceUpdateBytes = Codec.encodeUpdate(new Update(
                         1,
                         toRelay.version(),
                         false,
@@ -379,12 +389,15 @@
                         Long.MAX_VALUE,
                         0))
                 .length;
-        int beat = Codec.update(new Update(
+        int heartbeatBytes = Codec.encodeUpdate(new Update(
                                 99, toRelay.version(), false, number, 0, List.of(), List.of(), Long.MAX_VALUE, 12))
                         .length
                 + 5;
-        int ack = Codec.ack(new Ack(99, toRelay.version(), FollowerState.Verdict.TAKEN, Sums.NONE)).length + 5;
-        int toFollower = Codec.update(new Update(
+        int ackBytes = Codec.encodeAck(new Ack(
+                                99, toRelay.version(), FollowerState.ApplyResult.APPLIED, PropagationStatus.NONE))
+                        .length
+                + 5;
+        int followerUpdateBytes = Codec.encodeUpdate(new Update(
                                 9,
                                 toRelay.version(),
                                 false,
@@ -399,38 +412,42 @@
                                 12))
                         .length
                 + 5;
-        long mine = lost.stream()
+        long entriesOfFollower = lost.stream()
                 .limit(1_230)
                 .filter(each -> services.contains(each.service()))
                 .count();
-        System.out.println("control: follower_whole=" + whole + " relay_whole=" + relayWhole
-                + " zone_to_relay=" + perService + " zone_in_one_service=" + oneService + " zone_to_follower="
-                + toFollower + " entries_of_follower=" + mine + " beat=" + beat + " ack=" + ack);
-        assertTrue(perService < 32 << 10 && oneService < 512 && beat + ack < 200);
-        assertTrue(one.bytesIn() - whole < 2_048, "bytes " + (one.bytesIn() - whole));
+        System.out.println("control: follower_whole=" + snapshotBytes + " relay_whole=" + relaySnapshotBytes
+                + " zone_to_relay=" + relayUpdateBytes + " zone_in_one_service=" + oneServiceUpdateBytes
+                + " zone_to_follower="
+                + followerUpdateBytes + " entries_of_follower=" + entriesOfFollower + " beat=" + heartbeatBytes
+                + " ack=" + ackBytes);
+        assertTrue(relayUpdateBytes < 32 << 10 && oneServiceUpdateBytes < 512 && heartbeatBytes + ackBytes < 200);
+        assertTrue(
+                followerTraffic.bytesIn() - snapshotBytes < 2_048,
+                "bytes " + (followerTraffic.bytesIn() - snapshotBytes));
     }
 
     @Test
-    void theSourceComesBackWithItsStateAndBeginsAnewWithoutIt() throws Exception {
+    void theSourceResumesFromItsStateFileAndStartsANewEpochWithoutIt() throws Exception {
         fill();
         Relay relay = new Relay("r1", sourceAt);
-        Follower follower = new Follower("f1", FOLLOWS, relay.at);
-        awaitAll(List.of(follower), "it has the list");
-        Version was = onLoop(source::version);
+        Follower follower = new Follower("f1", SERVICES_PER_FOLLOWER, relay.at);
+        awaitAll(List.of(follower), "the follower has the list");
+        Version versionBefore = onLoop(source::version);
         source.close();
         startSource("127.0.0.1:" + sourceAt.getPort());
-        assertEquals(was, onLoop(source::version));
+        assertEquals(versionBefore, onLoop(source::version));
         source.put(List.of(entry(1, State.DRAINING)));
-        awaitAll(List.of(follower), "it goes on");
-        assertEquals(1, onLoop(() -> follower.client.wholes()));
+        awaitAll(List.of(follower), "the follower is up to date");
+        assertEquals(1, onLoop(() -> follower.client.snapshotsReceived()));
 
         source.close();
         java.nio.file.Files.delete(folder.resolve("state"));
         startSource("127.0.0.1:" + sourceAt.getPort());
-        assertNotEquals(was.epoch(), onLoop(() -> source.version().epoch()));
+        assertNotEquals(versionBefore.epoch(), onLoop(() -> source.version().epoch()));
         fill();
-        awaitAll(List.of(follower), "it has the new epoch's");
-        follower.neverWentBack();
+        awaitAll(List.of(follower), "the follower has the state of the new epoch");
+        follower.assertVersionsNeverGoBack();
     }
 
     private static byte[] frame(byte[] message) {
@@ -443,7 +460,7 @@
 
     private String reply(byte[] bytes) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", sourceAt.getPort())) {
-            socket.setSoTimeout(LIMIT_S * 1_000);
+            socket.setSoTimeout(TIMEOUT_S * 1_000);
             socket.getOutputStream().write(bytes);
             InputStream in = socket.getInputStream();
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -451,7 +468,7 @@
     }
 
     @Test
-    void whatMakesNoSenseIsNamedAndChangesNothing() throws Exception {
+    void invalidMessagesAreReportedAndChangeNothing() throws Exception {
         fill();
         assertTrue(reply(frame("{\"hello\":2}".getBytes(StandardCharsets.UTF_8)))
                 .contains("version 2 of the protocol, 1 is spoken here"));
@@ -461,18 +478,18 @@
                 .contains("instance: expected 1 to 64 letters"));
         Follower follower = new Follower("f1", 2, sourceAt);
         follower.services.add("nothere");
-        ControlClient lost = new ControlClient(
+        ControlClient clientOfMissing = new ControlClient(
                 loop,
-                settings("follower", "above = [" + text(sourceAt) + "]\n", folder)
+                settings("follower", "above = [" + quoted(sourceAt) + "]\n", folder)
                         .as("f2", List.of("svc1", "nothere")),
-                (version, kind, targets, others) -> {},
+                (version, kind, targets, changedSettings) -> {},
                 events,
                 new Traffic());
-        open.add(lost);
-        lost.start();
-        await("what is not there is named", () -> told.stream()
+        open.add(clientOfMissing);
+        clientOfMissing.start();
+        await("the missing service is reported", () -> reported.stream()
                 .anyMatch(each -> each.startsWith("not_there") && each.endsWith("services nothere")));
-        awaitAll(List.of(follower), "others go on");
-        assertFalse(told.stream().anyMatch(each -> each.startsWith("refused")));
+        awaitAll(List.of(follower), "other followers are up to date");
+        assertFalse(reported.stream().anyMatch(each -> each.startsWith("refused")));
     }
 }
