--- a/src/main/java/pondridge/control/ControlRelay.java
+++ b/src/main/java/pondridge/control/ControlRelay.java
@@ -7,10 +7,10 @@
 
 /**
  * A relay: holds one connection to the source or another relay, and serves its own watchers from memory. It
- * follows all services. The sidecars below it, some hundreds with twenty services each, together follow
- * nearly all of them anyway, and the relay can tell at once which services do not exist. When cut off it
- * keeps serving the state that it has, and reports how old that state is. Runs on the event loop, except
- * {@link #start} and {@link #close}.
+ * follows all services: some hundred sidecars with twenty services each together follow nearly all of them
+ * anyway, and the relay can tell at once which services do not exist. When cut off it keeps serving the state
+ * that it has, and reports how old that state is. Runs on the event loop, except {@link #start} and {@link
+ * #close}.
  */
 public final class ControlRelay implements AutoCloseable {
     private final EventLoop loop;
--- a/src/main/java/pondridge/control/ControlServer.java
+++ b/src/main/java/pondridge/control/ControlServer.java
@@ -56,8 +56,8 @@
     }
 
     /** Starts to accept watchers. The future holds the bound address or the failure. */
-    CompletableFuture<InetSocketAddress> listen(InetSocketAddress at) {
-        CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
+    CompletableFuture<InetSocketAddress> listen(InetSocketAddress bindAddress) {
+        CompletableFuture<InetSocketAddress> boundAddress = new CompletableFuture<>();
         new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -70,16 +70,16 @@
                         new WatcherConnection(channel).start();
                     }
                 })
-                .bind(at)
+                .bind(bindAddress)
                 .addListener((io.netty.channel.ChannelFuture bound) -> {
                     if (bound.isSuccess()) {
                         serverChannel = bound.channel();
-                        address.complete((InetSocketAddress) serverChannel.localAddress());
+                        boundAddress.complete((InetSocketAddress) serverChannel.localAddress());
                     } else {
-                        address.completeExceptionally(bound.cause());
+                        boundAddress.completeExceptionally(bound.cause());
                     }
                 });
-        return address;
+        return boundAddress;
     }
 
     /** Sends watchers what is due after the state has changed. */
--- a/src/main/java/pondridge/control/ControlSource.java
+++ b/src/main/java/pondridge/control/ControlSource.java
@@ -108,30 +108,30 @@
             FileTime modified = Files.getLastModifiedTime(settings.feedFile());
             if (!modified.equals(feedModified)) {
                 feedModified = modified;
-                List<Resource> all = FeedFile.read(settings.feedFile());
-                loop.execute(() -> replaceAll(all));
+                List<Resource> desired = FeedFile.read(settings.feedFile());
+                loop.execute(() -> replaceAll(desired));
             }
         } catch (IOException e) {
             loop.execute(() -> events.told("feed_not_taken", "", e.toString()));
         }
     }
 
-    /** Replaces the whole state: resources that are not in the collection are deleted. */
-    private void replaceAll(List<Resource> all) {
+    /** Replaces the whole state: resources that are not in the list are deleted. */
+    private void replaceAll(List<Resource> desired) {
         Set<String> keys = new HashSet<>();
-        all.forEach(each -> keys.add(each.service() + '/' + each.name()));
+        desired.forEach(each -> keys.add(each.service() + '/' + each.name()));
         state.committed().changesSince(-1, List.of(), false).stream()
                 .filter(each -> !keys.contains(each.service() + '/' + each.name()))
                 .forEach(each ->
                         state.put(new Resource(each.service(), each.name(), Resource.DELETED, ""), System.nanoTime()));
-        put(all);
+        put(desired);
     }
 
     private void scheduleCommit() {
-        long due = state.nextCommitNanos();
-        if (!commitScheduled && due < Long.MAX_VALUE) {
+        long dueNanos = state.nextCommitNanos();
+        if (!commitScheduled && dueNanos < Long.MAX_VALUE) {
             commitScheduled = true;
-            loop.schedule(this::commit, Math.max(0, due - System.nanoTime()), TimeUnit.NANOSECONDS);
+            loop.schedule(this::commit, Math.max(0, dueNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -150,20 +150,20 @@
                 } catch (IOException e) {
                     problem = e;
                 }
-                IOException failed = problem;
-                loop.execute(() -> finishCommit(draft, failed));
+                IOException failure = problem;
+                loop.execute(() -> finishCommit(draft, failure));
             });
         }
     }
 
-    private void finishCommit(ResourceStore draft, IOException failed) {
-        if (failed == null) {
+    private void finishCommit(ResourceStore draft, IOException failure) {
+        if (failure == null) {
             state.commitSucceeded();
             propagationLatency.recordCommit(draft.version(), System.nanoTime());
             committingPuts.forEach(each -> each.complete(draft.version()));
             server.stateChanged();
         } else {
-            events.told("not_written", "", settings.stateFile() + ": " + failed);
+            events.told("not_written", "", settings.stateFile() + ": " + failure);
             state.commitFailed(System.nanoTime());
             pendingPuts.addAll(0, committingPuts);
         }
--- a/src/main/java/pondridge/control/Digest.java
+++ b/src/main/java/pondridge/control/Digest.java
@@ -17,13 +17,13 @@
     }
 
     /** Returns the hash of two texts, for pseudo-random choices. */
-    static long of(String one, String other) {
-        return finish(append(append(BASIS, one), other));
+    static long of(String first, String second) {
+        return finish(append(append(BASIS, first), second));
     }
 
     /** Returns a fraction from 0 to under 1 that is always the same for the same two texts. */
-    static double fraction(String one, String other) {
-        return (of(one, other) >>> 11) / (double) (1L << 53);
+    static double fraction(String first, String second) {
+        return (of(first, second) >>> 11) / (double) (1L << 53);
     }
 
     private static long append(long hash, String text) {
--- a/src/main/java/pondridge/control/UpdateScheduler.java
+++ b/src/main/java/pondridge/control/UpdateScheduler.java
@@ -186,9 +186,9 @@
 
     /** Returns whether there are changes that a watcher lacks; false if the watcher is ahead. */
     private boolean hasChangesFor(Watcher watcher) {
-        Version own = resources.get().version();
-        return watcher.ackedVersion.compareTo(own) < 0
-                && (watcher.ackedVersion.epoch() != own.epoch()
+        Version ownVersion = resources.get().version();
+        return watcher.ackedVersion.compareTo(ownVersion) < 0
+                && (watcher.ackedVersion.epoch() != ownVersion.epoch()
                         || resources.get().hasChangesSince(watcher.ackedVersion.number(), watcher.hello.services()));
     }
 
@@ -212,7 +212,7 @@
                 missingServices.add(each);
             }
         }
-        long age = ageNanos.applyAsLong(nowNanos);
+        long stateAgeNanos = ageNanos.applyAsLong(nowNanos);
         return new Update(
                 ++watcher.serial,
                 current.version(),
@@ -222,7 +222,7 @@
                 changes,
                 missingServices,
                 current.digest(hello.services()),
-                age == Long.MAX_VALUE ? -1 : age / 1_000_000);
+                stateAgeNanos == Long.MAX_VALUE ? -1 : stateAgeNanos / 1_000_000);
     }
 
     /** Processes an acknowledgement from a watcher. */
@@ -246,7 +246,7 @@
      * counts as having the newest version, whenever its last update was.
      */
     PropagationStatus propagationStatus() {
-        Version own = resources.get().version();
+        Version ownVersion = resources.get().version();
         PropagationStatus total = PropagationStatus.NONE;
         for (Watcher each : watchers.values()) {
             if (each.hello.isRelay()) {
@@ -255,7 +255,7 @@
                 boolean behind = hasChangesFor(each);
                 total = total.plus(new PropagationStatus(
                         1,
-                        behind || each.ackedVersion.compareTo(own) > 0 ? each.ackedVersion : own,
+                        behind || each.ackedVersion.compareTo(ownVersion) > 0 ? each.ackedVersion : ownVersion,
                         behind ? List.of(each.hello.instance()) : List.of()));
             }
         }
--- a/src/test/java/pondridge/control/ControlIT.java
+++ b/src/test/java/pondridge/control/ControlIT.java
@@ -31,7 +31,7 @@
     private Path folder;
 
     @AfterEach
-    void end() {
+    void killChildren() {
         children.forEach(Child::kill);
     }
 
@@ -57,7 +57,7 @@
                 .asText();
     }
 
-    private void feed(int version) throws IOException {
+    private void writeFeed(int version) throws IOException {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 100; i++) {
             text.append("{\"service\":\"svc")
@@ -94,7 +94,7 @@
 
     @Test
     void aFollowerMovesToAnotherRelayWhenItsRelayIsKilledOrStopped() throws IOException {
-        feed(1);
+        writeFeed(1);
         String sourceSettings = "feed = \"feed\"\nstate_file = \"state\"\n";
         Child source = start("source", "source", "listen = \"127.0.0.1:0\"\n" + sourceSettings);
         String sourceAddress = address(source);
@@ -113,7 +113,7 @@
         int first = relayOf(follower, Long.MIN_VALUE).equals(relayAddresses[0]) ? 0 : 1;
         long killedNanos = System.nanoTime();
         relays[first].kill();
-        feed(2);
+        writeFeed(2);
         assertTrue(appliedDetail(follower, "3").endsWith("DELTA 0 entries 1 settings"));
         assertEquals(relayAddresses[1 - first], relayOf(follower, killedNanos));
 
@@ -123,13 +123,13 @@
                 "listen = \"" + relayAddresses[first] + "\"\nabove = [\"" + sourceAddress + "\"]\n");
         long stoppedNanos = System.nanoTime();
         relays[1 - first].pause(6_000);
-        feed(3);
+        writeFeed(3);
         assertTrue(appliedDetail(follower, "4").endsWith("DELTA 0 entries 1 settings"));
         assertEquals(relayAddresses[first], relayOf(follower, stoppedNanos));
 
         source.kill();
         start("source2", "source", "listen = \"" + sourceAddress + "\"\n" + sourceSettings);
-        feed(4);
+        writeFeed(4);
         assertTrue(appliedDetail(follower, "5").endsWith("DELTA 0 entries 1 settings"));
         assertTrue(lines.stream().noneMatch(line -> line.event().equals("refused")));
     }
--- a/src/test/java/pondridge/control/ControlModel.java
+++ b/src/test/java/pondridge/control/ControlModel.java
@@ -74,10 +74,10 @@
         this.random = new Random(seed);
         this.source = new Source();
         servers.put("source", source);
-        Relay one = new Relay("r0", List.of("source"));
-        Relay other = new Relay("r1", List.of("source"));
+        Relay first = new Relay("r0", List.of("source"));
+        Relay second = new Relay("r1", List.of("source"));
         Relay below = new Relay("r2", List.of("r0", "r1"));
-        for (Relay each : List.of(one, other, below)) {
+        for (Relay each : List.of(first, second, below)) {
             servers.put(each.name, each);
             clients.add(each.client);
         }
@@ -314,14 +314,14 @@
             if (running) {
                 state.put(resource, nowNanos);
                 if (state.nextCommitNanos() < Long.MAX_VALUE) {
-                    long startedIn = incarnation;
-                    schedule(state.nextCommitNanos(), () -> commit(startedIn));
+                    long expectedIncarnation = incarnation;
+                    schedule(state.nextCommitNanos(), () -> commit(expectedIncarnation));
                 }
             }
         }
 
-        private void commit(long startedIn) {
-            if (!running || startedIn != incarnation || state.nextCommitNanos() > nowNanos) {
+        private void commit(long expectedIncarnation) {
+            if (!running || expectedIncarnation != incarnation || state.nextCommitNanos() > nowNanos) {
                 return;
             }
             ResourceStore draft = state.prepareCommit();
@@ -330,15 +330,15 @@
             }
             if (random.nextInt(10) == 0) {
                 schedule(nowNanos + randomBetween(MILLISECOND, 300 * MILLISECOND), () -> {
-                    if (startedIn == incarnation && running) {
+                    if (expectedIncarnation == incarnation && running) {
                         state.commitFailed(nowNanos);
-                        schedule(state.nextCommitNanos(), () -> commit(startedIn));
+                        schedule(state.nextCommitNanos(), () -> commit(expectedIncarnation));
                     }
                 });
                 return;
             }
             schedule(nowNanos + randomBetween(MILLISECOND, 300 * MILLISECOND), () -> {
-                if (startedIn != incarnation || !running) {
+                if (expectedIncarnation != incarnation || !running) {
                     return;
                 }
                 durable = draft;
@@ -347,13 +347,13 @@
                         existing == null || existing.digest(List.of()) == draft.digest(List.of()),
                         "two different states at version " + draft.version());
                 schedule(nowNanos + randomBetween(0, 5 * MILLISECOND), () -> {
-                    if (startedIn == incarnation && running) {
+                    if (expectedIncarnation == incarnation && running) {
                         state.commitSucceeded();
                         propagationLatency.recordCommit(draft.version(), nowNanos);
                         check(draft.tombstoneCount() <= MAX_TOMBSTONES, "too many tombstones");
                         pumpAll();
                         if (state.nextCommitNanos() < Long.MAX_VALUE) {
-                            schedule(Math.max(nowNanos, state.nextCommitNanos()), () -> commit(startedIn));
+                            schedule(Math.max(nowNanos, state.nextCommitNanos()), () -> commit(expectedIncarnation));
                         }
                     }
                 });
@@ -449,9 +449,9 @@
             }
             incarnation++;
             reset();
-            long startedIn = incarnation;
+            long expectedIncarnation = incarnation;
             schedule(nowNanos + randomBetween(100 * MILLISECOND, 2 * SECOND), () -> {
-                if (startedIn == incarnation) {
+                if (expectedIncarnation == incarnation) {
                     dial();
                 }
             });
@@ -465,9 +465,9 @@
 
         void dial() {
             RelaySelector.DialPlan plan = selector.nextDial(nowNanos);
-            long startedIn = incarnation;
+            long expectedIncarnation = incarnation;
             schedule(plan.atNanos(), () -> {
-                if (startedIn != incarnation || connection != null) {
+                if (expectedIncarnation != incarnation || connection != null) {
                     return;
                 }
                 Server server = servers.get(plan.relay());
@@ -478,7 +478,7 @@
                     selector.recordFailure(plan.relay(), nowNanos);
                     failedNanos.put(plan.relay(), nowNanos);
                     schedule(nowNanos + randomBetween(MILLISECOND, 300 * MILLISECOND), () -> {
-                        if (startedIn == incarnation && connection == null) {
+                        if (expectedIncarnation == incarnation && connection == null) {
                             dial();
                         }
                     });
@@ -540,9 +540,9 @@
         void connectionLost(Connection conn) {
             if (connection == conn) {
                 connection = null;
-                long startedIn = incarnation;
+                long expectedIncarnation = incarnation;
                 schedule(selector.connectionLost(conn.server.name, nowNanos), () -> {
-                    if (startedIn == incarnation && connection == null) {
+                    if (expectedIncarnation == incarnation && connection == null) {
                         dial();
                     }
                 });
@@ -593,12 +593,12 @@
                             + (nowNanos - sourceContactNanos) / MILLISECOND);
             if (isRelay && result == FollowerState.ApplyResult.APPLIED) {
                 ResourceStore expected = committedStates.get(state.version());
-                long from = Math.max(
+                long sinceNumber = Math.max(
                         Math.max(expected.oldestDeltaBase(), state.resources().oldestDeltaBase()),
                         state.version().number() - random.nextInt(8));
                 check(
-                        Set.copyOf(expected.changesSince(from, List.of(), true))
-                                .equals(Set.copyOf(state.resources().changesSince(from, List.of(), true))),
+                        Set.copyOf(expected.changesSince(sinceNumber, List.of(), true))
+                                .equals(Set.copyOf(state.resources().changesSince(sinceNumber, List.of(), true))),
                         name + " has a different history than the source");
             }
             if (!state.version().equals(Version.NONE) && !holdsWrongState) {
@@ -693,13 +693,13 @@
                             update.missingServices(),
                             undetectable ? matchingDigest(update) : update.digest(),
                             update.ageMs());
-            long startedIn = client.incarnation;
-            send(toClient, () -> deliver(delivered, startedIn, true, delivery), this);
+            long expectedIncarnation = client.incarnation;
+            send(toClient, () -> deliver(delivered, expectedIncarnation, true, delivery), this);
             if (injectsFaults() && random.nextInt(10) == 0) {
                 // A duplicate, or the remains of a closed connection; it may arrive at any time.
                 schedule(
                         nowNanos + randomBetween(10 * MILLISECOND, 9 * SECOND),
-                        () -> deliver(delivered, startedIn, false, delivery));
+                        () -> deliver(delivered, expectedIncarnation, false, delivery));
             }
         }
 
@@ -710,13 +710,13 @@
             return digest == null ? update.digest() : digest;
         }
 
-        private void deliver(Update update, long startedIn, boolean firstDelivery, Delivery delivery) {
-            if (firstDelivery && (client.incarnation != startedIn || closed)) {
+        private void deliver(Update update, long expectedIncarnation, boolean firstDelivery, Delivery delivery) {
+            if (firstDelivery && (client.incarnation != expectedIncarnation || closed)) {
                 return;
             }
             if (nowNanos < client.pausedUntilNanos) {
                 toClient[0] = Math.max(toClient[0] + 1, client.pausedUntilNanos);
-                schedule(toClient[0], () -> deliver(update, startedIn, firstDelivery, delivery));
+                schedule(toClient[0], () -> deliver(update, expectedIncarnation, firstDelivery, delivery));
                 return;
             }
             client.receive(update, this, firstDelivery, delivery);
--- a/src/test/java/pondridge/control/ControlPartsTest.java
+++ b/src/test/java/pondridge/control/ControlPartsTest.java
@@ -127,14 +127,14 @@
 
     @Test
     void aFollowerThatLacksNoChangeCountsAsNewestAndTheLowestVersionIsReported() {
-        ResourceStore[] store = {SourceState.newEpoch(1, 16)};
-        UpdateScheduler scheduler = new UpdateScheduler(SCHEDULER_LIMITS, () -> store[0], now -> 0);
+        ResourceStore[] current = {SourceState.newEpoch(1, 16)};
+        UpdateScheduler scheduler = new UpdateScheduler(SCHEDULER_LIMITS, () -> current[0], now -> 0);
         for (int i = 0; i < 4; i++) {
             scheduler.addWatcher(i, new Hello("f" + i, List.of(i < 3 ? "a" : "b"), false, new Version(1, 1)), 0);
         }
-        store[0] = commit(store[0], "b", "u1", "SERVING");
+        current[0] = commit(current[0], "b", "u1", "SERVING");
         assertEquals(new PropagationStatus(4, new Version(1, 1), List.of("f3")), scheduler.propagationStatus());
-        store[0] = commit(store[0], "b", "u1", "DRAINING");
+        current[0] = commit(current[0], "b", "u1", "DRAINING");
         scheduler.addWatcher(9, new Hello("relay", List.of(), true, new Version(1, 2)), 0);
         scheduler.handleAck(
                 9,
@@ -183,20 +183,20 @@
     void manyChangesOfAKeyAreCombinedIntoOne() {
         ResourceStore store = SourceState.newEpoch(1, 16);
         store = commit(store, "a", "u1", "SERVING");
-        long from = store.version().number();
+        long sinceNumber = store.version().number();
         for (int i = 0; i < 30; i++) {
             store = commit(store, "a", "u1", i % 2 == 0 ? "DRAINING" : "SERVING");
             store = commit(store, "a", "u2", i % 2 == 0 ? "SERVING" : Resource.DELETED);
         }
-        List<Change> since = store.changesSince(from, List.of("a"), false);
-        assertEquals(2, since.size());
-        assertTrue(since.contains(new Change("a", "u1", "SERVING", null, 0, 0)));
-        assertTrue(since.contains(new Change("a", "u2", Resource.DELETED, null, 0, 0)));
+        List<Change> changes = store.changesSince(sinceNumber, List.of("a"), false);
+        assertEquals(2, changes.size());
+        assertTrue(changes.contains(new Change("a", "u1", "SERVING", null, 0, 0)));
+        assertTrue(changes.contains(new Change("a", "u2", Resource.DELETED, null, 0, 0)));
     }
 
     @Test
-    void aCorruptStateFileIsRejectedByName(@TempDir Path folder) throws IOException {
-        Path path = folder.resolve("state");
+    void aCorruptStateFileIsRejectedByName(@TempDir Path directory) throws IOException {
+        Path path = directory.resolve("state");
         StateFile file = new StateFile(path, 16);
         assertNull(file.read());
         ResourceStore store = commit(commit(SourceState.newEpoch(1, 16), "a", "u1", "SERVING"), "a", "u2", "DRAINING");
@@ -206,10 +206,11 @@
         assertEquals(store.version(), restored.version());
         assertEquals(store.digest(List.of()), restored.digest(List.of()));
         assertEquals(store.changesSince(1, List.of(), true), restored.changesSince(1, List.of(), true));
-        byte[] good = Files.readAllBytes(path);
+        byte[] intact = Files.readAllBytes(path);
         Random random = new Random(3);
         for (int round = 0; round < 200; round++) {
-            byte[] damaged = java.util.Arrays.copyOf(good, round % 2 == 0 ? random.nextInt(good.length) : good.length);
+            byte[] damaged =
+                    java.util.Arrays.copyOf(intact, round % 2 == 0 ? random.nextInt(intact.length) : intact.length);
             if (round % 2 == 1) {
                 damaged[random.nextInt(damaged.length)] ^= (byte) (1 << random.nextInt(8));
             }
@@ -220,8 +221,8 @@
     }
 
     @Test
-    void anInvalidLineOfTheFeedIsReported(@TempDir Path folder) throws IOException {
-        Path path = folder.resolve("feed");
+    void anInvalidLineOfTheFeedIsReported(@TempDir Path directory) throws IOException {
+        Path path = directory.resolve("feed");
         Files.writeString(path, "{\"service\":\"a\",\"name\":\"u1\"," + "\"body\":\"x\"}\n\n{\"service\":\"a b\"}\n");
         String message =
                 assertThrows(IOException.class, () -> FeedFile.read(path)).getMessage();
@@ -229,10 +230,10 @@
     }
 
     @Test
-    void settingsAreOffByDefaultAndErrorsNameTheKey(@TempDir Path folder) {
+    void settingsAreOffByDefaultAndErrorsNameTheKey(@TempDir Path directory) {
         assertEquals(
                 ControlSettings.Role.OFF,
-                ControlSettings.of(SettingsFile.parse("t", ""), folder).role());
+                ControlSettings.of(SettingsFile.parse("t", ""), directory).role());
         Map<String, String> bad = Map.of(
                 "role = \"source\"\n",
                 "listen",
@@ -249,7 +250,7 @@
         bad.forEach((text, key) -> {
             String message = assertThrows(
                             SettingsException.class,
-                            () -> ControlSettings.of(SettingsFile.parse("t", "[control]\n" + text), folder),
+                            () -> ControlSettings.of(SettingsFile.parse("t", "[control]\n" + text), directory),
                             text)
                     .getMessage();
             assertTrue(message.contains("control." + key), message);
--- a/src/test/java/pondridge/control/ControlTest.java
+++ b/src/test/java/pondridge/control/ControlTest.java
@@ -55,34 +55,34 @@
     private final Random random = new Random(seed);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
     private final List<String> reported = new CopyOnWriteArrayList<>();
     private final Events events = (event, peer, detail) -> reported.add(event + " | " + peer + " | " + detail);
-    private final Traffic fromSource = new Traffic();
+    private final Traffic sourceTraffic = new Traffic();
 
     @TempDir
     private Path folder;
 
     private ControlSource source;
-    private InetSocketAddress sourceAt;
+    private InetSocketAddress sourceAddress;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         System.out.println("seed " + seed);
         startSource("127.0.0.1:0");
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (AutoCloseable each : open) {
+    void tearDown() throws Exception {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
         group.shutdownGracefully(0, 5, TimeUnit.SECONDS).sync();
     }
 
-    private static ControlSettings settings(String role, String more, Path folder) {
+    private static ControlSettings settings(String role, String extraSettings, Path folder) {
         return ControlSettings.of(
-                SettingsFile.parse("test", "[control]\nrole = \"" + role + "\"\n" + TIMING + more), folder);
+                SettingsFile.parse("test", "[control]\nrole = \"" + role + "\"\n" + TIMING + extraSettings), folder);
     }
 
     private void startSource(String listen) throws Exception {
@@ -90,19 +90,19 @@
                 loop,
                 settings("source", "listen = \"" + listen + "\"\nstate_file = \"state\"\n", folder),
                 events,
-                fromSource);
-        open.add(source);
-        sourceAt = source.start().get(TIMEOUT_S, TimeUnit.SECONDS);
+                sourceTraffic);
+        closeables.add(source);
+        sourceAddress = source.start().get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private <T> T onLoop(Callable<T> task) throws Exception {
         return loop.submit(task).get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private void await(String what, Callable<Boolean> condition) throws Exception {
+    private void await(String description, Callable<Boolean> condition) throws Exception {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!onLoop(condition)) {
-            assertTrue(System.nanoTime() < deadlineNanos, "seed " + seed + ": " + what + "; " + reported);
+            assertTrue(System.nanoTime() < deadlineNanos, "seed " + seed + ": " + description + "; " + reported);
             Thread.sleep(5);
         }
     }
@@ -123,20 +123,20 @@
         return Targets.resource("svc" + number % SERVICES, target(number, state));
     }
 
-    private void fill() throws Exception {
-        List<Resource> all = new ArrayList<>();
+    private void commitInitialResources() throws Exception {
+        List<Resource> resources = new ArrayList<>();
         for (int i = 0; i < SERVICES * PER_SERVICE; i++) {
-            all.add(entry(i, State.READY));
+            resources.add(entry(i, State.READY));
         }
-        source.put(all);
+        source.put(resources);
         await("initial resources committed", () -> source.version().number() > 1);
     }
 
     private final class Relay {
-        final Traffic up = new Traffic();
-        final Traffic down = new Traffic();
+        final Traffic upstreamTraffic = new Traffic();
+        final Traffic watcherTraffic = new Traffic();
         final ControlRelay relay;
-        final InetSocketAddress at;
+        final InetSocketAddress address;
 
         Relay(String name, InetSocketAddress parent) throws Exception {
             relay = new ControlRelay(
@@ -146,10 +146,10 @@
                             "instance = \"" + name + "\"\nlisten = \"127.0.0.1:0\"\nabove = [" + quoted(parent) + "]\n",
                             folder),
                     events,
-                    up,
-                    down);
-            open.add(relay);
-            at = relay.start().get(TIMEOUT_S, TimeUnit.SECONDS);
+                    upstreamTraffic,
+                    watcherTraffic);
+            closeables.add(relay);
+            address = relay.start().get(TIMEOUT_S, TimeUnit.SECONDS);
             await(
                     name + " has the newest version",
                     () -> relay.client().version().equals(source.version()));
@@ -188,7 +188,7 @@
                     },
                     events,
                     traffic);
-            open.add(client);
+            closeables.add(client);
             client.start();
         }
 
@@ -207,39 +207,39 @@
         }
     }
 
-    private void awaitAll(List<Follower> followers, String what) throws Exception {
-        await(what, () -> followers.stream().allMatch(Follower::isUpToDate));
+    private void awaitAll(List<Follower> followers, String description) throws Exception {
+        await(description, () -> followers.stream().allMatch(Follower::isUpToDate));
     }
 
     @Test
     void aChangeReachesAllFollowersDespiteARelayFailure() throws Exception {
-        fill();
-        Relay one = new Relay("r1", sourceAt);
-        Relay other = new Relay("r2", sourceAt);
+        commitInitialResources();
+        Relay firstRelay = new Relay("r1", sourceAddress);
+        Relay secondRelay = new Relay("r2", sourceAddress);
         List<Follower> followers = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            followers.add(new Follower("f" + i, SERVICES_PER_FOLLOWER, one.at, other.at));
+            followers.add(new Follower("f" + i, SERVICES_PER_FOLLOWER, firstRelay.address, secondRelay.address));
         }
         awaitAll(followers, "all followers have the list");
         await(
                 "all followers are counted",
                 () -> source.propagationStatus().count() == 50
                         && source.propagationStatus().lowestVersion().equals(source.version()));
-        int atOne = onLoop(() -> (int) one.relay.sums().count());
-        assertTrue(atOne > 10 && atOne < 40, "relays share the followers: " + atOne);
-        assertTrue(fromSource.messagesOut() < 50, "the source sends to its relays only");
+        int atFirstRelay = onLoop(() -> (int) firstRelay.relay.sums().count());
+        assertTrue(atFirstRelay > 10 && atFirstRelay < 40, "relays share the followers: " + atFirstRelay);
+        assertTrue(sourceTraffic.messagesOut() < 50, "the source sends to its relays only");
 
         long snapshots = onLoop(() -> followers.stream()
                 .mapToLong(each -> each.client.snapshotsReceived())
                 .sum());
         assertEquals(50, snapshots);
         source.put(List.of(new Resource("svc7", "@timeout", "SET", "250ms"), entry(7, State.DRAINING)));
-        one.relay.close();
+        firstRelay.relay.close();
         source.put(List.of(entry(8, State.GONE)));
         awaitAll(followers, "all followers have the change");
         await(
                 "all followers are at the other relay and up to date",
-                () -> other.relay.sums().count() == 50
+                () -> secondRelay.relay.sums().count() == 50
                         && source.propagationStatus().count() == 50
                         && source.propagationStatus().lowestVersion().equals(source.version())
                         && source.propagationStatus().laggingInstances().isEmpty());
@@ -257,12 +257,12 @@
 
     @Test
     void aReconnectingFollowerGetsOneCombinedDelta() throws Exception {
-        fill();
-        Relay relay = new Relay("r1", sourceAt);
-        Follower follower = new Follower("f1", SERVICES / 3, relay.at);
+        commitInitialResources();
+        Relay relay = new Relay("r1", sourceAddress);
+        Follower follower = new Follower("f1", SERVICES / 3, relay.address);
         awaitAll(List.of(follower), "the follower has the list");
         long snapshotBytes = follower.traffic.bytesIn();
-        InetSocketAddress at = relay.at;
+        InetSocketAddress address = relay.address;
         relay.relay.close();
         await("the follower is disconnected", () -> follower.client.connectedRelay() == null);
         assertTrue(onLoop(() -> follower.client.version().number()) > 1, "the state is kept");
@@ -282,13 +282,13 @@
                 loop,
                 settings(
                         "relay",
-                        "instance = \"r1\"\nlisten = \"" + "127.0.0.1:" + at.getPort() + "\"\nabove = ["
-                                + quoted(sourceAt) + "]\n",
+                        "instance = \"r1\"\nlisten = \"" + "127.0.0.1:" + address.getPort() + "\"\nabove = ["
+                                + quoted(sourceAddress) + "]\n",
                         folder),
                 events,
                 new Traffic(),
                 new Traffic());
-        open.add(restarted);
+        closeables.add(restarted);
         restarted.start().get(TIMEOUT_S, TimeUnit.SECONDS);
         await(
                 "the follower is connected and up to date",
@@ -302,15 +302,15 @@
 
     @Test
     void aSlowWatcherDelaysNoOther() throws Exception {
-        fill();
-        Relay relay = new Relay("r1", sourceAt);
+        commitInitialResources();
+        Relay relay = new Relay("r1", sourceAddress);
         List<Follower> followers = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            followers.add(new Follower("f" + i, SERVICES_PER_FOLLOWER, relay.at));
+            followers.add(new Follower("f" + i, SERVICES_PER_FOLLOWER, relay.address));
         }
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(1_024);
-            slow.connect(relay.at);
+            slow.connect(relay.address);
             slow.getOutputStream().write(frame(Codec.encodeHello(new Hello("slow", List.of(), false, Version.NONE))));
             await("the slow watcher is accepted", () -> relay.relay.sums().count() == 6);
             for (int round = 0; round < 10; round++) {
@@ -329,13 +329,13 @@
 
     @Test
     void theLossOfAZoneIsOneShortMessage() throws Exception {
-        List<Resource> all = new ArrayList<>();
+        List<Resource> resources = new ArrayList<>();
         for (int i = 0; i < 16_000; i++) {
-            all.add(Targets.resource("svc" + i % 1_000, target(i, State.READY)));
+            resources.add(Targets.resource("svc" + i % 1_000, target(i, State.READY)));
         }
-        source.put(all);
+        source.put(resources);
         await("initial resources committed", () -> source.version().number() > 1);
-        Relay relay = new Relay("r1", sourceAt);
+        Relay relay = new Relay("r1", sourceAddress);
         Traffic followerTraffic = new Traffic();
         List<String> services = new ArrayList<>();
         for (int i = 0; i < SERVICES_PER_FOLLOWER; i++) {
@@ -343,22 +343,22 @@
         }
         ControlClient follower = new ControlClient(
                 loop,
-                settings("follower", "above = [" + quoted(relay.at) + "]\n", folder)
+                settings("follower", "above = [" + quoted(relay.address) + "]\n", folder)
                         .as("f1", services),
                 (version, kind, targets, changedSettings) -> {},
                 events,
                 followerTraffic);
-        open.add(follower);
+        closeables.add(follower);
         follower.start();
         await("the follower has its list", () -> follower.version().equals(source.version()));
         long snapshotBytes = followerTraffic.bytesIn();
-        long relaySnapshotBytes = relay.up.bytesIn();
-        List<Resource> lost = new ArrayList<>();
+        long relaySnapshotBytes = relay.upstreamTraffic.bytesIn();
+        List<Resource> drained = new ArrayList<>();
         for (int i = 0; i < 16_000; i += 13) {
-            lost.add(Targets.resource("svc" + i % 1_000, target(i, State.DRAINING)));
+            drained.add(Targets.resource("svc" + i % 1_000, target(i, State.DRAINING)));
         }
         long number = onLoop(() -> source.version().number());
-        source.put(lost.subList(0, 1_230));
+        source.put(drained.subList(0, 1_230));
         await("the loss of the zone is received", () -> follower.version().number() > number);
         assertEquals(number + 1, onLoop(() -> source.version().number()), "one commit");
         assertEquals(1, onLoop(() -> follower.deltasReceived()));
@@ -368,7 +368,7 @@
                 false,
                 number,
                 0,
-                lost.stream()
+                drained.stream()
                         .limit(1_230)
                         .map(each -> new Change(each.service(), each.name(), each.state(), null, number + 1, 0))
                         .toList(),
@@ -412,7 +412,7 @@
                                 12))
                         .length
                 + 5;
-        long entriesOfFollower = lost.stream()
+        long entriesOfFollower = drained.stream()
                 .limit(1_230)
                 .filter(each -> services.contains(each.service()))
                 .count();
@@ -429,13 +429,13 @@
 
     @Test
     void theSourceResumesFromItsStateFileAndStartsANewEpochWithoutIt() throws Exception {
-        fill();
-        Relay relay = new Relay("r1", sourceAt);
-        Follower follower = new Follower("f1", SERVICES_PER_FOLLOWER, relay.at);
+        commitInitialResources();
+        Relay relay = new Relay("r1", sourceAddress);
+        Follower follower = new Follower("f1", SERVICES_PER_FOLLOWER, relay.address);
         awaitAll(List.of(follower), "the follower has the list");
         Version versionBefore = onLoop(source::version);
         source.close();
-        startSource("127.0.0.1:" + sourceAt.getPort());
+        startSource("127.0.0.1:" + sourceAddress.getPort());
         assertEquals(versionBefore, onLoop(source::version));
         source.put(List.of(entry(1, State.DRAINING)));
         awaitAll(List.of(follower), "the follower is up to date");
@@ -443,9 +443,9 @@
 
         source.close();
         java.nio.file.Files.delete(folder.resolve("state"));
-        startSource("127.0.0.1:" + sourceAt.getPort());
+        startSource("127.0.0.1:" + sourceAddress.getPort());
         assertNotEquals(versionBefore.epoch(), onLoop(() -> source.version().epoch()));
-        fill();
+        commitInitialResources();
         awaitAll(List.of(follower), "the follower has the state of the new epoch");
         follower.assertVersionsNeverGoBack();
     }
@@ -459,7 +459,7 @@
     }
 
     private String reply(byte[] bytes) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", sourceAt.getPort())) {
+        try (Socket socket = new Socket("127.0.0.1", sourceAddress.getPort())) {
             socket.setSoTimeout(TIMEOUT_S * 1_000);
             socket.getOutputStream().write(bytes);
             InputStream in = socket.getInputStream();
@@ -469,24 +469,24 @@
 
     @Test
     void invalidMessagesAreReportedAndChangeNothing() throws Exception {
-        fill();
+        commitInitialResources();
         assertTrue(reply(frame("{\"hello\":2}".getBytes(StandardCharsets.UTF_8)))
                 .contains("version 2 of the protocol, 1 is spoken here"));
         assertTrue(reply(frame("[]".getBytes(StandardCharsets.UTF_8))).contains("expected an object"));
         assertTrue(reply(new byte[] {0x7f, 0, 0, 0, 0}).contains("a frame of more than 1048576 bytes"));
         assertTrue(reply(frame("{\"hello\":1,\"instance\":\"a b\",\"e\":0,\"n\":0}".getBytes(StandardCharsets.UTF_8)))
                 .contains("instance: expected 1 to 64 letters"));
-        Follower follower = new Follower("f1", 2, sourceAt);
+        Follower follower = new Follower("f1", 2, sourceAddress);
         follower.services.add("nothere");
-        ControlClient clientOfMissing = new ControlClient(
+        ControlClient followerOfMissingService = new ControlClient(
                 loop,
-                settings("follower", "above = [" + quoted(sourceAt) + "]\n", folder)
+                settings("follower", "above = [" + quoted(sourceAddress) + "]\n", folder)
                         .as("f2", List.of("svc1", "nothere")),
                 (version, kind, targets, changedSettings) -> {},
                 events,
                 new Traffic());
-        open.add(clientOfMissing);
-        clientOfMissing.start();
+        closeables.add(followerOfMissingService);
+        followerOfMissingService.start();
         await("the missing service is reported", () -> reported.stream()
                 .anyMatch(each -> each.startsWith("not_there") && each.endsWith("services nothere")));
         awaitAll(List.of(follower), "other followers are up to date");
