--- a/src/main/java/pondridge/platform/Config.java
+++ b/src/main/java/pondridge/platform/Config.java
@@ -14,20 +14,26 @@
 import pondridge.Options;
 import pondridge.core.Json;
 
-/** What one sidecar is told at its start; a mistake is an exception whose message names the key. */
+/**
+ * Configuration of a sidecar or gateway as the platform provides it at startup. An invalid file causes an exception
+ * whose message names the key.
+ *
+ * @param maxSockets limit on open file descriptors
+ * @param known endpoint list cached from before the start
+ */
 public record Config(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
-        Discovery.Listing known,
+        int maxSockets,
+        Discovery.EndpointList known,
         Options options) {
-    private static final int FEWEST_SOCKETS = 64;
-    /** The JVM and its libraries hold 35; the others are for letting in, discovery and the configuration. */
-    private static final int RESERVED = 48;
+    private static final int MIN_SOCKETS = 64;
+    /** The JVM and its libraries hold 35; the rest is for accepting, discovery and reading the configuration. */
+    private static final int RESERVED_DESCRIPTORS = 48;
 
-    /** Reads a file. */
+    /** Reads a JSON file. */
     public static Config read(Path file) throws IOException {
         try {
             return of(Json.MAPPER.readTree(Files.readAllBytes(file)));
@@ -36,7 +42,7 @@
         }
     }
 
-    /** Takes over what a file holds. */
+    /** Parses the content of a configuration file. */
     public static Config of(JsonNode root) {
         JsonNode settings = root.path("settings");
         if (!settings.isObject()) {
@@ -46,34 +52,38 @@
         flatten("", settings, lines);
         Options options = new Options(lines.toString());
         options.settings();
-        int sockets = root.path("limits").path("sockets").asInt(1024);
-        if (sockets < FEWEST_SOCKETS) {
-            throw new IllegalArgumentException("too few: limits.sockets");
+        int maxSockets = root.path("limits").path("sockets").asInt(1024);
+        if (maxSockets < MIN_SOCKETS) {
+            throw new IllegalArgumentException("expected at least " + MIN_SOCKETS + ": limits.sockets");
         }
-        Discovery.Listing known = root.has("known") ? Discovery.Listing.of(root.get("known")) : Discovery.Listing.NONE;
+        Discovery.EndpointList known =
+                root.has("known") ? Discovery.EndpointList.of(root.get("known")) : Discovery.EndpointList.EMPTY;
         return new Config(
                 root.path("name").asText("sidecar"),
                 address(root, "listen"),
                 address(root, "discovery"),
                 seed(root),
-                sockets,
+                maxSockets,
                 known,
                 options);
     }
 
-    /** Whether lists come to an agent on this machine, instead of being asked for. */
+    /** Whether endpoint lists are pushed to an agent on this machine instead of being requested. */
     public boolean pushed() {
         return options.settings().discovery() == Balancer.Discovery.AUTOMATIC;
     }
 
-    /** Of the descriptors: clients may need a third for requests at once, and some are on their way out. */
+    /**
+     * Limit on client connections. Clients may need a third of the descriptors for concurrent requests; the rest is
+     * for connections that are closing.
+     */
     public int mostClients() {
-        return sockets * 3 / 8;
+        return maxSockets * 3 / 8;
     }
 
-    /** The rest, but for what the JVM, the listening and discovery hold. */
+    /** Limit on upstream connections: what client connections and {@link #RESERVED_DESCRIPTORS} leave. */
     public int mostUpstream() {
-        return Math.max(sockets / 4, sockets - mostClients() - RESERVED);
+        return Math.max(maxSockets / 4, maxSockets - mostClients() - RESERVED_DESCRIPTORS);
     }
 
     private static InetSocketAddress address(JsonNode root, String key) {
@@ -92,7 +102,7 @@
         }
     }
 
-    /** A numeric address and port, or null; names are never looked up, since there is no DNS. */
+    /** Parses a numeric address and port; returns null if invalid. Names are not resolved, since there is no DNS. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
@@ -104,12 +114,12 @@
         }
     }
 
-    /** Writes a JSON tree as the path=value lines of the simulator's wire, which {@link Options} reads. */
+    /** Writes a JSON tree as path=value lines, the simulator's wire format, which {@link Options} reads. */
     private static void flatten(String path, JsonNode node, StringBuilder lines) {
         if (node.isObject()) {
             for (Map.Entry<String, JsonNode> field : node.properties()) {
-                String inner = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
-                flatten(inner, field.getValue(), lines);
+                String fieldPath = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
+                flatten(fieldPath, field.getValue(), lines);
             }
         } else if (node.isArray() && node.size() > 0 && node.get(0).isContainerNode()) {
             lines.append(path).append(".count=").append(node.size()).append('\n');
--- a/src/main/java/pondridge/platform/Discovery.java
+++ b/src/main/java/pondridge/platform/Discovery.java
@@ -37,32 +37,34 @@
 import pondridge.core.Target;
 
 /**
- * Asks discovery for the list: a watch on its changes, or the whole once. Where discovery is asked the module
- * decides when. Where lists are pushed nobody orders it: what the agent has counts as told from the first
- * moment and whether or not a watch is open, so one is opened at once, and anew as soon as it ends.
+ * HTTP client of the discovery service. It watches the endpoint list for changes or fetches the full list once.
+ * In subscribe mode the balancer decides when to call. In push mode a local agent holds the lists, and the
+ * balancer requests nothing: a list counts as received as soon as the agent has it, even with no watch open, so
+ * the watch is opened at startup and reopened whenever it ends.
  */
 public final class Discovery implements Directory {
     /**
-     * Empty lines come every 2 s: longer silence is a break. What it hides counts as told 6 s after the last
-     * word: half of that is left for asking anew, twice if one try fails. So long an object may take, too.
+     * Limit on silence on an open watch, and on receiving one object. The service sends an empty line every
+     * 2 s, so a longer pause means that the watch has broken. A change missed that way counts as received 6 s
+     * after the last message; the second half of that time is left for two further calls.
      */
-    private static final long SILENCE_MS = 3_000;
-    /** A call waits for up to 2 s: without a whole first answer by then it is given up. */
-    private static final long ANSWER_MS = 2_500;
-    /** After an object that was not whole in time, so long for the next: better late than never. */
-    private static final long LONGEST_OBJECT_MS = 5_000;
-    /** An agent on this machine answers at once; what it learns while a call hangs counts as told at once. */
-    private static final long AGENT_SILENCE_MS = 500;
-
-    private static final long AGENT_AGAIN_MS = 100;
+    private static final long WATCH_IDLE_TIMEOUT_MS = 3_000;
+    /** A call may be held for up to 2 s; without a complete first response after this time it is abandoned. */
+    private static final long FIRST_RESPONSE_TIMEOUT_MS = 2_500;
+    /** Limit on the next object after one was not complete in time: a late list is better than none. */
+    private static final long EXTENDED_OBJECT_TIMEOUT_MS = 5_000;
+    /** A local agent responds at once, and what it learns while a call hangs counts as received at once. */
+    private static final long AGENT_RESPONSE_TIMEOUT_MS = 500;
+
+    private static final long AGENT_RETRY_DELAY_MS = 100;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** What a new service tells counts as told 4 s after its address is configured; a call waits for 2 s. */
-    private static final long MOVE_WAIT_MS = 2_000;
+    /** The list of a new service counts as received 4 s after its address is configured; a call may take 2 s. */
+    private static final long ADDRESS_SWITCH_TIMEOUT_MS = 2_000;
 
-    private static final int LARGEST_OBJECT = 4 << 20;
+    private static final int MAX_OBJECT_BYTES = 4 << 20;
 
-    /** An entry, or null where it can't be understood. */
-    private static Target target(JsonNode node) {
+    /** Parses an entry; returns null, with a line on standard error, if it is invalid. */
+    private static Target parseTarget(JsonNode node) {
         String uid = node.path("uid").asText("");
         State state =
                 switch (node.path("state").asText()) {
@@ -73,7 +75,7 @@
                 };
         InetSocketAddress endpoint = Config.parseAddress(node.path("endpoint").asText(""));
         if (uid.isEmpty() || state == null || endpoint == null && state != State.GONE) {
-            System.err.println("discovery: entry passed over: " + node);
+            System.err.println("discovery: ignoring invalid entry: " + node);
             return null;
         }
         return new Target(
@@ -87,68 +89,76 @@
                 node.path("boot_ms").asLong());
     }
 
-    /** A list or a change of it. */
-    public record Listing(long rev, boolean all, List<Target> targets) {
-        public static final Listing NONE = new Listing(0, true, List.of());
+    /**
+     * A full endpoint list, or a change to it.
+     *
+     * @param rev revision of the list after this message
+     * @param full whether {@code targets} is the whole list; otherwise only the targets that changed
+     */
+    public record EndpointList(long rev, boolean full, List<Target> targets) {
+        public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
-        /** Reads one; entries that make no sense are passed over. */
-        public static Listing of(JsonNode node) {
+        /** Parses a list; invalid entries are skipped. */
+        public static EndpointList of(JsonNode node) {
             List<Target> targets = new ArrayList<>();
-            for (JsonNode each : node.path("targets")) {
-                Target target = target(each);
+            for (JsonNode entry : node.path("targets")) {
+                Target target = parseTarget(entry);
                 if (target != null) {
                     targets.add(target);
                 }
             }
-            return new Listing(node.path("rev").asLong(), node.path("all").asBoolean(), targets);
+            return new EndpointList(node.path("rev").asLong(), node.path("all").asBoolean(), targets);
         }
     }
 
     private final EventLoop loop;
     private final boolean pushed;
     private final BiConsumer<ListKind, List<Target>> listener;
-    private final Set<Call> calls = new HashSet<>();
+    private final Set<Call> openCalls = new HashSet<>();
     private InetSocketAddress address;
-    private long rev;
-    private boolean moved;
-    /** Where to move once no call waits for its first answer; null if no move is due. */
+    private long revision;
+    /** Whether the address was switched and the new service has not sent its full list yet. */
+    private boolean fullListPending;
+    /** The address to switch to once no call waits for its first response; null if no switch is pending. */
     private InetSocketAddress nextAddress;
 
-    private boolean wanted;
-    private boolean slow;
+    private boolean watchRequested;
+    /** Whether the last object was not complete in time. */
+    private boolean extendObjectTimeout;
+
     private Call watch;
-    private RequestLog log = RequestLog.NONE;
+    private RequestLog requestLog = RequestLog.NONE;
 
     /**
-     * Tells {@code listener} of each answer and each failure, on the loop.
+     * Creates a client that calls {@code listener} on the event loop for each response and each failure.
      *
      * @param pushed whether lists are pushed to an agent at this address: see {@link #follow}
-     * @param rev version of the list that is known
+     * @param revision revision of the cached list
      */
     public Discovery(
             EventLoop loop,
             InetSocketAddress address,
             boolean pushed,
-            long rev,
+            long revision,
             BiConsumer<ListKind, List<Target>> listener) {
         this.loop = loop;
         this.pushed = pushed;
         this.address = address;
-        this.rev = rev;
+        this.revision = revision;
         this.listener = listener;
     }
 
-    /** The version of the list that is known; on the loop, also while the listener is told of it. */
+    /** Revision of the last list received. Call on the event loop; already updated when the listener is called. */
     public long rev() {
-        return rev;
+        return revision;
     }
 
-    /** Has calls and lists logged; before the first call. */
-    public void log(RequestLog other) {
-        log = other;
+    /** Sets the log for calls and lists. Call before the first call to discovery. */
+    public void setRequestLog(RequestLog newLog) {
+        requestLog = newLog;
     }
 
-    /** Where lists are pushed, follows them from now on; else does nothing, since the module asks. */
+    /** Starts watching if lists are pushed; otherwise does nothing, since the balancer requests the watch. */
     public void follow() {
         if (pushed) {
             watch(true);
@@ -156,13 +166,14 @@
     }
 
     /**
-     * Follows changes from the last one known. A watch that is asked for again replaces the old one, unless
-     * that one still waits for its first answer: it would lose its place in the service's queue.
+     * Starts or stops watching changes after the last known revision. A repeated request replaces the open
+     * watch unless that one still waits for its first response: closing it would lose its position in the
+     * service's queue.
      */
     @Override
     public void watch(boolean on) {
-        wanted = on;
-        if (on && watch != null && !watch.answered) {
+        watchRequested = on;
+        if (on && watch != null && !watch.responded) {
             return;
         }
         if (watch != null) {
@@ -176,42 +187,42 @@
     }
 
     /**
-     * Asks another service from now on, and for its whole list: its versions need not follow on from the old
-     * one's. What the old one may still say after that changes nothing. A call that waits for its first
-     * answer is let finish before, for a while: its place in the service's queue would be lost, and the call
-     * that replaces it may be refused for seconds.
+     * Switches to another discovery service and requests its full list, since its revisions need not continue
+     * those of the old one. Responses of the old service after the switch are ignored. The switch is delayed
+     * for a bounded time while a call waits for its first response: closing the call would lose its position in
+     * the service's queue, and the call that replaces it may be refused for seconds.
      */
-    public void move(InetSocketAddress to) {
-        nextAddress = to.equals(address) ? null : to;
+    public void switchTo(InetSocketAddress newAddress) {
+        nextAddress = newAddress.equals(address) ? null : newAddress;
         if (nextAddress != null) {
-            moveUnlessWaiting();
-            loop.schedule(this::moveNow, MOVE_WAIT_MS, TimeUnit.MILLISECONDS);
+            switchUnlessCallPending();
+            loop.schedule(this::switchNow, ADDRESS_SWITCH_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void moveUnlessWaiting() {
-        if (calls.stream().allMatch(call -> call.answered)) {
-            moveNow();
+    private void switchUnlessCallPending() {
+        if (openCalls.stream().allMatch(call -> call.responded)) {
+            switchNow();
         }
     }
 
-    /** Calls that are out begin again at the new service. */
-    private void moveNow() {
+    /** Closes all open calls and repeats them at the new address. */
+    private void switchNow() {
         if (nextAddress == null) {
             return;
         }
         address = nextAddress;
         nextAddress = null;
-        rev = 0;
-        moved = true;
-        int fetches = 0;
-        for (Call call : List.copyOf(calls)) {
-            fetches += call.watching ? 0 : 1;
+        revision = 0;
+        fullListPending = true;
+        int openFetches = 0;
+        for (Call call : List.copyOf(openCalls)) {
+            openFetches += call.watching ? 0 : 1;
             call.close();
         }
         watch = null;
-        watch(wanted);
-        for (int i = 0; i < fetches; i++) {
+        watch(watchRequested);
+        for (int i = 0; i < openFetches; i++) {
             fetch();
         }
     }
@@ -221,72 +232,74 @@
         new Call(false).open();
     }
 
-    /** After a move, until the new service's whole list has come: one call for it at a time. */
-    private void wholeAfterMove() {
-        if (moved && calls.stream().allMatch(call -> call.watching)) {
+    /** After a switch, fetches the new service's full list until it has arrived, with one call at a time. */
+    private void fetchFullListIfPending() {
+        if (fullListPending && openCalls.stream().allMatch(call -> call.watching)) {
             fetch();
         }
     }
 
-    private void againIfPushed() {
-        if (pushed && wanted) {
+    private void rewatchIfPushed() {
+        if (pushed && watchRequested) {
             loop.schedule(
                     () -> {
-                        if (wanted && watch == null) {
+                        if (watchRequested && watch == null) {
                             watch(true);
                         }
                     },
-                    AGENT_AGAIN_MS,
+                    AGENT_RETRY_DELAY_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
+    /** One HTTP request to discovery on its own connection: a watch or a fetch. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final boolean watching;
-        private final ObjectCutter cutter = new ObjectCutter();
-        /** The version that was known when this call began. */
-        private final long from = rev;
+        private final JsonObjectSplitter splitter = new JsonObjectSplitter();
+        /** The last revision received when this call was created. */
+        private final long initialRevision = revision;
 
         private Channel channel;
-        private Future<?> silence;
-        private boolean begun;
-        private boolean answered;
-        private boolean over;
+        private Future<?> timeout;
+        private boolean bodyStarted;
+        private boolean responded;
+        private boolean closed;
 
         Call(boolean watching) {
             this.watching = watching;
         }
 
         void open() {
-            calls.add(this);
-            log.discoveryAsked(watching, rev);
-            heard();
+            openCalls.add(this);
+            requestLog.discoveryAsked(watching, revision);
+            updateTimeout();
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel made) {
-                            channel = made;
-                            made.pipeline().addLast(new HttpClientCodec(), Call.this);
+                        protected void initChannel(Channel created) {
+                            channel = created;
+                            created.pipeline().addLast(new HttpClientCodec(), Call.this);
                         }
                     })
                     .connect(address)
                     .addListener(done -> {
                         if (done.isSuccess()) {
-                            ask();
+                            sendRequest();
                         } else if (loop.inEventLoop()) {
                             fail("not connected");
                         } else {
-                            // Danger: with no descriptor left there is no channel, nor this thread.
+                            // With no file descriptor left there is no channel, and the listener runs on another
+                            // thread.
                             loop.execute(() -> fail("no socket"));
                         }
                     });
         }
 
-        private void ask() {
-            String path = "/discovery/hosts" + (watching ? "?watch=1&from=" + rev : "");
+        private void sendRequest() {
+            String path = "/discovery/hosts" + (watching ? "?watch=1&from=" + revision : "");
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
             request.headers()
                     .set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
@@ -294,57 +307,59 @@
         }
 
         /**
-         * Danger: bytes that trickle are no answer. Time for a call's first answer runs from its beginning,
-         * for an object from its first byte; neither begins anew with each byte.
+         * Starts or restarts the timeout. The timeout of the first response runs from the start of the call and
+         * that of an object from its first byte. Neither is restarted by each byte, since otherwise a response
+         * that trickles in would never time out.
          */
-        private void heard() {
-            if (cutter.size() > 0 || silence != null && !answered && !pushed && !(begun && slow)) {
+        private void updateTimeout() {
+            if (splitter.size() > 0
+                    || timeout != null && !responded && !pushed && !(bodyStarted && extendObjectTimeout)) {
                 return;
             }
-            if (silence != null) {
-                silence.cancel(false);
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            silence = loop.schedule(this::tooLate, patienceMs(), TimeUnit.MILLISECONDS);
+            timeout = loop.schedule(this::onTimeout, timeoutMs(), TimeUnit.MILLISECONDS);
         }
 
-        private long patienceMs() {
-            if (begun && slow) {
-                return LONGEST_OBJECT_MS;
+        private long timeoutMs() {
+            if (bodyStarted && extendObjectTimeout) {
+                return EXTENDED_OBJECT_TIMEOUT_MS;
             }
-            if (answered || pushed && begun) {
-                return SILENCE_MS;
+            if (responded || pushed && bodyStarted) {
+                return WATCH_IDLE_TIMEOUT_MS;
             }
-            return pushed ? AGENT_SILENCE_MS : ANSWER_MS;
+            return pushed ? AGENT_RESPONSE_TIMEOUT_MS : FIRST_RESPONSE_TIMEOUT_MS;
         }
 
-        private void tooLate() {
-            slow |= cutter.size() > 0;
+        private void onTimeout() {
+            extendObjectTimeout |= splitter.size() > 0;
             fail("silent for too long");
         }
 
         void close() {
-            over = true;
-            calls.remove(this);
-            silence.cancel(false);
+            closed = true;
+            openCalls.remove(this);
+            timeout.cancel(false);
             if (channel != null) {
                 channel.close();
             }
         }
 
         private void fail(String reason) {
-            if (!over) {
-                log.discoveryFailed(watching, reason);
+            if (!closed) {
+                requestLog.discoveryFailed(watching, reason);
                 close();
                 if (nextAddress != null && watch == this) {
-                    // The new service is asked in its place, at once: that is no failure.
-                    moveNow();
+                    // The watch is replaced at once by one at the new service, so this is not a failure.
+                    switchNow();
                     return;
                 }
                 if (watch == this) {
                     watch = null;
-                    againIfPushed();
+                    rewatchIfPushed();
                 } else if (pushed) {
-                    loop.schedule(Discovery.this::wholeAfterMove, AGENT_AGAIN_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(Discovery.this::fetchFullListIfPending, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                 }
                 listener.accept(ListKind.FAILED, List.of());
             }
@@ -352,11 +367,12 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) throws IOException {
-            if (over) {
+            if (closed) {
                 return;
             }
-            begun |= message instanceof HttpContent some && some.content().isReadable();
-            heard();
+            bodyStarted |=
+                    message instanceof HttpContent content && content.content().isReadable();
+            updateTimeout();
             if (message.decoderResult().isFailure()
                     || message instanceof HttpResponse response
                             && !response.status().equals(HttpResponseStatus.OK)) {
@@ -364,9 +380,9 @@
                 return;
             }
             if (message instanceof HttpContent content) {
-                take(content.content());
-                if (!over && message instanceof LastHttpContent) {
-                    if (watching || !answered) {
+                readBytes(content.content());
+                if (!closed && message instanceof LastHttpContent) {
+                    if (watching || !responded) {
                         fail("ended");
                     } else {
                         close();
@@ -375,23 +391,23 @@
             }
         }
 
-        private void take(ByteBuf bytes) throws IOException {
-            while (bytes.isReadable() && !over) {
-                switch (cutter.take(bytes.readByte())) {
-                    case OBJECT -> take();
+        private void readBytes(ByteBuf bytes) throws IOException {
+            while (bytes.isReadable() && !closed) {
+                switch (splitter.accept(bytes.readByte())) {
+                    case OBJECT -> readObject();
                     case EMPTY_LINE -> {
-                        if (watching && !answered) {
-                            // Nothing has changed since the version known: that, too, is its answer.
-                            answered = true;
-                            heard();
+                        if (watching && !responded) {
+                            // No change since the known revision is a first response, too.
+                            responded = true;
+                            updateTimeout();
                             listener.accept(ListKind.DELTA, List.of());
-                            wholeAfterMove();
-                            moveUnlessWaiting();
+                            fetchFullListIfPending();
+                            switchUnlessCallPending();
                         }
                     }
-                    case NONSENSE -> fail("not JSON");
+                    case INVALID -> fail("not JSON");
                     default -> {
-                        if (cutter.size() > LARGEST_OBJECT) {
+                        if (splitter.size() > MAX_OBJECT_BYTES) {
                             fail("object too large");
                         }
                     }
@@ -400,39 +416,40 @@
         }
 
         /**
-         * Danger: a whole list and the watch come by two connections, and the older one of two answers may
-         * come last: taken over, it would make ready again who drains by now. Versions that begin anew (the
-         * service does, or another one was asked) are lower, too, but nothing newer has come meanwhile.
+         * Whether the list is older than one that was received on another call. The full list and the watch use
+         * two connections, so the older of two responses may arrive last; applying it would mark a draining
+         * target as ready again. Revisions are also lower when they start again, after a restart of the service
+         * or a switch to another one, but then no newer list has arrived in the meantime.
          */
-        private boolean outrun(Listing listing) {
-            return listing.rev() < rev && (watching ? answered && !listing.all() : rev != from);
+        private boolean isOutdated(EndpointList list) {
+            return list.rev() < revision && (watching ? responded && !list.full() : revision != initialRevision);
         }
 
-        private void take() throws IOException {
-            JsonNode node = Json.MAPPER.readTree(cutter.object());
+        private void readObject() throws IOException {
+            JsonNode node = Json.MAPPER.readTree(splitter.removeObject());
             if (!node.path("rev").isIntegralNumber() || !node.path("targets").isArray()) {
                 fail("no list");
                 return;
             }
-            Listing listing = Listing.of(node);
-            boolean late = outrun(listing);
-            ListKind kind = listing.all() ? ListKind.FULL : ListKind.DELTA;
-            log.listReceived(watching, listing.rev(), late, kind, listing.targets());
-            answered = true;
-            slow = false;
-            heard();
-            if (late) {
+            EndpointList list = EndpointList.of(node);
+            boolean outdated = isOutdated(list);
+            ListKind kind = list.full() ? ListKind.FULL : ListKind.DELTA;
+            requestLog.listReceived(watching, list.rev(), outdated, kind, list.targets());
+            responded = true;
+            extendObjectTimeout = false;
+            updateTimeout();
+            if (outdated) {
                 if (!watching) {
                     fetch();
                 }
                 return;
             }
-            rev = listing.rev();
-            // Only changes: who was listed by the old service and is not by this one would stay.
-            moved &= !listing.all();
-            wholeAfterMove();
-            listener.accept(kind, listing.targets());
-            moveUnlessWaiting();
+            revision = list.rev();
+            // Changes alone would leave targets in place that only the old service listed.
+            fullListPending &= !list.full();
+            fetchFullListIfPending();
+            listener.accept(kind, list.targets());
+            switchUnlessCallPending();
         }
 
         @Override
--- a/src/main/java/pondridge/platform/package-info.java
+++ b/src/main/java/pondridge/platform/package-info.java
@@ -1,2 +1,2 @@
-/** What the platform tells a program at its start and while it runs: its configuration and discovery. */
+/** Reads the platform's configuration file and calls its discovery service. */
 package pondridge.platform;
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -25,38 +25,41 @@
 import pondridge.store.Sharing;
 import pondridge.transport.MixedUpstreams;
 
-/** Entry point of the real sidecar: configuration, start, and an orderly end at SIGTERM. */
+/** Entry point of the sidecar process: configuration, startup, and graceful shutdown at SIGTERM. */
 public final class Main {
-    /** New connections go on coming for up to 0.4 s after SIGTERM. */
-    private static final long ACCEPT_MS = 500;
-    /** SIGKILL comes no sooner than the longest deadline, of which 3 s count at most, and 0.7 s more. */
-    private static final long LONGEST_MS = 3_000;
+    /** New connections keep arriving for up to 0.4 s after SIGTERM. */
+    private static final long ACCEPT_AFTER_SIGTERM_MS = 500;
+    /** SIGKILL follows SIGTERM no sooner than the longest deadline, counted as 3 s at most, plus 0.7 s. */
+    private static final long MAX_COUNTED_DEADLINE_MS = 3_000;
 
-    private static final long SPARE_MS = 600;
-    /** Of that: for the last answers to be written. */
-    private static final long LAST_WRITES_MS = 150;
+    private static final long SIGKILL_MARGIN_MS = 600;
+    /** Part of the margin that is reserved for writing the last responses. */
+    private static final long FINAL_WRITES_MS = 150;
 
-    private static final long POLL_MS = 20;
-    /** The listening ends when nobody has connected for so long: what is not yet accepted would be reset. */
-    private static final long QUIET = 50_000_000;
+    private static final long DRAIN_POLL_MS = 20;
+    /**
+     * The listener closes when no client has connected for this time, because connections in the accept queue would
+     * be reset.
+     */
+    private static final long ACCEPT_QUIET_NANOS = 50_000_000;
 
-    private static final int MOST_LOOKS = 10;
-    private static final String REHEARSE = "rehearse";
+    private static final int MAX_QUIET_CHECKS = 10;
+    private static final String DRY_RUN_ARGUMENT = "rehearse";
 
     private Main() {}
 
     /**
-     * Runs until SIGTERM, with the argument {@code rehearse} only until it is warm: that checks a
-     * configuration, and shows the build which classes belong in the class archive. With {@code --settings
-     * FILE} the file's settings hold for the way to upstreams; without it nothing of that is loaded. A bad
-     * configuration ends it with one line and exit status 2.
+     * Runs until SIGTERM. With the argument {@code rehearse} it exits after the warm-up: this checks a
+     * configuration, and lets the build record the classes for the class data sharing archive. With
+     * {@code --settings FILE} the settings in that file apply to upstream connections; without it none of those
+     * classes are loaded. An invalid configuration ends the process with one line and exit status 2.
      */
     public static void main(String[] args) {
-        // Else netty would find and load the logging of the gateway's, which the sidecar does not use.
+        // Otherwise Netty would find and load the gateway's logging library, which the sidecar does not use.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         String file = System.getenv("PROXY_CONFIG");
-        CompletableFuture<Consumer<Config>> running = new CompletableFuture<>();
-        reloadAtSighup(file, running);
+        CompletableFuture<Consumer<Config>> configApplier = new CompletableFuture<>();
+        reloadAtSighup(file, configApplier);
         Config config;
         SidecarSettings settings = null;
         try {
@@ -66,7 +69,7 @@
             config = Config.read(Path.of(file));
             if (args.length == 2 && args[0].equals("--settings")) {
                 settings = SidecarSettings.read(Path.of(args[1]));
-            } else if (args.length > 0 && !REHEARSE.equals(args[0])) {
+            } else if (args.length > 0 && !DRY_RUN_ARGUMENT.equals(args[0])) {
                 throw new IllegalArgumentException("arguments: expected none, rehearse or --settings FILE");
             }
         } catch (IllegalArgumentException | IOException e) {
@@ -76,52 +79,55 @@
         }
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        boolean rehearsal = args.length == 1 && args[0].equals(REHEARSE);
-        SidecarSettings way = settings;
-        loop.execute(() -> start(group, loop, config, way, rehearsal, running));
+        boolean dryRun = args.length == 1 && args[0].equals(DRY_RUN_ARGUMENT);
+        SidecarSettings sidecarSettings = settings;
+        loop.execute(() -> start(group, loop, config, sidecarSettings, dryRun, configApplier));
     }
 
     /**
-     * Left to itself the JVM ends at SIGHUP. It calls this handler on a thread of its own, so reading the
-     * file holds nobody up; one that comes before the start is over waits for it. A bad file changes nothing.
+     * Reloads the configuration at SIGHUP, at which the JVM would exit by default. The JVM calls the handler on a
+     * separate thread, so reading the file does not block the event loop. A signal during startup waits until
+     * startup is complete. An invalid file changes nothing.
      */
-    private static void reloadAtSighup(String file, CompletableFuture<Consumer<Config>> running) {
+    private static void reloadAtSighup(String file, CompletableFuture<Consumer<Config>> configApplier) {
         onSighup(() -> {
-            Consumer<Config> takeOver = running.join();
-            synchronized (running) {
+            Consumer<Config> applyConfig = configApplier.join();
+            synchronized (configApplier) {
                 try {
-                    takeOver.accept(Config.read(Path.of(file)));
+                    applyConfig.accept(Config.read(Path.of(file)));
                 } catch (IllegalArgumentException | IOException e) {
-                    System.err.println("pondridge: new configuration not taken: " + e.getMessage());
+                    System.err.println("pondridge: new configuration rejected: " + e.getMessage());
                 }
             }
         });
     }
 
     /**
-     * Java's one way to a signal is {@code sun.misc.Signal}, from the module jdk.unsupported. Reached by
-     * reflection since the compiler warns of its name, and that warning can't be turned off by itself.
+     * Installs a SIGHUP handler. Java's only interface for signals is {@code sun.misc.Signal} in the module
+     * jdk.unsupported. It is accessed by reflection, since the compiler warns about its name and that warning
+     * cannot be disabled on its own.
      */
     private static void onSighup(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object ours = Proxy.newProxyInstance(
-                    Main.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object reloadHandler = Proxy.newProxyInstance(
+                    Main.class.getClassLoader(), new Class<?>[] {handlerType}, (proxy, method, arguments) -> {
                         if (method.getName().equals("handle")) {
                             action.run();
                         }
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
-            if (before == handler.getField("SIG_IGN").get(null)) {
-                // The JVM leaves a signal alone that was ignored when it began, as nohup has it.
-                System.err.println("pondridge: SIGHUP was ignored when this program began and stays so:"
-                        + " no new configuration will be taken");
+            Object previousHandler = signalType
+                    .getMethod("handle", signalType, handlerType)
+                    .invoke(null, signalType.getConstructor(String.class).newInstance("HUP"), reloadHandler);
+            if (previousHandler == handlerType.getField("SIG_IGN").get(null)) {
+                // The JVM does not handle a signal that was ignored when it started, for example under nohup.
+                System.err.println("pondridge: SIGHUP was ignored when this process started and stays ignored:"
+                        + " configuration reload is disabled");
             }
         } catch (ReflectiveOperationException e) {
-            System.err.println("pondridge: SIGHUP would end this program: " + e);
+            System.err.println("pondridge: no SIGHUP handler installed, so SIGHUP ends this process: " + e);
         }
     }
 
@@ -130,12 +136,12 @@
             EventLoop loop,
             Config config,
             SidecarSettings settings,
-            boolean rehearsal,
-            CompletableFuture<Consumer<Config>> running) {
+            boolean dryRun,
+            CompletableFuture<Consumer<Config>> configApplier) {
         Transport upstreams = settings == null
                 ? new Upstreams(loop, config.options(), config.mostUpstream())
                 : MixedUpstreams.of(loop, config.options(), settings.upstreams(), config.mostUpstream());
-        Engine engine = new Engine(loop, config.options(), config.seed(), config.sockets() / 2, upstreams);
+        Engine engine = new Engine(loop, config.options(), config.seed(), config.maxSockets() / 2, upstreams);
         if (settings != null && settings.store() != null) {
             Sharing.begin(
                     loop, engine, settings.store(), config.options().settings().limits(), config.seed() + 1);
@@ -143,75 +149,78 @@
         Discovery discovery = new Discovery(
                 loop, config.discovery(), config.pushed(), config.known().rev(), engine::listed);
         Frontend frontend = new Frontend(engine, config.options(), config.mostClients());
-        RequestLog log = RequestLog.fromEnvironment();
-        engine.log(log);
-        discovery.log(log);
-        frontend.log(log);
+        RequestLog requestLog = RequestLog.fromEnvironment();
+        engine.log(requestLog);
+        discovery.setRequestLog(requestLog);
+        frontend.log(requestLog);
         if (settings != null && settings.control() != null) {
             Following.begin(loop, engine, settings.control(), config.known().targets());
         } else {
             engine.start(discovery, config.known().targets());
             discovery.follow();
         }
-        SecondFront second = settings == null || settings.grpc() == null
-                ? SecondFront.NONE
-                : new SecondFront.Grpc(loop, settings.grpc(), config, engine);
-        // Only where discovery is; all else stays as it was at the start.
-        running.complete(read -> loop.execute(() -> discovery.move(read.discovery())));
-        second.listen(() ->
-                PatientBind.listen(loop, config.listen(), () -> frontend.listen(group, config.listen()), channel -> {
-                    endAtSigterm(loop, config, engine, frontend, second);
+        SecondaryFrontend secondary = settings == null || settings.grpc() == null
+                ? SecondaryFrontend.NONE
+                : new SecondaryFrontend.Grpc(loop, settings.grpc(), config, engine);
+        // Only the discovery address is reloaded; all other settings keep their values from startup.
+        configApplier.complete(newConfig -> loop.execute(() -> discovery.switchTo(newConfig.discovery())));
+        secondary.listen(() ->
+                RetryingBinder.bind(loop, config.listen(), () -> frontend.listen(group, config.listen()), channel -> {
+                    installShutdownHook(loop, config, engine, frontend, secondary);
                     WarmUp.run(
                             loop,
                             config.options(),
                             (InetSocketAddress) channel.localAddress(),
-                            rehearsal ? Main::end : () -> ready(config, frontend, second));
+                            dryRun ? Main::exitAfterDryRun : () -> markReady(config, frontend, secondary));
                 }));
     }
 
-    private static void ready(Config config, Frontend frontend, SecondFront second) {
+    private static void markReady(Config config, Frontend frontend, SecondaryFrontend secondary) {
         frontend.ready();
-        second.ready();
+        secondary.ready();
         if (!System.getProperty("java.vm.info", "").contains("sharing")) {
-            // Of an archive that is there and does not fit, the JVM tells itself.
-            System.err.println("pondridge: the class archive was not taken, so the start was slow");
+            // If an archive exists but does not match, the JVM prints its own warning.
+            System.err.println("pondridge: class data sharing archive not in use, so startup was slow");
         }
         System.err.println("pondridge: " + config.name() + " ready at " + config.listen());
     }
 
-    /** A rehearsal is over. Not on the loop, which the shutdown hook still needs. */
-    private static void end() {
+    /** Exits after a dry run, on a new thread because the shutdown hook still needs the event loop. */
+    private static void exitAfterDryRun() {
         new Thread(() -> System.exit(0)).start();
     }
 
-    /** The hook holds the process until all is answered, or as long as the platform lets it. */
-    private static void endAtSigterm(
-            EventLoop loop, Config config, Engine engine, Frontend frontend, SecondFront second) {
-        long longest = Math.min(
-                LONGEST_MS,
+    /** Installs a hook that drains the sidecar at SIGTERM and exits when it is empty or its time is up. */
+    private static void installShutdownHook(
+            EventLoop loop, Config config, Engine engine, Frontend frontend, SecondaryFrontend secondary) {
+        long longestDeadlineMs = Math.min(
+                MAX_COUNTED_DEADLINE_MS,
                 config.options().settings().classes().stream()
                                 .mapToLong(RequestClass::deadline)
                                 .max()
                                 .orElse(0)
                         / 1_000_000);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            CountDownLatch done = new CountDownLatch(1);
+            CountDownLatch drained = new CountDownLatch(1);
             loop.execute(frontend::drain);
-            loop.execute(second::drain);
-            loop.execute(() -> engine.endWithin((longest + SPARE_MS - LAST_WRITES_MS) * 1_000_000));
-            loop.schedule(second::close, ACCEPT_MS, TimeUnit.MILLISECONDS);
-            loop.schedule(() -> closeWhenQuiet(loop, frontend, MOST_LOOKS), ACCEPT_MS, TimeUnit.MILLISECONDS);
+            loop.execute(secondary::drain);
+            loop.execute(() -> engine.endWithin((longestDeadlineMs + SIGKILL_MARGIN_MS - FINAL_WRITES_MS) * 1_000_000));
+            loop.schedule(secondary::close, ACCEPT_AFTER_SIGTERM_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> closeWhenQuiet(loop, frontend, MAX_QUIET_CHECKS),
+                    ACCEPT_AFTER_SIGTERM_MS,
+                    TimeUnit.MILLISECONDS);
             loop.scheduleWithFixedDelay(
                     () -> {
-                        if (frontend.empty() && engine.idle() && second.idle()) {
-                            done.countDown();
+                        if (frontend.empty() && engine.idle() && secondary.idle()) {
+                            drained.countDown();
                         }
                     },
-                    ACCEPT_MS,
-                    POLL_MS,
+                    ACCEPT_AFTER_SIGTERM_MS,
+                    DRAIN_POLL_MS,
                     TimeUnit.MILLISECONDS);
             try {
-                done.await(longest + SPARE_MS, TimeUnit.MILLISECONDS);
+                drained.await(longestDeadlineMs + SIGKILL_MARGIN_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -219,11 +228,15 @@
         }));
     }
 
-    private static void closeWhenQuiet(EventLoop loop, Frontend frontend, int looks) {
-        if (looks == 0 || frontend.quiet() > QUIET) {
+    /** Closes the listener once no client has connected for a while, or after the last check. */
+    private static void closeWhenQuiet(EventLoop loop, Frontend frontend, int remainingChecks) {
+        if (remainingChecks == 0 || frontend.quiet() > ACCEPT_QUIET_NANOS) {
             frontend.close();
         } else {
-            loop.schedule(() -> closeWhenQuiet(loop, frontend, looks - 1), QUIET, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> closeWhenQuiet(loop, frontend, remainingChecks - 1),
+                    ACCEPT_QUIET_NANOS,
+                    TimeUnit.NANOSECONDS);
         }
     }
 }
--- a/src/main/java/pondridge/sidecar/SecondFront.java
+++ b/src/main/java/pondridge/sidecar/SecondaryFrontend.java
@@ -7,40 +7,40 @@
 import pondridge.grpc.GrpcSettings;
 import pondridge.platform.Config;
 
-/** A front beside HTTP/1.1's; {@link #NONE} where there is none, and then nothing of it is loaded. */
-interface SecondFront {
-    /** No other front. */
-    SecondFront NONE = new SecondFront() {};
+/** A frontend in addition to the HTTP/1.1 one. With {@link #NONE} no classes of another protocol are loaded. */
+interface SecondaryFrontend {
+    /** No secondary frontend. */
+    SecondaryFrontend NONE = new SecondaryFrontend() {};
 
-    /** Listens, then calls {@code listening}; what comes before {@link #ready} is told that it is not. */
-    default void listen(Runnable listening) {
-        listening.run();
+    /** Starts listening, then calls {@code onListening}. Until {@link #ready} it reports that it is not ready. */
+    default void listen(Runnable onListening) {
+        onListening.run();
     }
 
-    /** The program is warm. */
+    /** Reports readiness from now on. Called after the warm-up. */
     default void ready() {}
 
-    /** The program is about to end. */
+    /** Starts draining, since the process is about to exit. */
     default void drain() {}
 
-    /** No more connections are taken. */
+    /** Stops accepting connections. */
     default void close() {}
 
-    /** Whether nothing is open. */
+    /** Whether no request is open. */
     default boolean idle() {
         return true;
     }
 
-    /** gRPC's front, by its settings. */
-    final class Grpc implements SecondFront {
+    /** The gRPC frontend. */
+    final class Grpc implements SecondaryFrontend {
         private final EventLoop loop;
         private final InetSocketAddress address;
-        private final GrpcFront front;
+        private final GrpcFront frontend;
 
         Grpc(EventLoop loop, GrpcSettings settings, Config config, Engine engine) {
             this.loop = loop;
             address = settings.listen();
-            front = new GrpcFront(
+            frontend = new GrpcFront(
                     loop,
                     settings,
                     config.options(),
@@ -50,28 +50,28 @@
         }
 
         @Override
-        public void listen(Runnable listening) {
-            PatientBind.listen(loop, address, front::listen, channel -> listening.run());
+        public void listen(Runnable onListening) {
+            RetryingBinder.bind(loop, address, frontend::listen, channel -> onListening.run());
         }
 
         @Override
         public void ready() {
-            front.ready(true);
+            frontend.ready(true);
         }
 
         @Override
         public void drain() {
-            front.drain();
+            frontend.drain();
         }
 
         @Override
         public void close() {
-            front.close();
+            frontend.close();
         }
 
         @Override
         public boolean idle() {
-            return front.idle();
+            return frontend.idle();
         }
     }
 }
--- a/src/main/java/pondridge/sidecar/SidecarSettings.java
+++ b/src/main/java/pondridge/sidecar/SidecarSettings.java
@@ -8,34 +8,34 @@
 import pondridge.transport.TransportSettings;
 
 /**
- * What {@code --settings FILE} holds for a sidecar.
+ * Content of the {@code --settings FILE} of a sidecar.
  *
- * @param upstreams how servers are spoken to
- * @param store what is shared with other sidecars; null for nothing
- * @param control where lists come from in place of discovery; null for discovery
+ * @param upstreams protocols and connections to servers
+ * @param store the store shared with other sidecars; null if nothing is shared
+ * @param control the source of endpoint lists that replaces discovery; null to use discovery
  */
 public record SidecarSettings(TransportSettings upstreams, StoreSettings store, ControlSettings control) {
-    /** What gRPC clients come in by; null where none are to. */
+    /** Settings of the gRPC frontend; null if it is disabled. */
     GrpcSettings grpc() {
         return upstreams.grpc() == null || upstreams.grpc().listen() == null ? null : upstreams.grpc();
     }
 
-    /** Reads a whole file; any mistake is a {@link pondridge.settings.SettingsException}. */
+    /** Reads a settings file; throws {@link pondridge.settings.SettingsException} if it is invalid. */
     public static SidecarSettings read(Path path) {
         SettingsFile file = SettingsFile.read(path);
-        SidecarSettings read = new SidecarSettings(
+        SidecarSettings settings = new SidecarSettings(
                 TransportSettings.of(file, path.toAbsolutePath().getParent()),
                 file.has("store") ? StoreSettings.of(file, path.toAbsolutePath().getParent()) : null,
                 file.has("control") ? control(file, path.toAbsolutePath().getParent()) : null);
         file.finish();
-        return read;
+        return settings;
     }
 
-    private static ControlSettings control(SettingsFile file, Path folder) {
-        ControlSettings read = ControlSettings.of(file, folder);
-        if (read.role() == ControlSettings.Role.SOURCE || read.role() == ControlSettings.Role.RELAY) {
+    private static ControlSettings control(SettingsFile file, Path directory) {
+        ControlSettings settings = ControlSettings.of(file, directory);
+        if (settings.role() == ControlSettings.Role.SOURCE || settings.role() == ControlSettings.Role.RELAY) {
             throw file.section("control").contradiction("role", "expected off or follower for a sidecar");
         }
-        return read.role() == ControlSettings.Role.OFF ? null : read;
+        return settings.role() == ControlSettings.Role.OFF ? null : settings;
     }
 }
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -18,63 +18,68 @@
 import pondridge.http1.Upstreams;
 
 /**
- * Loads and compiles what every request runs through, before the first client comes: the sidecar asks its own
- * frontend, and an instance of the module that nobody hears decides for requests that do not exist.
+ * Loads and compiles the code on the request path before the first client connects. The sidecar sends requests to its
+ * own frontend, and a separate balancer instance whose actions are discarded decides on simulated requests.
  */
 final class WarmUp {
-    private static final int ROUNDS = 600;
-    private static final long PATIENCE = 1_000_000_000;
-    /** On a crowded core a cold sidecar is better than a late one. */
-    private static final long LONGEST = 3_000_000_000L;
+    private static final int ITERATIONS = 600;
+    private static final long REQUEST_TIMEOUT_NANOS = 1_000_000_000;
+    /** On an overloaded core it is better to start without a full warm-up than to start late. */
+    private static final long TIME_LIMIT_NANOS = 3_000_000_000L;
 
-    private static final long STEP = 10_000_000;
-    private static final Job UP =
+    private static final long STEP_NANOS = 10_000_000;
+    private static final Job HEALTH_CHECK =
             new Job(0, 0, 0, 0, 0, false, HttpMethod.GET, "/up", new DefaultHttpHeaders(), new byte[0]);
 
-    private final Upstreams self;
-    private final Runnable done;
-    private final long began = System.nanoTime();
+    private final Upstreams ownFrontend;
+    private final Runnable onDone;
+    private final long startNanos = System.nanoTime();
 
-    private WarmUp(Upstreams self, Runnable done) {
-        this.self = self;
-        this.done = done;
+    private WarmUp(Upstreams ownFrontend, Runnable onDone) {
+        this.ownFrontend = ownFrontend;
+        this.onDone = onDone;
     }
 
-    /** Runs on the loop; {@code done} follows also if the frontend can't be reached. */
-    static void run(EventLoop loop, Options options, InetSocketAddress frontend, Runnable done) {
-        decide(options.settings());
-        Upstreams self = new Upstreams(loop, options, 1);
-        self.listed(0, frontend, 0, true);
-        new WarmUp(self, done).ask(ROUNDS);
+    /** Call on the event loop. {@code onDone} runs at the end, also if the frontend cannot be reached. */
+    static void run(EventLoop loop, Options options, InetSocketAddress frontendAddress, Runnable onDone) {
+        warmUpBalancer(options.settings());
+        Upstreams ownFrontend = new Upstreams(loop, options, 1);
+        ownFrontend.listed(0, frontendAddress, 0, true);
+        new WarmUp(ownFrontend, onDone).sendRequests(ITERATIONS);
     }
 
-    /** The frontend is not ready and answers 503: the way there and back is the same. */
-    private void ask(int left) {
-        if (left == 0 || System.nanoTime() - began > LONGEST) {
-            self.close();
-            done.run();
+    /** Sends requests one by one. The frontend, not ready yet, responds with 503 on the usual request path. */
+    private void sendRequests(int remaining) {
+        if (remaining == 0 || System.nanoTime() - startNanos > TIME_LIMIT_NANOS) {
+            ownFrontend.close();
+            onDone.run();
             return;
         }
-        self.send(0, UP, PATIENCE, (outcome, answer, load) -> ask(outcome == Outcome.ERROR ? left - 1 : 0));
+        ownFrontend.send(
+                0,
+                HEALTH_CHECK,
+                REQUEST_TIMEOUT_NANOS,
+                (outcome, response, load) -> sendRequests(outcome == Outcome.ERROR ? remaining - 1 : 0));
     }
 
-    private static void decide(Settings settings) {
-        Balancer rules = new Rules(settings, 0, new Unheard());
+    private static void warmUpBalancer(Settings settings) {
+        Balancer balancer = new Rules(settings, 0, new NoOpActions());
         long now = System.nanoTime() & Long.MAX_VALUE;
-        rules.start(now);
-        rules.listChanged(
+        balancer.start(now);
+        balancer.listChanged(
                 now,
                 ListKind.CACHED,
                 List.of(new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
-        for (int i = 0; i < ROUNDS; i++) {
-            now += STEP;
-            rules.request(now, new Request(i, i % settings.classes().size(), 0, 0, PATIENCE, 0, false, false));
-            rules.outcome(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
-            rules.timer(now + STEP / 2, i);
+        for (int i = 0; i < ITERATIONS; i++) {
+            now += STEP_NANOS;
+            balancer.request(
+                    now, new Request(i, i % settings.classes().size(), 0, 0, REQUEST_TIMEOUT_NANOS, 0, false, false));
+            balancer.outcome(now + STEP_NANOS / 2, i, 0, 1, Outcome.OK, STEP_NANOS / 2, true, new float[0]);
+            balancer.timer(now + STEP_NANOS / 2, i);
         }
     }
 
-    private static final class Unheard implements Balancer.Actions {
+    private static final class NoOpActions implements Balancer.Actions {
         @Override
         public void send(long request, long upstream, long timeout) {}
 
--- a/src/main/java/pondridge/sidecar/package-info.java
+++ b/src/main/java/pondridge/sidecar/package-info.java
@@ -1,2 +1,2 @@
-/** The sidecar on real sockets: one event loop thread carries the module's decisions out. */
+/** The sidecar process: one event loop thread carries out the balancer's decisions on real sockets. */
 package pondridge.sidecar;
--- a/src/test/java/pondridge/sidecar/AskedAnewTest.java
+++ b/src/test/java/pondridge/sidecar/AskedAnewTest.java
@@ -147,7 +147,7 @@
                 })) {
             Discovery discovery = sidecar(old, told);
             Stub.next(old.heads);
-            loop.execute(() -> discovery.move(next.address()));
+            loop.execute(() -> discovery.switchTo(next.address()));
             assertEquals(ListKind.DELTA, Stub.next(told));
             assertEquals(ListKind.FAILED, Stub.next(told));
             broken.countDown();
--- a/src/test/java/pondridge/sidecar/ClientLeavesTest.java
+++ b/src/test/java/pondridge/sidecar/ClientLeavesTest.java
@@ -16,7 +16,7 @@
 import pondridge.core.Target;
 import pondridge.http1.LateConnection;
 import pondridge.http1.Stub;
-import pondridge.platform.Discovery.Listing;
+import pondridge.platform.Discovery.EndpointList;
 
 /** A request whose client has left, or whose time for a repeat is over, while it waits to be written. */
 class ClientLeavesTest {
@@ -67,7 +67,7 @@
                     Bed.Client client = new Bed.Client(bed.address)) {
                 Stub.write(client.socket, Bed.post("hold", "Idempotency-Key: k\r\n", "x"));
                 Stub.next(first.heads);
-                List<Target> more = Listing.of(Bed.list(
+                List<Target> more = EndpointList.of(Bed.list(
                                 42,
                                 false,
                                 Bed.target("s-1", endpoint(late), "SERVING").put("boot_ms", 1)))
--- a/src/test/java/pondridge/sidecar/DeployedIT.java
+++ b/src/test/java/pondridge/sidecar/DeployedIT.java
@@ -197,7 +197,7 @@
             hangUp();
             BufferedReader log = process.errorReader();
             String line = log.readLine();
-            while (!line.contains("not taken")) {
+            while (!line.contains("new configuration rejected")) {
                 line = log.readLine();
             }
             write(json.put("discovery", third.endpoint()).toString());
--- a/src/test/java/pondridge/sidecar/DiscoveryTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryTest.java
@@ -134,7 +134,7 @@
             Discovery discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
             assertEquals(ListKind.FULL, Stub.next(told).kind);
-            loop.execute(() -> discovery.move(next.address()));
+            loop.execute(() -> discovery.switchTo(next.address()));
             assertEquals("end", Stub.next(old.ended), "the old watch is closed");
             assertTrue(Stub.next(next.heads).startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
             Told list = Stub.next(told);
@@ -160,7 +160,7 @@
             Discovery discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
             Stub.next(old.heads);
-            loop.submit(() -> discovery.move(next.address())).sync();
+            loop.submit(() -> discovery.switchTo(next.address())).sync();
             assertEquals(0, next.heads.size());
             configured.countDown();
             assertEquals(new Told(ListKind.FULL, List.of()), Stub.next(told), "the old one's answer");
@@ -183,7 +183,7 @@
             Stub.next(old.heads);
             // Timers of one loop fire in order, whatever the machine's speed.
             loop.execute(() -> {
-                discovery.move(next.address());
+                discovery.switchTo(next.address());
                 loop.schedule(() -> told.add(new Told(ListKind.CACHED, List.of())), 2_300, TimeUnit.MILLISECONDS);
             });
             assertEquals(ListKind.FULL, Stub.next(told).kind, "before 2.3 s are over");
@@ -226,7 +226,7 @@
             Discovery discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
             Stub.next(old.heads);
-            loop.execute(() -> discovery.move(next.address()));
+            loop.execute(() -> discovery.switchTo(next.address()));
             Stub.next(next.heads);
             old.die();
             Stub.next(old.ended);
@@ -252,7 +252,7 @@
             Discovery discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
             Stub.next(old.heads);
-            loop.execute(() -> discovery.move(next.address()));
+            loop.execute(() -> discovery.switchTo(next.address()));
             assertEquals(ListKind.DELTA, Stub.next(told).kind);
             assertEquals(ListKind.FULL, Stub.next(told).kind);
         }
@@ -446,7 +446,7 @@
                 Discovery discovery = discovery(old, pushed);
                 loop.execute(() -> discovery.watch(true));
                 Stub.next(old.heads);
-                loop.execute(() -> discovery.move(next.address()));
+                loop.execute(() -> discovery.switchTo(next.address()));
                 assertEquals(ListKind.DELTA, Stub.next(told).kind);
                 assertEquals(ListKind.FAILED, Stub.next(told).kind);
                 if (!pushed) {
