--- a/src/test/java/pondridge/sidecar/ConnectionCloseTest.java
+++ b/src/test/java/pondridge/sidecar/ConnectionCloseTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import pondridge.http1.Stub;
 
-/** The sidecar closes a client's connection while bytes of that client have not been read. */
+/** Closing a client connection while bytes from that client are still unread. */
 class ConnectionCloseTest {
     private static final int LARGE_RESPONSE = 1_000_000;
 
@@ -22,91 +22,97 @@
         void run() throws Exception;
     }
 
-    /** Runs the action while the event loop is blocked, then {@code last} on the loop in the same turn. */
-    private static void whileBlocked(Bed bed, Action action, Runnable last) throws Exception {
+    /** Runs the action while the event loop is blocked, then {@code inSameIteration} in the same loop iteration. */
+    private static void whileBlocked(SidecarFixture sidecar, Action action, Runnable inSameIteration) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        bed.loop.execute(() -> {
+        sidecar.loop.execute(() -> {
             blocked.countDown();
             assertTrue(Stub.await(go));
-            last.run();
+            inSameIteration.run();
         });
         assertTrue(blocked.await(Stub.LIMIT_S, TimeUnit.SECONDS));
         action.run();
         go.countDown();
     }
 
-    /** Every place is taken by idle connections, and the one idle longest has sent its next request. */
+    /** Idle connections use up the limit, and the one that has been idle longest has just sent its next request. */
     @Test
-    void aConnectionWhoseRequestIsUnreadDoesNotMakeRoom() throws Exception {
-        List<Bed.Client> idle = new ArrayList<>();
+    void aConnectionWithAnUnreadRequestIsNotEvicted() throws Exception {
+        List<SidecarFixture.Client> idle = new ArrayList<>();
         try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
-            for (int i = 0; i < Bed.MOST; i++) {
-                idle.add(new Bed.Client(bed.address));
-                assertEquals(200, idle.get(i).ask(Bed.look("first" + i)).status());
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
+            for (int i = 0; i < SidecarFixture.MAX_OPEN; i++) {
+                idle.add(new SidecarFixture.Client(sidecar.address));
+                assertEquals(
+                        200,
+                        idle.get(i)
+                                .exchange(SidecarFixture.safeRequest("first" + i))
+                                .status());
             }
-            Bed.Client[] another = new Bed.Client[1];
+            SidecarFixture.Client[] additional = new SidecarFixture.Client[1];
             whileBlocked(
-                    bed,
+                    sidecar,
                     () -> {
-                        another[0] = new Bed.Client(bed.address);
-                        Stub.write(another[0].socket, Bed.look("new"));
-                        Stub.write(idle.get(0).socket, Bed.look("unread"));
+                        additional[0] = new SidecarFixture.Client(sidecar.address);
+                        Stub.write(additional[0].socket, SidecarFixture.safeRequest("new"));
+                        Stub.write(idle.get(0).socket, SidecarFixture.safeRequest("unread"));
                     },
                     () -> {});
-            assertEquals(200, idle.get(0).read().status());
-            assertEquals(200, another[0].read().status());
-            assertEquals(-1, idle.get(1).socket.getInputStream().read(), "the next in turn made room");
-            another[0].close();
+            assertEquals(200, idle.get(0).readResponse().status());
+            assertEquals(200, additional[0].readResponse().status());
+            assertEquals(
+                    -1, idle.get(1).socket.getInputStream().read(), "the connection idle second longest is evicted");
+            additional[0].close();
         } finally {
-            for (Bed.Client client : idle) {
+            for (SidecarFixture.Client client : idle) {
                 client.close();
             }
         }
     }
 
-    /** A request that lies unread on a used connection when the draining begins. */
+    /** A request is unread on a reused connection when draining starts. */
     @Test
-    void anUnreadRequestIsAnsweredWhenTheDrainingBegins() throws Exception {
+    void anUnreadRequestIsAnsweredWhenDrainingStarts() throws Exception {
         try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            assertEquals(200, client.ask(Bed.look("a")).status());
-            whileBlocked(bed, () -> Stub.write(client.socket, Bed.look("b")), bed.frontend::drain);
-            Bed.Answer answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
+                SidecarFixture sidecar = SidecarFixture.with(upstream);
+                SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+            assertEquals(200, client.exchange(SidecarFixture.safeRequest("a")).status());
+            whileBlocked(
+                    sidecar, () -> Stub.write(client.socket, SidecarFixture.safeRequest("b")), sidecar.frontend::drain);
+            SidecarFixture.Response response = client.readResponse();
+            assertEquals(200, response.status());
+            assertEquals("close", Stub.header(response.head(), "Connection"));
         }
     }
 
-    /** A slow reader sends on behind its last request: a reset would take the rest of its response. */
+    /** A slow reader sends more data after its last request: a reset would truncate its response. */
     @Test
-    void aLastResponseIsNotCutByWhatStillArrives() throws Exception {
+    void aLastResponseIsNotTruncatedByFurtherInput() throws Exception {
         try (Stub upstream = Stub.serving("x".repeat(LARGE_RESPONSE));
-                Bed bed = Bed.with(upstream);
+                SidecarFixture sidecar = SidecarFixture.with(upstream);
                 Socket slow = new Socket()) {
             slow.setReceiveBufferSize(4096);
             slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
-            slow.connect(bed.address);
-            Stub.write(slow, Bed.look("a").replace("Host:", "Connection: close\r\nHost:"));
+            slow.connect(sidecar.address);
+            Stub.write(slow, SidecarFixture.safeRequest("a").replace("Host:", "Connection: close\r\nHost:"));
             InputStream in = new BufferedInputStream(slow.getInputStream());
-            int left = Stub.length(Stub.head(in));
-            assertEquals(LARGE_RESPONSE, left);
-            while (left > 0) {
+            int remaining = Stub.length(Stub.head(in));
+            assertEquals(LARGE_RESPONSE, remaining);
+            while (remaining > 0) {
                 int read = in.read(new byte[10_000]);
-                assertTrue(read > 0, left + " bytes are missing");
-                left -= read;
-                sendOn(slow);
+                assertTrue(read > 0, remaining + " bytes are missing");
+                remaining -= read;
+                sendLineEnd(slow);
             }
         }
     }
 
-    private static void sendOn(Socket socket) {
+    private static void sendLineEnd(Socket socket) {
         try {
             Stub.write(socket, "\r\n");
         } catch (IOException e) {
-            // The sidecar may have closed by now; what counts is what can still be read.
+            // The sidecar may have closed the connection by now; only the response that can be read matters.
         }
     }
 }
--- a/src/test/java/pondridge/sidecar/DeployedIT.java
+++ b/src/test/java/pondridge/sidecar/DeployCommandIT.java
@@ -29,47 +29,47 @@
 import pondridge.standin.DiscoveryStandin;
 import pondridge.standin.DiscoveryStandin.Entry;
 
-/** Both programs as the deploy file starts them, with the packaged jar. */
-class DeployedIT {
-    private static final int SOCKETS = 128;
+/** Both programs, started from the packaged jar by the commands of the deploy file. */
+class DeployCommandIT {
+    private static final int MAX_DESCRIPTORS = 128;
     private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private Process process;
-    /** What goes before the command in its shell. */
-    private String before = "";
+    /** Shell commands that run before the command. */
+    private String shellPrefix = "";
 
     @AfterEach
-    void end() {
+    void killProcess() {
         if (process != null) {
             process.destroyForcibly();
         }
     }
 
-    private void start(String key, ObjectNode config, String... more) throws IOException {
+    private void start(String key, ObjectNode config, String... arguments) throws IOException {
         String line = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(each -> each.startsWith(key + " = \""))
                 .findFirst()
                 .orElseThrow();
-        String command = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')) + String.join("", more);
+        String command = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')) + String.join("", arguments);
         Path file = write(config.toString());
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + command);
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", shellPrefix + command);
         builder.environment().put("PROXY_CONFIG", file.toString());
         process = builder.start();
     }
 
     private Path write(String config) throws IOException {
-        return Files.writeString(folder.resolve("config.json"), config);
+        return Files.writeString(directory.resolve("config.json"), config);
     }
 
-    /** SIGHUP, to the program itself: the shell that started it has become it. */
-    private void hangUp() throws Exception {
-        signal("-HUP");
+    /** Sends SIGHUP to the program: the shell that started it was replaced by exec. */
+    private void sendSighup() throws Exception {
+        sendSignal("-HUP");
     }
 
-    private void signal(String name) throws Exception {
+    private void sendSignal(String name) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", name, Long.toString(process.pid()))
@@ -77,7 +77,7 @@
                         .waitFor());
     }
 
-    private int exit() throws InterruptedException {
+    private int awaitExit() throws InterruptedException {
         assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
         return process.exitValue();
     }
@@ -90,99 +90,99 @@
 
     private void awaitUp(InetSocketAddress address) throws Exception {
         while (true) {
-            try (Bed.Client client = new Bed.Client(address)) {
-                if (client.ask(UP).status() == 200) {
+            try (SidecarFixture.Client client = new SidecarFixture.Client(address)) {
+                if (client.exchange(UP).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
-                assertTrue(process.isAlive(), "ended before it listened");
+                assertTrue(process.isAlive(), "exited before it listened");
             }
             Thread.sleep(20);
         }
     }
 
     @Test
-    void simStartsAndEndsWithItsInput() throws Exception {
-        start("sim", Bed.json());
+    void simExitsAtTheEndOfItsInput() throws Exception {
+        start("sim", SidecarFixture.config());
         process.getOutputStream().close();
-        assertEquals(0, exit());
+        assertEquals(0, awaitExit());
     }
 
-    /** At SIGTERM what is held is answered, new connections still get in, and the process ends by itself. */
+    /** At SIGTERM open requests are answered, new connections are still accepted, and the process exits by itself. */
     @Test
-    void runServesAndEndsInOrderAtSigterm() throws Exception {
+    void runServesAndShutsDownGracefullyAtSigterm() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> {
             return Stub.await(go) && Stub.reply(socket, "200 OK", "", "held");
         })) {
             InetSocketAddress address = freeAddress();
-            start("run", Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
+            start("run", SidecarFixture.config(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
-            try (Bed.Client client = new Bed.Client(address);
-                    Bed.Client other = new Bed.Client(address)) {
-                Stub.write(client.socket, Bed.look("a"));
+            try (SidecarFixture.Client client = new SidecarFixture.Client(address);
+                    SidecarFixture.Client other = new SidecarFixture.Client(address)) {
+                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
                 Stub.next(upstream.heads);
-                assertEquals(200, other.ask(UP).status());
+                assertEquals(200, other.exchange(UP).status());
                 process.destroy();
-                // The end has begun once /up says no, or closes, on a connection that was there before.
+                // Shutdown has started once /up responds with an error on an existing connection, or closes it.
                 int up = 200;
                 while (up == 200) {
                     try {
-                        up = other.ask(UP).status();
+                        up = other.exchange(UP).status();
                     } catch (IOException e) {
                         up = 0;
                     }
                 }
                 go.countDown();
-                assertEquals("held", client.read().body());
+                assertEquals("held", client.readResponse().body());
             }
-            assertEquals(0, exit());
+            assertEquals(0, awaitExit());
         }
     }
 
-    /** Of the longest deadline 3 s count: one of 20 s is answered before SIGKILL may come all the same. */
+    /** At most 3 s of a deadline count at shutdown: a request with 20 s left is still answered before SIGKILL. */
     @Test
-    void aLongDeadlineIsCutShortAtSigterm() throws Exception {
+    void aLongDeadlineIsShortenedAtSigterm() throws Exception {
         try (Stub hung = new Stub((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
-            start("run", Bed.json(hung).put("listen", "127.0.0.1:" + address.getPort()));
+            start("run", SidecarFixture.config(hung).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
-            try (Bed.Client client = new Bed.Client(address)) {
-                Stub.write(client.socket, Bed.look("a"));
+            try (SidecarFixture.Client client = new SidecarFixture.Client(address)) {
+                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
                 Stub.next(hung.heads);
                 process.destroy();
-                long told = System.nanoTime();
-                assertEquals(503, client.read().status());
-                assertTrue(System.nanoTime() - told < 12_000_000_000L, "not at its deadline");
+                long sigtermNanos = System.nanoTime();
+                assertEquals(503, client.readResponse().status());
+                assertTrue(System.nanoTime() - sigtermNanos < 12_000_000_000L, "before its deadline");
             }
-            assertEquals(0, exit());
+            assertEquals(0, awaitExit());
         }
     }
 
-    /** With settings that say so it speaks gRPC, too; without them {@code run} has nothing of it. */
+    /** With the settings for it {@code run} also serves gRPC; without them it does not. */
     @Test
-    void aSecondFrontSpeaksGrpc() throws Exception {
+    void aSecondaryFrontendServesGrpc() throws Exception {
         InetSocketAddress address = freeAddress();
         InetSocketAddress grpc = freeAddress();
         Path file = Files.writeString(
-                folder.resolve("settings.toml"),
+                directory.resolve("settings.toml"),
                 "[grpc]\nsecurity = \"plain\"\nlisten = " + "\"127.0.0.1:" + grpc.getPort() + "\"\n");
-        start("run", Bed.json().put("listen", "127.0.0.1:" + address.getPort()), " --settings " + file);
+        start("run", SidecarFixture.config().put("listen", "127.0.0.1:" + address.getPort()), " --settings " + file);
         awaitUp(address);
         assertTrue(GrpcProbe.healthy(grpc));
         process.destroy();
-        assertEquals(0, exit());
+        assertEquals(0, awaitExit());
     }
 
-    /** The JVM's own way with SIGHUP is to end: here each one brings the file's new discovery, under way. */
+    /** The JVM exits at SIGHUP by default; here each one applies the file's discovery address while running. */
     @Test
-    void sighupTakesTheNewDiscoveryAndABadFileChangesNothing() throws Exception {
+    void sighupReloadsTheDiscoveryAddressAndAnInvalidFileChangesNothing() throws Exception {
         try (Stub upstream = Stub.serving("x");
                 Stub first = new Stub((socket, head) -> true);
                 Stub second = new Stub((socket, head) -> true);
                 Stub third = new Stub((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
-            ObjectNode json = Bed.json(upstream)
+            ObjectNode json = SidecarFixture.config(upstream)
                     .put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", first.endpoint());
             json.withObject("/settings").put("discovery", "subscribe");
@@ -190,79 +190,81 @@
             awaitUp(address);
             Stub.next(first.heads);
             write(json.put("discovery", second.endpoint()).toString());
-            hangUp();
+            sendSighup();
             assertTrue(Stub.next(second.heads).contains("watch=1"));
             Stub.next(first.ended);
             write("{\"listen\":");
-            hangUp();
+            sendSighup();
             BufferedReader log = process.errorReader();
             String line = log.readLine();
             while (!line.contains("new configuration rejected")) {
                 line = log.readLine();
             }
             write(json.put("discovery", third.endpoint()).toString());
-            hangUp();
+            sendSighup();
             assertTrue(Stub.next(third.heads).contains("watch=1"));
-            try (Bed.Client client = new Bed.Client(address)) {
-                assertEquals(200, client.ask(Bed.look("a")).status());
+            try (SidecarFixture.Client client = new SidecarFixture.Client(address)) {
+                assertEquals(
+                        200, client.exchange(SidecarFixture.safeRequest("a")).status());
             }
-            assertEquals(0, second.heads.size(), "a bad file starts nothing anew");
+            assertEquals(0, second.heads.size(), "an invalid file causes no new call");
         }
     }
 
-    /** As nohup has it: the JVM then leaves the signal alone, and who sends one must be able to see why. */
+    /** Under nohup the JVM does not handle the signal; the log must show the sender why nothing happens. */
     @Test
-    void aStartWithSighupIgnoredSaysSo() throws Exception {
+    void anIgnoredSighupIsReportedAtStartup() throws Exception {
         try (Stub upstream = Stub.serving("x")) {
             InetSocketAddress address = freeAddress();
-            before = "trap '' HUP; ";
-            start("run", Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
+            shellPrefix = "trap '' HUP; ";
+            start("run", SidecarFixture.config(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
             BufferedReader log = process.errorReader();
             String line = log.readLine();
             while (!line.contains("SIGHUP was ignored")) {
-                assertFalse(line.contains("ready at"), "said before it is ready");
+                assertFalse(line.contains("ready at"), "reported before the process is ready");
                 line = log.readLine();
             }
-            hangUp();
-            try (Bed.Client client = new Bed.Client(address)) {
-                assertEquals(200, client.ask(Bed.look("a")).status());
+            sendSighup();
+            try (SidecarFixture.Client client = new SidecarFixture.Client(address)) {
+                assertEquals(
+                        200, client.exchange(SidecarFixture.safeRequest("a")).status());
             }
         }
     }
 
-    /** Idle clients that take all there is, and come again at once when they are ended. */
-    private static final class Idlers implements AutoCloseable {
+    /** Idle clients that use every connection they get and reconnect at once when they are closed. */
+    private static final class IdleClients implements AutoCloseable {
         private static final int COUNT = 300;
         private final Thread thread;
-        private final CountDownLatch full = new CountDownLatch(COUNT * 2);
-        private volatile boolean over;
+        private final CountDownLatch connected = new CountDownLatch(COUNT * 2);
+        private volatile boolean closed;
 
-        Idlers(InetSocketAddress address) {
+        IdleClients(InetSocketAddress address) {
             thread = new Thread(() -> {
-                SocketChannel[] all = new SocketChannel[COUNT];
-                ByteBuffer sink = ByteBuffer.allocate(64);
-                for (int i = 0; !over; i = (i + 1) % COUNT) {
+                SocketChannel[] connections = new SocketChannel[COUNT];
+                ByteBuffer buffer = ByteBuffer.allocate(64);
+                for (int i = 0; !closed; i = (i + 1) % COUNT) {
                     try {
-                        if (all[i] == null) {
-                            all[i] = SocketChannel.open(address);
-                            all[i].configureBlocking(false);
-                            full.countDown();
-                        } else if (all[i].read(sink.clear()) < 0) {
-                            all[i].close();
-                            all[i] = null;
+                        if (connections[i] == null) {
+                            connections[i] = SocketChannel.open(address);
+                            connections[i].configureBlocking(false);
+                            connected.countDown();
+                        } else if (connections[i].read(buffer.clear()) < 0) {
+                            connections[i].close();
+                            connections[i] = null;
                         }
                     } catch (IOException e) {
-                        all[i] = null;
+                        connections[i] = null;
                     }
                 }
-                for (SocketChannel each : all) {
+                for (SocketChannel each : connections) {
                     try {
                         if (each != null) {
                             each.close();
                         }
                     } catch (IOException e) {
-                        // It is gone already.
+                        // Already closed.
                     }
                 }
             });
@@ -271,80 +273,80 @@
 
         @Override
         public void close() {
-            over = true;
+            closed = true;
         }
     }
 
-    /** Served in place of idle ones; a connection may be shut unread meanwhile. */
-    private static void served(InetSocketAddress address, String id) {
+    /** Sends requests until one is served. Its connection evicts an idle one, but may itself be closed unread. */
+    private static void awaitServed(InetSocketAddress address, String id) {
         for (int i = 0; i < 20; i++) {
-            try (Bed.Client client = new Bed.Client(address)) {
-                if (client.ask(Bed.look(id + "-" + i)).status() == 200) {
+            try (SidecarFixture.Client client = new SidecarFixture.Client(address)) {
+                if (client.exchange(SidecarFixture.safeRequest(id + "-" + i)).status() == 200) {
                     return;
                 }
             } catch (IOException e) {
-                // Shut unread: once more.
+                // Closed before it was read: try again.
             }
         }
         throw new AssertionError("not served: " + id);
     }
 
-    private static void served(InetSocketAddress address, Stub by) {
-        by.heads.clear();
-        for (int i = 0; by.heads.isEmpty(); i++) {
-            assertTrue(i < 2000, "never asked");
-            served(address, "to-" + i);
+    private static void awaitServedBy(InetSocketAddress address, Stub server) {
+        server.heads.clear();
+        for (int i = 0; server.heads.isEmpty(); i++) {
+            assertTrue(i < 2000, "the server never got a request");
+            awaitServed(address, "to-" + i);
         }
     }
 
-    /** Idle clients fill the descriptors while discovery is down: what else needs one still gets it. */
+    /** Idle clients use up their descriptors while discovery is down: all other uses still get theirs. */
     @Test
-    void idleClientsLeaveDescriptorsForAllElse() throws Exception {
+    void idleClientsDoNotExhaustFileDescriptors() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Stub one = Stub.serving("x");
                 Stub two = Stub.serving("x")) {
             InetSocketAddress address = freeAddress();
             InetSocketAddress discovery = freeAddress();
-            ObjectNode json = Bed.json(one)
+            ObjectNode json = SidecarFixture.config(one)
                     .put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", "127.0.0.1:" + discovery.getPort());
-            ((ObjectNode) json.get("limits")).put("sockets", SOCKETS);
-            before = "ulimit -n " + SOCKETS + "; ";
+            ((ObjectNode) json.get("limits")).put("sockets", MAX_DESCRIPTORS);
+            shellPrefix = "ulimit -n " + MAX_DESCRIPTORS + "; ";
             start("run", json);
             awaitUp(address);
-            try (Idlers idlers = new Idlers(address)) {
-                assertTrue(idlers.full.await(10, TimeUnit.SECONDS), "each has come twice");
-                served(address, one);
-                try (DiscoveryStandin back = new DiscoveryStandin(
+            try (IdleClients idleClients = new IdleClients(address)) {
+                assertTrue(idleClients.connected.await(10, TimeUnit.SECONDS), "twice as many connections as clients");
+                awaitServedBy(address, one);
+                try (DiscoveryStandin recovered = new DiscoveryStandin(
                         group.next(),
                         discovery,
                         List.of(
                                 new Entry("s-0", one.address(), "a", "DRAINING", 0),
                                 new Entry("s-1", two.address(), "a", "SERVING", 0)))) {
-                    assertEquals(discovery, back.address());
-                    served(address, two);
+                    assertEquals(discovery, recovered.address());
+                    awaitServedBy(address, two);
                     one.heads.clear();
                     for (int i = 0; i < 10; i++) {
-                        served(address, "kept-" + i);
+                        awaitServed(address, "kept-" + i);
                     }
-                    assertEquals(0, one.heads.size(), "the drain is kept");
-                    try (DiscoveryStandin other = new DiscoveryStandin(
+                    assertEquals(0, one.heads.size(), "the draining server gets no new requests");
+                    try (DiscoveryStandin newDiscovery = new DiscoveryStandin(
                             group.next(),
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                             List.of(new Entry("s-0", one.address(), "a", "SERVING", 0)))) {
                         write(json.put(
                                         "discovery",
-                                        "127.0.0.1:" + other.address().getPort())
+                                        "127.0.0.1:" + newDiscovery.address().getPort())
                                 .toString());
-                        hangUp();
-                        served(address, one);
+                        sendSighup();
+                        awaitServedBy(address, one);
                     }
                 }
             }
-            // Not destroyed: that would close what it has said.
-            signal("-TERM");
+            // Process.destroy would close the stream with the process's output.
+            sendSignal("-TERM");
             String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(0, exit());
+            assertEquals(0, awaitExit());
             assertFalse(err.contains("Too many open files"), err);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -352,12 +354,12 @@
     }
 
     @Test
-    void badConfigurationEndsWithOneLineNamingTheKey() throws Exception {
-        ObjectNode json = Bed.json();
+    void invalidConfigurationExitsWithOneLineNamingTheKey() throws Exception {
+        ObjectNode json = SidecarFixture.config();
         json.withObject("/settings/rules").remove("rampTime");
         start("run", json);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(2, exit());
+        assertEquals(2, awaitExit());
         assertTrue(err.contains("rules.rampTime") && err.lines().count() == 1, err);
     }
 }
--- a/src/test/java/pondridge/sidecar/AskedAnewTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryRetryTest.java
@@ -26,23 +26,23 @@
 import pondridge.platform.Config;
 import pondridge.platform.Discovery;
 
-/** Where discovery is asked, it is asked anew in time after whatever failed: sockets and the real module. */
-class AskedAnewTest {
+/** In subscribe mode the balancer calls discovery again in time after each kind of failure, on real sockets. */
+class DiscoveryRetryTest {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String EMPTY_LINE = "1\r\n\n\r\n";
 
     private enum Fault {
-        TURNED_AWAY,
-        ENDED,
-        HUNG,
-        HEAD_ONLY
+        REJECTED,
+        CLOSED,
+        NO_RESPONSE,
+        HEADERS_ONLY
     }
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -51,9 +51,9 @@
         return Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
     }
 
-    /** A module and its discovery, with settings that allow ten minutes without a call. */
-    private Discovery sidecar(Stub stub, BlockingQueue<ListKind> told) throws Exception {
-        ObjectNode json = Bed.json();
+    /** Starts a balancer and its discovery client, with settings that allow ten minutes without a call. */
+    private Discovery startDiscovery(Stub service, BlockingQueue<ListKind> events) throws Exception {
+        ObjectNode json = SidecarFixture.config();
         json.withObject("/settings").put("discovery", "subscribe");
         json.withObject("/settings/rules").put("askWithin", 600_000_000_000L);
         Config config = Config.of(json);
@@ -61,70 +61,71 @@
                 loop,
                 config.options(),
                 config.seed(),
-                Bed.MOST,
+                SidecarFixture.MAX_OPEN,
                 new Upstreams(loop, config.options(), config.mostUpstream()));
-        Discovery discovery = new Discovery(loop, stub.address(), config.pushed(), 41, (kind, targets) -> {
-            told.add(kind);
+        Discovery discovery = new Discovery(loop, service.address(), config.pushed(), 41, (kind, targets) -> {
+            events.add(kind);
             engine.listed(kind, targets);
         });
         loop.submit(() -> engine.start(discovery, List.of())).sync();
         return discovery;
     }
 
-    private static boolean play(Fault fault, Socket socket) throws IOException {
+    private static boolean injectFault(Fault fault, Socket socket) throws IOException {
         switch (fault) {
-            case TURNED_AWAY -> Stub.write(socket, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-            case HEAD_ONLY -> Stub.write(socket, CHUNKED);
+            case REJECTED -> Stub.write(socket, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+            case HEADERS_ONLY -> Stub.write(socket, CHUNKED);
             default -> {}
         }
-        return fault == Fault.HUNG || fault == Fault.HEAD_ONLY;
+        return fault == Fault.NO_RESPONSE || fault == Fault.HEADERS_ONLY;
     }
 
-    /** One call fails, just before the return or as the first one after it; then it is told within 6 s. */
+    /** One call fails, just before discovery recovers or as the first one afterwards: a list must arrive within 6 s. */
     @Test
-    void askedAnewInTimeAfterEachKindOfFailure() throws Exception {
-        Map<Fault, BlockingQueue<ListKind>> told = new EnumMap<>(Fault.class);
-        List<Stub> stubs = new ArrayList<>();
+    void discoveryIsCalledAgainInTimeAfterEachKindOfFailure() throws Exception {
+        Map<Fault, BlockingQueue<ListKind>> events = new EnumMap<>(Fault.class);
+        List<Stub> services = new ArrayList<>();
         try {
             for (Fault fault : Fault.values()) {
                 AtomicInteger calls = new AtomicInteger();
                 BlockingQueue<ListKind> queue = new LinkedBlockingQueue<>();
-                told.put(fault, queue);
-                Stub stub = new Stub((socket, head) -> {
+                events.put(fault, queue);
+                Stub service = new Stub((socket, head) -> {
                     if (calls.getAndIncrement() == 0) {
-                        // Both are timers of one loop, so their order does not hang on the machine's speed.
+                        // Both are timers of one event loop, so their order does not depend on the speed of the
+                        // machine.
                         loop.schedule(() -> queue.add(ListKind.CACHED), 6, TimeUnit.SECONDS);
-                        return play(fault, socket);
+                        return injectFault(fault, socket);
                     }
                     Stub.write(socket, CHUNKED + EMPTY_LINE);
                     return true;
                 });
-                stubs.add(stub);
-                sidecar(stub, queue);
+                services.add(service);
+                startDiscovery(service, queue);
             }
             for (Fault fault : Fault.values()) {
-                assertEquals(ListKind.FAILED, Stub.next(told.get(fault)), fault.name());
-                assertEquals(ListKind.DELTA, Stub.next(told.get(fault)), fault.name());
+                assertEquals(ListKind.FAILED, Stub.next(events.get(fault)), fault.name());
+                assertEquals(ListKind.DELTA, Stub.next(events.get(fault)), fault.name());
             }
         } finally {
-            for (Stub stub : stubs) {
-                stub.close();
+            for (Stub service : services) {
+                service.close();
             }
         }
     }
 
     /**
-     * The watch breaks while a call for the whole list is out, as after a move. Danger: that list was taken
-     * for the watch's answer, and nobody ever asked again.
+     * The watch fails while a fetch of the full list is open, as after a switch. The list must not be mistaken for a
+     * response of the watch, because then the watch would never be opened again.
      */
     @Test
-    void theWholeListIsNotTakenForTheWatchThatBroke() throws Exception {
+    void aFetchedListIsNoResponseOfAFailedWatch() throws Exception {
         CountDownLatch fetching = new CountDownLatch(1);
         CountDownLatch broken = new CountDownLatch(1);
         AtomicInteger watches = new AtomicInteger();
-        BlockingQueue<ListKind> told = new LinkedBlockingQueue<>();
-        try (Stub old = new Stub((socket, head) -> true);
-                Stub next = new Stub((socket, head) -> {
+        BlockingQueue<ListKind> events = new LinkedBlockingQueue<>();
+        try (Stub oldService = new Stub((socket, head) -> true);
+                Stub newService = new Stub((socket, head) -> {
                     try {
                         if (!head.contains("watch=1")) {
                             fetching.countDown();
@@ -133,10 +134,10 @@
                                             socket,
                                             "200 OK",
                                             "",
-                                            Bed.list(3, true).toString());
+                                            SidecarFixture.endpointList(3, true).toString());
                         }
                         if (watches.getAndIncrement() == 0) {
-                            Stub.write(socket, CHUNKED + chunk(Bed.list(3, false)));
+                            Stub.write(socket, CHUNKED + chunk(SidecarFixture.endpointList(3, false)));
                             return !fetching.await(Stub.LIMIT_S, TimeUnit.SECONDS);
                         }
                         Stub.write(socket, CHUNKED + EMPTY_LINE);
@@ -145,15 +146,15 @@
                         return false;
                     }
                 })) {
-            Discovery discovery = sidecar(old, told);
-            Stub.next(old.heads);
-            loop.execute(() -> discovery.switchTo(next.address()));
-            assertEquals(ListKind.DELTA, Stub.next(told));
-            assertEquals(ListKind.FAILED, Stub.next(told));
+            Discovery discovery = startDiscovery(oldService, events);
+            Stub.next(oldService.heads);
+            loop.execute(() -> discovery.switchTo(newService.address()));
+            assertEquals(ListKind.DELTA, Stub.next(events));
+            assertEquals(ListKind.FAILED, Stub.next(events));
             broken.countDown();
-            assertEquals(ListKind.FULL, Stub.next(told));
-            assertEquals(ListKind.DELTA, Stub.next(told), "the new watch's first word");
-            assertEquals(2, watches.get(), "one call more");
+            assertEquals(ListKind.FULL, Stub.next(events));
+            assertEquals(ListKind.DELTA, Stub.next(events), "the first response of the new watch");
+            assertEquals(2, watches.get(), "one more watch");
         }
     }
 }
--- /dev/null
+++ b/src/test/java/pondridge/sidecar/EventLoopStallTest.java
@@ -0,0 +1,193 @@
+package pondridge.sidecar;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import pondridge.Balancer.Outcome;
+import pondridge.http1.LateConnection;
+import pondridge.http1.Stub;
+
+/**
+ * The event loop stalls while a client disconnects and another event for its request arrives. The loop may process that
+ * event before it sees the disconnect.
+ */
+class EventLoopStallTest {
+    /** Longer than the 0.1 s in which a disconnect must be detected. */
+    private static final long STALL_MS = 150;
+
+    private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
+
+    /** Runs while the event loop reads nothing. */
+    private interface Action {
+        void run() throws Exception;
+    }
+
+    private SidecarFixture startSidecar(ObjectNode json) throws Exception {
+        return new SidecarFixture(json, engine -> engine.observe((uid, kind, outcome, took) -> outcomes.add(outcome)));
+    }
+
+    private static void whileStalled(SidecarFixture sidecar, Action action) throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
+        CountDownLatch go = new CountDownLatch(1);
+        sidecar.loop.execute(() -> {
+            stalled.countDown();
+            assertTrue(Stub.await(go));
+        });
+        assertTrue(stalled.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+        action.run();
+        Thread.sleep(STALL_MS);
+        go.countDown();
+    }
+
+    private static void reset(Socket socket) throws IOException {
+        Stub.reset(socket);
+        socket.close();
+    }
+
+    @Test
+    void aNewConnectionCarriesNoRequestOfADisconnectedClient() throws Exception {
+        try (LateConnection late = new LateConnection()) {
+            ObjectNode json = SidecarFixture.config();
+            ((ObjectNode) json.at("/settings/caps")).put("mayCancel", false).put("connectTimeout", 600_000_000_000L);
+            json.withObject("/known")
+                    .withArray("/targets")
+                    .add(SidecarFixture.target(
+                            "s-0", "127.0.0.1:" + late.address().getPort(), "SERVING"));
+            try (SidecarFixture sidecar = startSidecar(json);
+                    SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
+                while (sidecar.loop.submit(sidecar.engine::asked).get() == 0) {
+                    Thread.onSpinWait();
+                }
+                // Runs after the loop iteration in which the balancer receives the request.
+                sidecar.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
+                Socket[] accepted = new Socket[1];
+                whileStalled(sidecar, () -> {
+                    accepted[0] = late.accept();
+                    client.socket.close();
+                });
+                assertEquals(-1, accepted[0].getInputStream().read(), "nothing is written to it");
+                assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+            }
+        }
+    }
+
+    /** The response is read before the client's disconnect, and the second server has an idle connection. */
+    private void retryAfterDisconnect(boolean reset) throws Exception {
+        BlockingQueue<Socket> received = new LinkedBlockingQueue<>();
+        Stub.Script script = (socket, head) -> {
+            if (Stub.header(head, "Req-Id").startsWith("warm")) {
+                return Stub.reply(socket, "200 OK", "", "x");
+            }
+            received.add(socket);
+            return true;
+        };
+        try (Stub one = new Stub(script);
+                Stub two = new Stub(script);
+                SidecarFixture sidecar = startSidecar(SidecarFixture.config(one, two));
+                SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+            for (int i = 0; one.heads.isEmpty() || two.heads.isEmpty(); i++) {
+                assertTrue(i < 1000, "one server never gets a request");
+                assertEquals(
+                        200,
+                        sidecar.exchange(SidecarFixture.safeRequest("warm" + i)).status());
+                assertEquals(Outcome.OK, Stub.next(outcomes));
+            }
+            Stub.write(client.socket, SidecarFixture.safeRequest("a"));
+            Socket first = Stub.next(received);
+            whileStalled(sidecar, () -> {
+                Stub.reply(first, "500 Error", "", "x");
+                if (reset) {
+                    reset(client.socket);
+                } else {
+                    client.socket.close();
+                }
+            });
+            assertEquals(Outcome.ERROR, Stub.next(outcomes));
+            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes), "the retry");
+            assertEquals(
+                    200, sidecar.exchange(SidecarFixture.safeRequest("warm")).status());
+            assertEquals(0, received.size());
+        }
+    }
+
+    @Test
+    void noRetryIsSentAfterTheClientHasClosed() throws Exception {
+        retryAfterDisconnect(false);
+    }
+
+    @Test
+    void noRetryIsSentAfterTheClientHasReset() throws Exception {
+        retryAfterDisconnect(true);
+    }
+
+    /** A complete request and its client's disconnect are read together: the request is not forwarded. */
+    @Test
+    void aRequestOfADisconnectedClientIsNotSent() throws Exception {
+        try (Stub upstream = Stub.serving("x");
+                SidecarFixture sidecar = startSidecar(SidecarFixture.config(upstream));
+                SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+            assertEquals(200, client.exchange(SidecarFixture.safeRequest("a")).status());
+            Stub.next(upstream.heads);
+            whileStalled(sidecar, () -> {
+                Stub.write(client.socket, SidecarFixture.safeRequest("b"));
+                client.socket.close();
+            });
+            while (!sidecar.loop
+                    .submit(() -> sidecar.engine.asked() == 2 && sidecar.engine.idle())
+                    .get()) {
+                Thread.onSpinWait();
+            }
+            assertEquals(200, sidecar.exchange(SidecarFixture.safeRequest("c")).status());
+            assertEquals("c", Stub.header(Stub.next(upstream.heads), "Req-Id"), "not the previous request");
+        }
+    }
+
+    /** Pipelined requests are read until the disconnect is seen; a client that sends too many is disconnected. */
+    @Test
+    void aDisconnectIsDetectedBehindManyPipelinedRequests() throws Exception {
+        CountDownLatch go = new CountDownLatch(1);
+        try (Stub upstream = new Stub((socket, head) -> {
+                    return Stub.await(go) && Stub.reply(socket, "200 OK", "", "x");
+                });
+                SidecarFixture sidecar = startSidecar(SidecarFixture.config(upstream));
+                SidecarFixture.Client pipelining = new SidecarFixture.Client(sidecar.address);
+                SidecarFixture.Client flooding = new SidecarFixture.Client(sidecar.address)) {
+            Stub.write(pipelining.socket, pipelined(200));
+            Stub.next(upstream.heads);
+            // Timers of one event loop fire in order: this one before the deadline, which would cancel the attempt,
+            // too.
+            sidecar.loop.execute(
+                    () -> sidecar.loop.schedule(() -> outcomes.add(Outcome.TIMEOUT), 10, TimeUnit.SECONDS));
+            pipelining.socket.close();
+            assertEquals(Outcome.CANCELLED, Stub.next(outcomes), "before any response");
+            IOException end = assertThrows(IOException.class, () -> {
+                Stub.write(flooding.socket, pipelined(2500));
+                while (true) {
+                    flooding.readResponse();
+                }
+            });
+            assertFalse(end instanceof SocketTimeoutException, "closed while the server still holds its request");
+            go.countDown();
+        }
+    }
+
+    private static String pipelined(int count) {
+        StringBuilder requests = new StringBuilder();
+        for (int i = 0; i < count; i++) {
+            requests.append(SidecarFixture.safeRequest(count + "-" + i));
+        }
+        return requests.toString();
+    }
+}
--- a/src/test/java/pondridge/sidecar/GatewayIT.java
+++ b/src/test/java/pondridge/sidecar/GatewayIT.java
@@ -18,19 +18,19 @@
 import org.junit.jupiter.api.io.TempDir;
 import pondridge.http1.Stub;
 
-/** Two gateways as processes, started by the command line from the packaged jar. */
+/** Two gateway processes, started by the command line from the packaged jar. */
 class GatewayIT {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final List<Process> processes = new ArrayList<>();
 
     @AfterEach
-    void end() {
+    void killProcesses() {
         processes.forEach(Process::destroyForcibly);
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) any.getLocalSocketAddress();
         }
@@ -42,59 +42,60 @@
 
     private Process start(
             String site,
-            ObjectNode platform,
-            InetSocketAddress door,
-            InetSocketAddress link,
-            String other,
-            InetSocketAddress otherLink)
+            ObjectNode platformConfig,
+            InetSocketAddress frontendAddress,
+            InetSocketAddress linkAddress,
+            String otherSite,
+            InetSocketAddress otherLinkAddress)
             throws IOException {
         Files.writeString(
-                folder.resolve(site + ".json"),
-                platform.put("listen", text(door)).toString());
+                directory.resolve(site + ".json"),
+                platformConfig.put("listen", text(frontendAddress)).toString());
         Path file = Files.writeString(
-                folder.resolve(site + ".toml"),
+                directory.resolve(site + ".toml"),
                 "[gateway]\nsite = \"" + site
-                        + "\"\nplatform = \"" + site + ".json\"\n[link]\nlisten = \"" + text(link)
-                        + "\"\nsecurity = \"plain\"\n[sites." + other + "]\ngateways = [\"" + text(otherLink)
+                        + "\"\nplatform = \"" + site + ".json\"\n[link]\nlisten = \"" + text(linkAddress)
+                        + "\"\nsecurity = \"plain\"\n[sites." + otherSite + "]\ngateways = [\"" + text(otherLinkAddress)
                         + "\"]\n");
-        Process made = new ProcessBuilder("bin/bankflow", "gateway", "--config", file.toString())
+        Process process = new ProcessBuilder("bin/bankflow", "gateway", "--config", file.toString())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        processes.add(made);
-        return made;
+        processes.add(process);
+        return process;
     }
 
-    /** Asks until this is the answer's status: links come up, and are seen to be gone, by and by. */
-    private static String until(int status, InetSocketAddress door) throws InterruptedException {
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
-        for (int i = 0; System.nanoTime() - limit < 0; i++) {
-            try (Bed.Client client = new Bed.Client(door)) {
-                String request = Bed.look("x" + i).replace(Integer.toString(Bed.LONG_MS), "2000");
-                Bed.Answer answer = client.ask(request);
-                if (answer.status() == status) {
-                    return answer.body();
+    /** Sends requests until a response has this status: links take time to open and to be detected as closed. */
+    private static String awaitStatus(int status, InetSocketAddress frontendAddress) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        for (int i = 0; System.nanoTime() - deadline < 0; i++) {
+            try (SidecarFixture.Client client = new SidecarFixture.Client(frontendAddress)) {
+                String request = SidecarFixture.safeRequest("x" + i)
+                        .replace(Integer.toString(SidecarFixture.CLIENT_TIMEOUT_MS), "2000");
+                SidecarFixture.Response response = client.exchange(request);
+                if (response.status() == status) {
+                    return response.body();
                 }
             } catch (IOException e) {
                 // Not listening yet.
             }
             Thread.sleep(20);
         }
-        throw new AssertionError("never answered " + status);
+        throw new AssertionError("no response with status " + status);
     }
 
     @Test
-    void aSiteWithoutServersIsServedAndBothEndInOrder() throws Exception {
+    void aSiteWithoutServersIsServedByAnotherSiteAndShutsDownCleanly() throws Exception {
         try (Stub server = Stub.serving("y")) {
-            InetSocketAddress doorA = free();
-            InetSocketAddress doorB = free();
-            InetSocketAddress linkA = free();
-            InetSocketAddress linkB = free();
-            Process a = start("a", Bed.json(), doorA, linkA, "b", linkB);
-            Process b = start("b", Bed.json(server), doorB, linkB, "a", linkA);
-            assertEquals("y", until(200, doorA), "across");
-            assertEquals("y", until(200, doorB), "by its own server");
+            InetSocketAddress frontendAddressA = freeAddress();
+            InetSocketAddress frontendAddressB = freeAddress();
+            InetSocketAddress linkAddressA = freeAddress();
+            InetSocketAddress linkAddressB = freeAddress();
+            Process a = start("a", SidecarFixture.config(), frontendAddressA, linkAddressA, "b", linkAddressB);
+            Process b = start("b", SidecarFixture.config(server), frontendAddressB, linkAddressB, "a", linkAddressA);
+            assertEquals("y", awaitStatus(200, frontendAddressA), "served by the other site");
+            assertEquals("y", awaitStatus(200, frontendAddressB), "served by the site's own server");
             b.destroyForcibly();
-            until(503, doorA);
+            awaitStatus(503, frontendAddressA);
             a.destroy();
             assertTrue(a.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
             assertEquals(0, a.exitValue());
--- a/src/test/java/pondridge/sidecar/ConfigTest.java
+++ b/src/test/java/pondridge/sidecar/PlatformConfigTest.java
@@ -12,12 +12,12 @@
 import pondridge.Balancer.Settings;
 import pondridge.platform.Config;
 
-/** The configuration, and the settings in it as the module is told them. */
-class ConfigTest {
+/** The platform's configuration file and the balancer settings in it. */
+class PlatformConfigTest {
 
     @Test
-    void settingsReadAsOnTheSimulatorsWire() throws Exception {
-        Config config = Config.of(Bed.json());
+    void settingsAreReadAsInTheSimulatorsWireFormat() throws Exception {
+        Config config = Config.of(SidecarFixture.config());
         Settings settings = config.options().settings();
         assertEquals(List.of("rate", "q"), settings.reportFields());
         assertEquals(Semantics.ONCE, settings.classes().get(2).semantics());
@@ -28,30 +28,30 @@
         assertEquals(41, config.known().rev());
     }
 
-    /** Who runs it must see from one line what to mend. */
+    /** An operator must see from one line which key to fix. */
     @Test
-    void mistakesNameTheirKey() throws Exception {
+    void errorsNameTheInvalidKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
-            ObjectNode json = Bed.json();
+            ObjectNode json = SidecarFixture.config();
             json.remove(key);
-            assertNames(key, json);
+            assertErrorNames(key, json);
         }
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarFixture.config();
         json.withObject("/settings/rules").remove("rampTime");
-        assertNames("rules.rampTime", json);
-        json = Bed.json();
+        assertErrorNames("rules.rampTime", json);
+        json = SidecarFixture.config();
         json.withObject("/settings/caps").put("tryLimit", "many");
-        assertNames("caps.tryLimit", json);
-        json = Bed.json();
+        assertErrorNames("caps.tryLimit", json);
+        json = SidecarFixture.config();
         json.withObject("/limits").put("sockets", 3);
-        assertNames("limits.sockets", json);
+        assertErrorNames("limits.sockets", json);
     }
 
-    /** With no time between two calls the module would ask again and again within one event. */
+    /** With no interval between calls the balancer would repeat the call endlessly within one event. */
     @Test
-    void whereNobodyIsBoundToAskThereIsStillTimeBetweenCalls() throws Exception {
+    void callsHaveAMinimumIntervalWithoutARequiredOne() throws Exception {
         for (String discovery : List.of("subscribe", "automatic")) {
-            ObjectNode json = Bed.json();
+            ObjectNode json = SidecarFixture.config();
             json.withObject("/settings").put("discovery", discovery);
             json.withObject("/settings/rules").remove("askWithin");
             assertTrue(Config.of(json).options().settings().limits().askWithin() >= 1_000_000_000);
@@ -62,15 +62,15 @@
         }
     }
 
-    private static void assertNames(String key, ObjectNode json) {
+    private static void assertErrorNames(String key, ObjectNode json) {
         String message = assertThrows(IllegalArgumentException.class, () -> Config.of(json))
                 .getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
 
-    /** There is no DNS: a name would block the event loop until the resolver gives up. */
+    /** There is no DNS: a host name would block the event loop until the resolver times out. */
     @Test
-    void onlyNumericAddressesAreTaken() {
+    void onlyNumericAddressesAreAccepted() {
         assertEquals(8080, Config.parseAddress("127.0.0.1:8080").getPort());
         for (String bad : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":80")) {
             assertNull(Config.parseAddress(bad), bad);
--- a/src/test/java/pondridge/sidecar/RequestLogTest.java
+++ b/src/test/java/pondridge/sidecar/RequestLogTest.java
@@ -13,7 +13,7 @@
 
 class RequestLogTest {
     @Test
-    void aRequestIsLoggedFromItsTakingToItsAnswer() throws Exception {
+    void aRequestIsLoggedFromReceiptToResponse() throws Exception {
         List<String> events = new ArrayList<>();
         RequestLog log = new RequestLog() {
             @Override
@@ -37,15 +37,16 @@
             }
         };
         try (Stub upstream = Stub.serving("x");
-                Bed bed = new Bed(Bed.json(upstream), engine -> engine.log(log))) {
-            assertEquals(200, bed.ask(Bed.look("a")).status());
-            List<String> seen = bed.loop.submit(() -> List.copyOf(events)).get();
-            assertEquals(List.of("taken a", "sent s-0", "ended s-0 OK", "served"), seen);
+                SidecarFixture sidecar =
+                        new SidecarFixture(SidecarFixture.config(upstream), engine -> engine.log(log))) {
+            assertEquals(200, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
+            List<String> logged = sidecar.loop.submit(() -> List.copyOf(events)).get();
+            assertEquals(List.of("taken a", "sent s-0", "ended s-0 OK", "served"), logged);
         }
     }
 
     @Test
-    void nothingIsLoggedUnlessAskedFor() {
+    void nothingIsLoggedUnlessEnabled() {
         assertSame(RequestLog.NONE, RequestLog.fromEnvironment());
     }
 }
--- a/src/test/java/pondridge/sidecar/Bed.java
+++ b/src/test/java/pondridge/sidecar/SidecarFixture.java
@@ -22,10 +22,11 @@
 import pondridge.platform.Config;
 import pondridge.platform.Discovery;
 
-/** A sidecar in this process, with its upstreams known from the start, and a client for it. */
-final class Bed implements AutoCloseable {
-    static final int LONG_MS = 20_000;
-    static final int MOST = 100;
+/** A sidecar within the test process, with a cached list of its upstreams, and a client for it. */
+final class SidecarFixture implements AutoCloseable {
+    static final int CLIENT_TIMEOUT_MS = 20_000;
+    /** Limit on open requests and on client connections. */
+    static final int MAX_OPEN = 100;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
@@ -34,37 +35,41 @@
     final Discovery discovery;
     final InetSocketAddress address;
 
-    /** An answer as the client saw it. */
-    record Answer(int status, String head, String body) {}
+    /** A response as the client received it. */
+    record Response(int status, String head, String body) {}
 
-    Bed(ObjectNode json) throws Exception {
+    SidecarFixture(ObjectNode json) throws Exception {
         this(json, engine -> {});
     }
 
-    /** {@code before} is told of the engine before it starts. */
-    Bed(ObjectNode json, Consumer<Engine> before) throws Exception {
+    /**
+     * Starts a sidecar.
+     *
+     * @param beforeStart receives the engine before it starts
+     */
+    SidecarFixture(ObjectNode json, Consumer<Engine> beforeStart) throws Exception {
         Config config = Config.of(json);
         engine = new Engine(
                 loop,
                 config.options(),
                 config.seed(),
-                MOST,
+                MAX_OPEN,
                 new Upstreams(loop, config.options(), config.mostUpstream()));
-        before.accept(engine);
+        beforeStart.accept(engine);
         discovery = new Discovery(
                 loop, config.discovery(), config.pushed(), config.known().rev(), engine::listed);
-        frontend = new Frontend(engine, config.options(), MOST);
+        frontend = new Frontend(engine, config.options(), MAX_OPEN);
         loop.submit(() -> engine.start(discovery, config.known().targets())).sync();
         address = (InetSocketAddress)
                 frontend.listen(group, config.listen()).sync().channel().localAddress();
     }
 
-    static Bed with(Stub... upstreams) throws Exception {
-        return new Bed(json(upstreams));
+    static SidecarFixture with(Stub... upstreams) throws Exception {
+        return new SidecarFixture(config(upstreams));
     }
 
-    /** A configuration with classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
-    static ObjectNode json(Stub... upstreams) throws IOException {
+    /** A configuration with the classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
+    static ObjectNode config(Stub... upstreams) throws IOException {
         ObjectNode root = (ObjectNode)
                 Json.MAPPER.readTree(
                         """
@@ -104,31 +109,31 @@
                 .put("boot_ms", 0);
     }
 
-    static ObjectNode list(long rev, boolean all, ObjectNode... targets) {
+    static ObjectNode endpointList(long rev, boolean all, ObjectNode... targets) {
         ObjectNode list = Json.MAPPER.createObjectNode().put("rev", rev).put("all", all);
         list.putArray("targets").addAll(List.of(targets));
         return list;
     }
 
-    static String look(String id) {
+    static String safeRequest(String id) {
         return "GET /api/7f3a?full=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
-                + "\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + LONG_MS + "\r\n\r\n";
+                + "\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + CLIENT_TIMEOUT_MS + "\r\n\r\n";
     }
 
-    static String post(String kind, String headers, String body) {
+    static String postRequest(String kind, String headers, String body) {
         return "POST /api/7f3a HTTP/1.1\r\nHost: app.svc\r\nReq-Id: 9b1f\r\nReq-Kind: " + kind
-                + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + LONG_MS + "\r\n" + headers
+                + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + CLIENT_TIMEOUT_MS + "\r\n" + headers
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Sends on a connection of its own and reads one answer. */
-    Answer ask(String request) throws IOException {
+    /** Sends a request on a new connection and reads one response. */
+    Response exchange(String request) throws IOException {
         try (Client client = new Client(address)) {
-            return client.ask(request);
+            return client.exchange(request);
         }
     }
 
-    /** One connection of the application's. */
+    /** One client connection of the application. */
     static final class Client implements AutoCloseable {
         final Socket socket;
         private final InputStream in;
@@ -139,18 +144,18 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Answer ask(String request) throws IOException {
+        Response exchange(String request) throws IOException {
             Stub.write(socket, request);
-            return read();
+            return readResponse();
         }
 
-        Answer read() throws IOException {
+        Response readResponse() throws IOException {
             String head = Stub.head(in);
             if (head.isEmpty()) {
-                throw new IOException("connection ended without an answer");
+                throw new IOException("connection closed without a response");
             }
             String body = new String(in.readNBytes(Stub.length(head)), StandardCharsets.ISO_8859_1);
-            return new Answer(Integer.parseInt(head.substring(9, 12)), head, body);
+            return new Response(Integer.parseInt(head.substring(9, 12)), head, body);
         }
 
         @Override
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -21,203 +21,227 @@
 import pondridge.core.Job;
 import pondridge.http1.Stub;
 
-/** The whole sidecar between a client and upstreams on loopback. */
+/** The complete sidecar between a client and upstreams on loopback sockets. */
 class SidecarTest {
 
     @Test
-    void requestAndAnswerGoOnUnchanged() throws Exception {
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
         try (Stub upstream = Stub.serving("{\"parts\":7}");
-                Bed bed = Bed.with(upstream)) {
-            Bed.Answer answer = bed.ask(Bed.post("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
-            assertEquals(200, answer.status());
-            assertEquals("{\"parts\":7}", answer.body());
-            assertEquals("text/x-part", Stub.header(answer.head(), "Content-Type"));
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
+            SidecarFixture.Response response = sidecar.exchange(
+                    SidecarFixture.postRequest("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
+            assertEquals(200, response.status());
+            assertEquals("{\"parts\":7}", response.body());
+            assertEquals("text/x-part", Stub.header(response.head(), "Content-Type"));
             String head = Stub.next(upstream.heads);
             assertTrue(head.startsWith("POST /api/7f3a HTTP/1.1\r\n"), head);
             assertEquals("9b1f", Stub.header(head, "Req-Id"));
             assertEquals("5c0f", Stub.header(head, "Idempotency-Key"));
             assertEquals("t1", Stub.header(head, "X-Trace"));
             int wait = Integer.parseInt(Stub.header(head, "Req-Deadline-Ms"));
-            assertTrue(wait > 0 && wait < Bed.LONG_MS, "room for the way back: " + wait);
+            assertTrue(
+                    wait > 0 && wait < SidecarFixture.CLIENT_TIMEOUT_MS,
+                    "less than the client's deadline, for the response's return: " + wait);
             assertEquals("two", Stub.next(upstream.bodies));
-            assertEquals(200, bed.ask(Bed.look("a")).status());
+            assertEquals(200, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
             assertTrue(Stub.next(upstream.heads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
 
-    /** The largest body that the protocol allows, both ways; one byte more is refused below. */
+    /** The largest body that the protocol allows, in both directions; one more byte is rejected below. */
     @Test
-    void largestBodiesGoThrough() throws Exception {
+    void largestBodiesAreForwarded() throws Exception {
         String body = "x".repeat(1 << 16);
         try (Stub upstream = Stub.serving(body);
-                Bed bed = Bed.with(upstream)) {
-            assertEquals(body, bed.ask(Bed.post("book", "", body)).body());
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
+            assertEquals(
+                    body,
+                    sidecar.exchange(SidecarFixture.postRequest("book", "", body))
+                            .body());
             assertEquals(body, Stub.next(upstream.bodies));
         }
     }
 
-    /** Upstreams have sent more than the protocol allows: failing it would have every one tried in turn. */
+    /** Upstreams do send more than the protocol allows; failing such a response would try every upstream in turn. */
     @Test
-    void largeAnswerGoesThrough() throws Exception {
+    void largeResponseIsForwarded() throws Exception {
         String body = "x".repeat(400_000);
         try (Stub upstream = Stub.serving(body);
-                Bed bed = Bed.with(upstream)) {
-            assertEquals(body, bed.ask(Bed.look("a")).body());
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
+            assertEquals(body, sidecar.exchange(SidecarFixture.safeRequest("a")).body());
             assertEquals(1, upstream.heads.size());
         }
     }
 
-    /** A request in no known form must not reach an upstream: there it would void more than itself. */
+    /** A malformed request must not reach an upstream, where it could invalidate other requests as well. */
     @Test
-    void malformedRequestsAreToldSoAndGoNowhere() throws Exception {
+    void malformedRequestsAreRejectedAndNotForwarded() throws Exception {
         try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (String bad : List.of(
                     "NONSENSE\r\n\r\n",
-                    Bed.look("a").replace("Req-Id: a\r\n", ""),
-                    Bed.look("a").replace("look", "glance"),
-                    Bed.look("a").replace("acme", "nobody"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
-                    Bed.look("a").replace("GET", "PUT"),
-                    Bed.post("hold", "", "x"),
-                    Bed.post("book", "Idempotency-Key: 1\r\n", "x"))) {
-                assertEquals(400, bed.ask(bad).status(), bad);
+                    SidecarFixture.safeRequest("a").replace("Req-Id: a\r\n", ""),
+                    SidecarFixture.safeRequest("a").replace("look", "glance"),
+                    SidecarFixture.safeRequest("a").replace("acme", "nobody"),
+                    SidecarFixture.safeRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
+                    SidecarFixture.safeRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
+                    SidecarFixture.safeRequest("a")
+                            .replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
+                    SidecarFixture.safeRequest("a").replace("GET", "PUT"),
+                    SidecarFixture.postRequest("hold", "", "x"),
+                    SidecarFixture.postRequest("book", "Idempotency-Key: 1\r\n", "x"))) {
+                assertEquals(400, sidecar.exchange(bad).status(), bad);
             }
-            assertEquals(404, bed.ask(Bed.look("a").replace("/api/", "/other/")).status());
+            assertEquals(
+                    404,
+                    sidecar.exchange(SidecarFixture.safeRequest("a").replace("/api/", "/other/"))
+                            .status());
             assertEquals(
                     413,
-                    bed.ask(Bed.post("book", "", "x".repeat((1 << 16) + 1))).status());
-            assertEquals(200, bed.ask(Bed.look("good")).status());
+                    sidecar.exchange(SidecarFixture.postRequest("book", "", "x".repeat((1 << 16) + 1)))
+                            .status());
+            assertEquals(
+                    200, sidecar.exchange(SidecarFixture.safeRequest("good")).status());
             assertEquals("good", Stub.header(Stub.next(upstream.heads), "Req-Id"));
-            assertNull(upstream.heads.poll(), "no other request came this far");
+            assertNull(upstream.heads.poll(), "no other request reached the upstream");
         }
     }
 
-    /** A refused connection proves that nothing ran, so that even an unsafe request may go elsewhere. */
+    /** A refused connection proves that nothing was executed, so even an unsafe request may go to another server. */
     @Test
-    void unsafeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
-        try (Stub gone = Stub.serving("x");
+    void unsafeRequestIsRetriedWhenNoConnectionIsEstablished() throws Exception {
+        try (Stub stopped = Stub.serving("x");
                 Stub upstream = Stub.serving("y");
-                Bed bed = Bed.with(gone, upstream)) {
-            gone.die();
+                SidecarFixture sidecar = SidecarFixture.with(stopped, upstream)) {
+            stopped.die();
             for (int i = 0; i < 4; i++) {
-                String request = Bed.post("book", "", "b" + i).replace("9b1f", "9b1f" + i);
-                assertEquals("y", bed.ask(request).body());
+                String request = SidecarFixture.postRequest("book", "", "b" + i).replace("9b1f", "9b1f" + i);
+                assertEquals("y", sidecar.exchange(request).body());
                 assertEquals("b" + i, Stub.next(upstream.bodies), "each once");
             }
             assertNull(upstream.bodies.poll());
         }
     }
 
-    /** Once written whole, an unsafe request may have run: a break then fails it and sends nothing more. */
+    /** A completely written unsafe request may have been executed, so it fails without a retry. */
     @Test
-    void unsafeRequestIsNotSentAgainAfterAReset() throws Exception {
-        for (String how : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
+    void unsafeRequestIsNotRetriedAfterAReset() throws Exception {
+        for (String failure : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
             Stub.Script script = (socket, head) -> {
-                if (how.startsWith("5")) {
-                    return Stub.reply(socket, how, "", "");
+                if (failure.startsWith("5")) {
+                    return Stub.reply(socket, failure, "", "");
                 }
-                if (how.equals("cut short")) {
+                if (failure.equals("cut short")) {
                     Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-                } else if (how.equals("nonsense")) {
+                } else if (failure.equals("nonsense")) {
                     Stub.write(socket, "what is this\r\n\r\n");
                 }
-                return how.equals("reset") && Stub.reset(socket);
+                return failure.equals("reset") && Stub.reset(socket);
             };
             try (Stub one = new Stub(script);
                     Stub two = new Stub(script);
-                    Bed bed = Bed.with(one, two)) {
-                assertEquals(502, bed.ask(Bed.post("book", "", "b")).status(), how);
-                assertEquals(1, one.heads.size() + two.heads.size(), how);
+                    SidecarFixture sidecar = SidecarFixture.with(one, two)) {
+                assertEquals(
+                        502,
+                        sidecar.exchange(SidecarFixture.postRequest("book", "", "b"))
+                                .status(),
+                        failure);
+                assertEquals(1, one.heads.size() + two.heads.size(), failure);
             }
         }
     }
 
-    /** A repeat is harmless for a safe request and for one whose key the upstreams know. */
+    /** A retry is harmless for a safe request and for one whose idempotency key the upstreams know. */
     @Test
-    void safeAndKeyedRequestsAreSentAgainAfterAReset() throws Exception {
+    void safeAndKeyedRequestsAreRetriedAfterAReset() throws Exception {
         Stub.Script script = (socket, head) -> Stub.reset(socket);
-        for (String request : List.of(Bed.look("a"), Bed.post("hold", "Idempotency-Key: 1\r\n", "b"))) {
+        for (String request : List.of(
+                SidecarFixture.safeRequest("a"), SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\n", "b"))) {
             try (Stub one = new Stub(script);
                     Stub two = new Stub(script);
-                    Bed bed = Bed.with(one, two)) {
-                assertEquals(503, bed.ask(request).status(), "all tried, and a retry is harmless");
+                    SidecarFixture sidecar = SidecarFixture.with(one, two)) {
+                assertEquals(503, sidecar.exchange(request).status(), "all tried, and a retry is harmless");
                 assertEquals(1, one.heads.size());
                 assertEquals(1, two.heads.size());
             }
         }
     }
 
-    /** Srv-Declined proves that nothing ran; without that header a 503 proves nothing (tested above). */
+    /** Srv-Declined proves that nothing was executed; a 503 without that header proves nothing (tested above). */
     @Test
-    void declinedUnsafeRequestGoesElsewhere() throws Exception {
+    void declinedUnsafeRequestIsRetriedOnAnotherServer() throws Exception {
         Stub.Script declines = (socket, head) -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
         try (Stub one = new Stub(declines);
                 Stub two = new Stub(declines);
-                Bed bed = Bed.with(one, two)) {
-            Bed.Answer answer = bed.ask(Bed.post("book", "", "b"));
-            assertEquals(503, answer.status());
-            assertEquals("0.750", Stub.header(answer.head(), "Retry-After"), "as long as the module says");
+                SidecarFixture sidecar = SidecarFixture.with(one, two)) {
+            SidecarFixture.Response response = sidecar.exchange(SidecarFixture.postRequest("book", "", "b"));
+            assertEquals(503, response.status());
+            assertEquals("0.750", Stub.header(response.head(), "Retry-After"), "the wait that the balancer set");
             assertEquals(1, one.heads.size());
             assertEquals(1, two.heads.size());
         }
     }
 
-    /** A client that leaves takes its attempt with it: its connection must close, not be used again. */
+    /** A client that disconnects cancels its attempt: the upstream connection must be closed, not reused. */
     @Test
-    void hangUpClosesTheAttemptsConnection() throws Exception {
+    void clientDisconnectClosesTheAttemptsConnection() throws Exception {
         try (Stub silent = new Stub((socket, head) -> true);
-                Bed bed = Bed.with(silent)) {
-            try (Bed.Client client = new Bed.Client(bed.address)) {
-                Stub.write(client.socket, Bed.look("a"));
+                SidecarFixture sidecar = SidecarFixture.with(silent)) {
+            try (SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
                 Stub.next(silent.heads);
             }
             Stub.next(silent.ended);
         }
     }
 
-    /** Silent upstreams must not cost the client its answer: it comes while the client still waits. */
+    /** The client gets a response before its deadline even if the upstreams send nothing. */
     @Test
-    void silenceIsAnsweredBeforeTheClientsDeadline() throws Exception {
+    void clientIsAnsweredBeforeItsDeadlineIfUpstreamsAreSilent() throws Exception {
         try (Stub silent = new Stub((socket, head) -> true);
-                Bed bed = Bed.with(silent)) {
-            String shorter = Bed.post("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
-            assertEquals(502, bed.ask(shorter).status());
+                SidecarFixture sidecar = SidecarFixture.with(silent)) {
+            String shorter =
+                    SidecarFixture.postRequest("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
+            assertEquals(502, sidecar.exchange(shorter).status());
             Stub.next(silent.ended);
         }
     }
 
     @Test
-    void requestsAheadOfTheirTurnAreAnsweredInOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         Stub.Script echo = (socket, head) -> Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
         try (Stub upstream = new Stub(echo);
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.look("a") + Bed.look("b") + Bed.look("c"));
+                SidecarFixture sidecar = SidecarFixture.with(upstream);
+                SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+            Stub.write(
+                    client.socket,
+                    SidecarFixture.safeRequest("a")
+                            + SidecarFixture.safeRequest("b")
+                            + SidecarFixture.safeRequest("c"));
             for (String id : List.of("a", "b", "c")) {
-                assertEquals(id, client.read().body());
+                assertEquals(id, client.readResponse().body());
             }
         }
     }
 
-    /** A stale connection turns requests into resets: it is retired before the upstream's own idle time. */
+    /** A stale connection causes resets, so it is closed before the upstream's own idle timeout. */
     @Test
-    void idleConnectionIsRetired() throws Exception {
+    void idleConnectionIsClosed() throws Exception {
         try (Stub upstream = Stub.serving("x")) {
-            ObjectNode json = Bed.json(upstream);
+            ObjectNode json = SidecarFixture.config(upstream);
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
-            try (Bed bed = new Bed(json)) {
-                assertEquals(200, bed.ask(Bed.look("a")).status());
+            try (SidecarFixture sidecar = new SidecarFixture(json)) {
+                assertEquals(
+                        200, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
                 Stub.next(upstream.ended);
-                assertEquals(200, bed.ask(Bed.look("b")).status());
+                assertEquals(
+                        200, sidecar.exchange(SidecarFixture.safeRequest("b")).status());
             }
         }
     }
 
     @Test
-    void connectionIsKeptAndUsedAgain() throws Exception {
+    void connectionIsReused() throws Exception {
         CountDownLatch connections = new CountDownLatch(2);
         ThreadLocal<Boolean> first = ThreadLocal.withInitial(() -> true);
         Stub.Script counting = (socket, head) -> {
@@ -228,22 +252,24 @@
             return Stub.reply(socket, "200 OK", "", "x");
         };
         try (Stub upstream = new Stub(counting);
-                Bed bed = Bed.with(upstream)) {
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, bed.ask(Bed.look("a" + i)).status());
+                assertEquals(
+                        200,
+                        sidecar.exchange(SidecarFixture.safeRequest("a" + i)).status());
             }
             assertEquals(1, connections.getCount(), "one connection for all five");
         }
     }
 
-    /** From watch to sends: a drain that is told ends new work there, and a broken watch is renewed. */
+    /** From watch to attempts: a draining server gets no new requests, and a broken watch is reopened. */
     @Test
-    void toldDrainIsKeptAndABrokenWatchRenewed() throws Exception {
+    void drainIsAppliedAndABrokenWatchIsReopened() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub drained = Stub.serving("x");
                 Stub other = Stub.serving("y")) {
-            String line = "{\"rev\":42,\"all\":false,\"targets\":[" + Bed.target("s-0", drained.endpoint(), "DRAINING")
-                    + "]}\n";
+            String line = "{\"rev\":42,\"all\":false,\"targets\":["
+                    + SidecarFixture.target("s-0", drained.endpoint(), "DRAINING") + "]}\n";
             try (Stub discovery = new Stub((socket, head) -> {
                 Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
@@ -256,30 +282,37 @@
                 }
                 return false;
             })) {
-                ObjectNode json = Bed.json(drained, other).put("discovery", discovery.endpoint());
+                ObjectNode json = SidecarFixture.config(drained, other).put("discovery", discovery.endpoint());
                 json.withObject("/settings").put("discovery", "subscribe");
-                try (Bed bed = new Bed(json)) {
+                try (SidecarFixture sidecar = new SidecarFixture(json)) {
                     for (int i = 0; drained.heads.isEmpty(); i++) {
-                        assertEquals(200, bed.ask(Bed.look("a" + i)).status());
+                        assertEquals(
+                                200,
+                                sidecar.exchange(SidecarFixture.safeRequest("a" + i))
+                                        .status());
                     }
                     go.countDown();
                     Stub.next(drained.ended);
                     int before = drained.heads.size();
                     for (int i = 0; i < 6; i++) {
-                        assertEquals("y", bed.ask(Bed.look("b" + i)).body());
+                        assertEquals(
+                                "y",
+                                sidecar.exchange(SidecarFixture.safeRequest("b" + i))
+                                        .body());
                     }
                     assertEquals(before, drained.heads.size());
                     assertTrue(Stub.next(discovery.heads).contains("from=41 "));
-                    assertTrue(Stub.next(discovery.heads).contains("from=42 "), "where the first one ended");
+                    assertTrue(
+                            Stub.next(discovery.heads).contains("from=42 "), "continues where the first watch ended");
                 }
             }
         }
     }
 
     @Test
-    void drainingSidecarAnswersWhatItHoldsAndEndsItsConnections() throws Exception {
+    void drainingSidecarCompletesOpenRequestsAndClosesConnections() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Stub.Script held = (socket, head) -> {
+        Stub.Script delayed = (socket, head) -> {
             try {
                 go.await();
             } catch (InterruptedException e) {
@@ -287,39 +320,44 @@
             }
             return Stub.reply(socket, "200 OK", "", "late");
         };
-        try (Stub upstream = new Stub(held);
-                Bed bed = Bed.with(upstream);
-                Bed.Client busy = new Bed.Client(bed.address);
-                Bed.Client idle = new Bed.Client(bed.address)) {
-            assertEquals(503, idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            Stub.write(busy.socket, Bed.look("a"));
+        try (Stub upstream = new Stub(delayed);
+                SidecarFixture sidecar = SidecarFixture.with(upstream);
+                SidecarFixture.Client busy = new SidecarFixture.Client(sidecar.address);
+                SidecarFixture.Client idle = new SidecarFixture.Client(sidecar.address)) {
+            assertEquals(
+                    503, idle.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            Stub.write(busy.socket, SidecarFixture.safeRequest("a"));
             Stub.next(upstream.heads);
-            bed.loop.submit(bed.frontend::drain).sync();
-            assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is ended");
-            Bed.Answer meanwhile = bed.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-            assertEquals(503, meanwhile.status(), "and its client still gets in");
-            assertEquals("close", Stub.header(meanwhile.head(), "Connection"));
-            bed.loop.submit(bed.frontend::close).sync();
-            assertThrows(IOException.class, () -> bed.ask(Bed.look("b")), "until the listening ends");
-            assertFalse(bed.loop.submit(bed.frontend::empty).get());
+            sidecar.loop.submit(sidecar.frontend::drain).sync();
+            assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
+            SidecarFixture.Response probeResponse = sidecar.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+            assertEquals(503, probeResponse.status(), "its client can still connect");
+            assertEquals("close", Stub.header(probeResponse.head(), "Connection"));
+            sidecar.loop.submit(sidecar.frontend::close).sync();
+            assertThrows(
+                    IOException.class,
+                    () -> sidecar.exchange(SidecarFixture.safeRequest("b")),
+                    "after the listener is closed");
+            assertFalse(sidecar.loop.submit(sidecar.frontend::empty).get());
             go.countDown();
-            Bed.Answer answer = busy.read();
-            assertEquals("late", answer.body());
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
+            SidecarFixture.Response response = busy.readResponse();
+            assertEquals("late", response.body());
+            assertEquals("close", Stub.header(response.head(), "Connection"));
             assertEquals(-1, busy.socket.getInputStream().read());
         }
     }
 
     /**
-     * What two readers could take for requests of different lengths hides a second one; a repeated header
-     * lets each reader pick its own. Both are told so, the connection ends, and nothing reaches an upstream.
+     * Two parsers could disagree on the length of such a request, which could hide a second one (request smuggling), or
+     * each use another value of a repeated header. It is answered with 400, the connection is closed, and nothing
+     * reaches an upstream.
      */
     @Test
-    void ambiguousRequestsEndTheirConnection() throws Exception {
-        String hidden = Bed.look("hidden");
-        String post = Bed.post("book", "", "");
+    void ambiguousRequestsCloseTheirConnection() throws Exception {
+        String smuggled = SidecarFixture.safeRequest("hidden");
+        String post = SidecarFixture.postRequest("book", "", "");
         try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (String bad : List.of(
                     post.replace("Content-Length: 0", "Content-Length: 6\r\nTransfer-Encoding: chunked") + "0\r\n\r\n",
                     post.replace("Content-Length: 0", "Transfer-Encoding: chunked\r\nContent-Length: 6") + "0\r\n\r\n",
@@ -331,101 +369,102 @@
                     post.replace("Content-Length: 0", "Content-Length: 99999999999999999999"),
                     post.replace("Req-Kind: book", "Req-Kind: book\r\nreq-kind: hold"),
                     post.replace("Req-Id: 9b1f", "Req-Id: 9b1f\r\nReq-Id: 9b20"),
-                    Bed.post("hold", "Idempotency-Key: 1\r\nIdempotency-Key: 2\r\n", ""),
-                    Bed.look("a").replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"))) {
-                try (Bed.Client client = new Bed.Client(bed.address)) {
-                    assertEquals(400, client.ask(bad + hidden).status(), bad);
-                    assertThrows(IOException.class, client::read, bad);
+                    SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\nIdempotency-Key: 2\r\n", ""),
+                    SidecarFixture.safeRequest("a").replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"))) {
+                try (SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+                    assertEquals(400, client.exchange(bad + smuggled).status(), bad);
+                    assertThrows(IOException.class, client::readResponse, bad);
                 }
             }
-            assertNull(upstream.heads.poll(), "nothing came this far");
+            assertNull(upstream.heads.poll(), "nothing reached the upstream");
         }
     }
 
-    /** An id belongs to the client whose request is open: another's is rejected, the first one is served. */
+    /** While a request is open, a second request with the same id is rejected and the first one is served. */
     @Test
     void idOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> {
                     return Stub.await(go) && Stub.reply(socket, "200 OK", "", "own");
                 });
-                Bed bed = Bed.with(upstream);
-                Bed.Client first = new Bed.Client(bed.address)) {
-            Stub.write(first.socket, Bed.look("a"));
+                SidecarFixture sidecar = SidecarFixture.with(upstream);
+                SidecarFixture.Client first = new SidecarFixture.Client(sidecar.address)) {
+            Stub.write(first.socket, SidecarFixture.safeRequest("a"));
             Stub.next(upstream.heads);
-            assertEquals(409, bed.ask(Bed.look("a")).status());
+            assertEquals(409, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
             go.countDown();
-            assertEquals("own", first.read().body());
+            assertEquals("own", first.readResponse().body());
             assertEquals(0, upstream.heads.size());
         }
     }
 
-    /** A client that sends much more than will be read must still get its error, not only a reset. */
+    /** A client that sends much more than is read must still receive the error response, not only a reset. */
     @Test
     void errorArrivesWhileTheClientStillSends() throws Exception {
-        try (Bed bed = Bed.with();
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.post("book", "", "x".repeat(900_000)));
-            assertEquals(413, client.read().status());
+        try (SidecarFixture sidecar = SidecarFixture.with();
+                SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
+            Stub.write(client.socket, SidecarFixture.postRequest("book", "", "x".repeat(900_000)));
+            assertEquals(413, client.readResponse().status());
             assertEquals(-1, client.socket.getInputStream().read());
         }
     }
 
-    /** Half a request, a silent connection and an idle one end by themselves; the half one is told why. */
+    /** Connections with a partial request, no request or none pending time out; the partial request gets a 408. */
     @Test
-    void connectionsWithoutARequestEnd() throws Exception {
-        try (Bed bed = Bed.with();
-                Bed.Client half = new Bed.Client(bed.address);
-                Bed.Client silent = new Bed.Client(bed.address);
-                Bed.Client idle = new Bed.Client(bed.address)) {
-            Stub.write(half.socket, Bed.post("book", "", "xx").replaceFirst("x$", ""));
-            assertEquals(503, idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            assertEquals(408, half.read().status());
+    void connectionsWithoutARequestTimeOut() throws Exception {
+        try (SidecarFixture sidecar = SidecarFixture.with();
+                SidecarFixture.Client half = new SidecarFixture.Client(sidecar.address);
+                SidecarFixture.Client silent = new SidecarFixture.Client(sidecar.address);
+                SidecarFixture.Client idle = new SidecarFixture.Client(sidecar.address)) {
+            Stub.write(half.socket, SidecarFixture.postRequest("book", "", "xx").replaceFirst("x$", ""));
+            assertEquals(
+                    503, idle.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            assertEquals(408, half.readResponse().status());
             assertEquals(-1, silent.socket.getInputStream().read());
             assertEquals(-1, idle.socket.getInputStream().read());
         }
     }
 
-    /** Silent connections must not keep others out: over the limit the one that is missed least ends. */
+    /** Silent connections must not lock others out: above the limit the least important one is closed. */
     @Test
-    void silentConnectionsMakeRoom() throws Exception {
-        List<Bed.Client> silent = new ArrayList<>();
+    void silentConnectionsAreEvicted() throws Exception {
+        List<SidecarFixture.Client> silent = new ArrayList<>();
         try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
-            for (int i = 0; i < 3 * Bed.MOST; i++) {
-                silent.add(new Bed.Client(bed.address));
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
+            for (int i = 0; i < 3 * SidecarFixture.MAX_OPEN; i++) {
+                silent.add(new SidecarFixture.Client(sidecar.address));
             }
-            assertEquals(200, bed.ask(Bed.look("a")).status());
+            assertEquals(200, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
         } finally {
-            for (Bed.Client each : silent) {
+            for (SidecarFixture.Client each : silent) {
                 each.close();
             }
         }
     }
 
-    /** What is kept of a request for its deadline's sake goes with its answer, not with its deadline. */
+    /** The memory of a request is released with its response and not held by its deadline timer. */
     @Test
-    void answeredRequestIsNotKeptUntilItsDeadline() throws Exception {
+    void answeredRequestIsReleasedBeforeItsDeadline() throws Exception {
         try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
-            WeakReference<byte[]> body = answered(bed);
+                SidecarFixture sidecar = SidecarFixture.with(upstream)) {
+            WeakReference<byte[]> body = completeRequest(sidecar);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
             while (body.get() != null && System.nanoTime() < end) {
                 System.gc();
                 Thread.sleep(20);
             }
-            assertNull(body.get(), "ten minutes would be too long");
+            assertNull(body.get(), "must not be held until the deadline in ten minutes");
         }
     }
 
-    /** Sends a request with ten minutes' time; returns its body once it is answered. */
-    private static WeakReference<byte[]> answered(Bed bed) throws Exception {
+    /** Sends a request with a deadline in ten minutes; returns its body after the response. */
+    private static WeakReference<byte[]> completeRequest(SidecarFixture sidecar) throws Exception {
         byte[] body = new byte[1000];
         CountDownLatch done = new CountDownLatch(1);
         Job job = new Job(2, 0, 0, 600_000, 0, false, HttpMethod.POST, "/api/x", new DefaultHttpHeaders(), body);
-        bed.loop.execute(() -> bed.engine.submit(job, new Client() {
+        sidecar.loop.execute(() -> sidecar.engine.submit(job, new Client() {
             @Override
-            public void served(Answer answer) {
+            public void served(Answer response) {
                 done.countDown();
             }
 
