--- a/src/main/java/pondridge/platform/Config.java
+++ b/src/main/java/pondridge/platform/Config.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Limit on client connections. Clients may need a third of the descriptors for concurrent requests; the rest is
-     * for connections that are closing.
+     * Limit on client connections, three eighths of the descriptors. Clients may need a third of all descriptors for
+     * concurrent requests; the remainder is for connections that are closing.
      */
     public int mostClients() {
         return maxSockets * 3 / 8;
