--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -14,53 +14,55 @@
 import java.util.TreeSet;
 
 /**
- * Every decision of one sidecar. Interface, settings, events and actions are in {@code Balancer.java}.
+ * Load-balancing policy of one sidecar: server selection, health tracking, admission control and retries. The
+ * interface with its settings, events and actions is {@link Balancer}.
  *
- * <p>The ordinary path is {@link Pattern#pick}: a randomly drawn fixed order over all ready servers, the less
- * busy of the pointed entry and the next by this sidecar's own in-flight counts. All else either narrows who
- * may take a request now (gates in {@link Roster}, {@link Health}, {@link Admission}) or keeps the
- * books ({@link Ledger}). Each departure from that path says beside it which danger it meets.
+ * <p>The normal path is {@link Rotation#pick}: it walks a randomly drawn, fixed order over all ready servers
+ * and takes whichever of the current entry and the next has fewer of this sidecar's requests in flight. The
+ * other parts either restrict which servers are eligible for a request ({@link ServerList}, {@link
+ * HealthTracker}, {@link AdmissionControl}) or track requests and attempts ({@link RequestTracker}). A comment
+ * beside each exception to the normal path names the failure that it prevents.
  */
 public final class Rules implements Balancer {
     private final Settings settings;
     private final Actions actions;
     private final Random random;
-    /** Mixes its seed: a plain one's first draws for seeds that are numbered through all but agree. */
-    private final SplittableRandom phases;
-
-    private final Pattern pattern = new Pattern();
-    private final Ledger ledger = new Ledger();
-    private final Roster roster;
-    private final Health health;
-    private final Admission admission;
-    private final Reports reports;
-    private final Alarms alarms;
-
-    /** One instance a sidecar: the seed is its only source of chance. */
+    /** Mixes its seed: the first draws of {@link Random} are nearly equal for consecutive seeds. */
+    private final SplittableRandom jitterRandom;
+
+    private final Rotation rotation = new Rotation();
+    private final RequestTracker tracker = new RequestTracker();
+    private final ServerList serverList;
+    private final HealthTracker health;
+    private final AdmissionControl admission;
+    private final LoadProbes probes;
+    private final Alarms timers;
+
+    /** Creates the policy of one sidecar. The seed is the only source of randomness. */
     public Rules(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
-        this.phases = new SplittableRandom(seed);
-        this.alarms = new Alarms(actions);
-        this.roster = new Roster();
-        this.health = new Health();
-        this.admission = new Admission();
-        this.reports = new Reports();
+        this.jitterRandom = new SplittableRandom(seed);
+        this.timers = new Alarms(actions);
+        this.serverList = new ServerList();
+        this.health = new HealthTracker();
+        this.admission = new AdmissionControl();
+        this.probes = new LoadProbes();
     }
 
     @Override
     public void start(long now) {
-        roster.follow(now);
-        alarms.flush();
+        serverList.subscribe(now);
+        timers.flush();
     }
 
     @Override
     public void listChanged(long now, ListKind kind, List<Upstream> entries) {
-        roster.compare(now);
-        roster.listChanged(now, kind, entries);
-        admission.drain(now);
-        alarms.flush();
+        serverList.updateWarmRate(now);
+        serverList.listChanged(now, kind, entries);
+        admission.drainQueues(now);
+        timers.flush();
     }
 
     @Override
@@ -68,14 +70,14 @@
         if (request.requestClass() >= settings.classes().size()) {
             throw new IllegalArgumentException("request of unknown class " + request.requestClass());
         }
-        Call call = ledger.open(now, request);
+        Call call = tracker.register(now, request);
         admission.admit(now, call);
-        alarms.flush();
+        timers.flush();
     }
 
     @Override
     public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {
-        Call call = ledger.calls.get(request);
+        Call call = tracker.calls.get(request);
         if (call != null && attempt < call.attempts.size()) {
             call.streaming = true;
         }
@@ -91,300 +93,328 @@
             long elapsed,
             boolean ended,
             float[] load) {
-        admission.level.told(now, load);
-        ledger.outcome(now, request, attempt, outcome, ended);
-        admission.drain(now);
-        alarms.flush();
+        admission.fleetLoad.onReport(now, load);
+        tracker.outcome(now, request, attempt, outcome, ended);
+        admission.drainQueues(now);
+        timers.flush();
     }
 
     @Override
     public void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) {
-        Server server = roster.servers.get(upstream);
+        Server server = serverList.servers.get(upstream);
         if (server != null) {
-            reports.told(now, server, outcome, load);
+            probes.onProbeResult(now, server, outcome, load);
         }
-        alarms.flush();
+        timers.flush();
     }
 
     /**
-     * What other sidecars see of servers: for each 8 bytes its id and 4 how many times slower than usual they
-     * find it. A hint: see {@link Health#told}. Or a lease for each of some cold servers: 8 bytes its id, 4
-     * how many requests, 4 for how many milliseconds from now; see {@link Roster#coldRoom}.
+     * Handles a message from other sidecars.
+     *
+     * <p>A peer report holds, for each reported server, 8 bytes of server id and 4 bytes of slowdown: a float,
+     * the response time as a multiple of the expected one. It is only a hint, see {@link
+     * HealthTracker#onPeerReport}.
+     *
+     * <p>A lease message holds, for each of some cold servers, 8 bytes of server id, 4 bytes of permits (a
+     * float number of requests) and 4 bytes of lifetime (an integer number of milliseconds from now), see
+     * {@link ServerList#coldBudgetAllows}.
      */
     @Override
     public void peerMessage(long now, int from, byte[] message) {
-        ByteBuffer told = ByteBuffer.wrap(message);
-        while (from == LEASES && told.remaining() >= Long.BYTES + Float.BYTES + Integer.BYTES) {
-            Server server = roster.servers.get(told.getLong());
-            double count = told.getFloat();
-            int millis = told.getInt();
+        ByteBuffer buffer = ByteBuffer.wrap(message);
+        while (from == LEASES && buffer.remaining() >= Long.BYTES + Float.BYTES + Integer.BYTES) {
+            Server server = serverList.servers.get(buffer.getLong());
+            double permits = buffer.getFloat();
+            int durationMillis = buffer.getInt();
             if (server != null
-                    && count >= 0
-                    && count <= Roster.MOST_LEASED
-                    && millis > 0
-                    && millis <= Roster.LONGEST_LEASE) {
-                server.lease = new Lease(count, now, now + millis * 1_000_000L, random.nextDouble());
+                    && permits >= 0
+                    && permits <= ServerList.MAX_LEASE_PERMITS
+                    && durationMillis > 0
+                    && durationMillis <= ServerList.MAX_LEASE_MILLIS) {
+                server.lease = new Lease(permits, now, now + durationMillis * 1_000_000L, random.nextDouble());
             }
         }
-        while (from == HEARSAY && told.remaining() >= Long.BYTES + Float.BYTES) {
-            Server server = roster.servers.get(told.getLong());
-            double ratio = told.getFloat();
-            if (server != null && ratio > 1 && ratio <= Health.WORST_TOLD) {
-                health.told(now, server, ratio);
+        while (from == HEARSAY && buffer.remaining() >= Long.BYTES + Float.BYTES) {
+            Server server = serverList.servers.get(buffer.getLong());
+            double slowdown = buffer.getFloat();
+            if (server != null && slowdown > 1 && slowdown <= HealthTracker.MAX_PEER_SLOWDOWN) {
+                health.onPeerReport(now, server, slowdown);
             }
         }
-        admission.drain(now);
-        alarms.flush();
+        admission.drainQueues(now);
+        timers.flush();
     }
 
     @Override
     public void hangup(long now, long request) {
-        Call call = ledger.calls.get(request);
+        Call call = tracker.calls.get(request);
         if (call != null) {
-            ledger.close(call, false);
+            tracker.close(call, false);
         }
     }
 
-    /** Danger: what waits on a server that hangs, until after the end, would get no answer at all. */
+    /**
+     * Responds to all open requests at the given time. Requests on a server that hangs beyond the shutdown
+     * would otherwise get no response at all.
+     */
     @Override
     public void ending(long now, long at) {
-        ledger.calls
+        tracker.calls
                 .values()
-                .forEach(call -> alarms.set(at, then -> {
+                .forEach(call -> timers.set(at, firedAt -> {
                     if (!call.streaming) {
-                        ledger.answer(call);
+                        tracker.refuseOrFail(call);
                     }
                 }));
-        alarms.flush();
+        timers.flush();
     }
 
     @Override
     public void timer(long now, long token) {
-        alarms.ring(now, token);
-        admission.drain(now);
-        alarms.flush();
+        timers.ring(now, token);
+        admission.drainQueues(now);
+        timers.flush();
     }
 
-    /** The order, the pointer and the pick. */
-    private final class Pattern {
+    /** The order of the ready servers, the current position in it, and the pick. */
+    private final class Rotation {
         private final List<Server> order = new ArrayList<>();
-        private int pointer;
+        private int position;
 
-        /** Draws a uniform permutation of all ready servers; the list comes sorted by id. */
-        void redraw(List<Server> ready) {
+        /** Draws a uniformly random permutation of the ready servers. The argument is sorted by id. */
+        void reshuffle(List<Server> readyServers) {
             order.clear();
-            order.addAll(ready);
+            order.addAll(readyServers);
             Collections.shuffle(order, random);
-            pointer = 0;
+            position = 0;
         }
 
         /**
-         * The less busy of the pointed entry and the next, a tie going to the pointed one; entries whose
-         * gates are shut to this request are passed over. Only first attempts turn the pointer: a walk for
-         * a further attempt sees few entries and would make the turns uneven. Null if all gates are shut.
+         * Returns whichever of the current entry and the next has fewer requests in flight, the current one on
+         * a tie. Entries that are not eligible for this request are skipped. Only first attempts advance the
+         * position: a retry has few eligible entries and would make the turns uneven. Returns null if no entry
+         * is eligible.
          */
         Server pick(long now, Call call, boolean ignoreHealth) {
-            if (!call.attempts.isEmpty() && !ledger.mayTryAgain(now, call)) {
+            if (!call.attempts.isEmpty() && !tracker.mayRetry(now, call)) {
                 return null;
             }
-            Server pointed = null;
-            Server passedOver = null;
-            int start = pointer;
+            Server current = null;
+            Server fallback = null;
+            int start = position;
             for (int i = 0; i < order.size(); i++) {
-                int at = (start + i) % order.size();
-                Server server = order.get(at);
-                if (!mayTake(now, server, call, ignoreHealth)) {
+                int index = (start + i) % order.size();
+                Server server = order.get(index);
+                if (!isEligible(now, server, call, ignoreHealth)) {
                     continue;
                 }
-                if (pointed != null) {
-                    return server.inFlight < pointed.inFlight ? server : pointed;
+                if (current != null) {
+                    return server.inFlight < current.inFlight ? server : current;
                 }
-                if (!takesTurn(server, call)) {
-                    passedOver = passedOver == null ? server : passedOver;
+                if (!takeTurn(server, call)) {
+                    fallback = fallback == null ? server : fallback;
                     continue;
                 }
-                pointed = server;
+                current = server;
                 if (call.attempts.isEmpty()) {
-                    pointer = (at + 1) % order.size();
+                    position = (index + 1) % order.size();
                 }
             }
-            return pointed != null ? pointed : passedOver;
+            return current != null ? current : fallback;
         }
 
-        /** The next entries that could take this request, from the pointed one on. */
-        List<Server> ahead(long now, Call call, int most) {
-            List<Server> open = new ArrayList<>(most);
-            for (int i = 0; i < order.size() && open.size() < most; i++) {
-                Server server = order.get((pointer + i) % order.size());
-                if (mayTake(now, server, call, false)) {
-                    open.add(server);
+        /** Returns up to {@code limit} eligible entries, starting at the current position. */
+        List<Server> nextEligible(long now, Call call, int limit) {
+            List<Server> eligible = new ArrayList<>(limit);
+            for (int i = 0; i < order.size() && eligible.size() < limit; i++) {
+                Server server = order.get((position + i) % order.size());
+                if (isEligible(now, server, call, false)) {
+                    eligible.add(server);
                 }
             }
-            return open;
+            return eligible;
         }
 
-        /** A slow entry saves up for its turns and is passed over in between. */
-        private boolean takesTurn(Server server, Call call) {
-            server.credit += health.turnShare(server, call);
-            if (server.credit < 1) {
+        /**
+         * Adds to the server's turn credit. A slow server is skipped until its credit amounts to a whole turn.
+         */
+        private boolean takeTurn(Server server, Call call) {
+            server.turnCredit += health.turnShare(server, call);
+            if (server.turnCredit < 1) {
                 return false;
             }
-            server.credit -= 1;
+            server.turnCredit -= 1;
             return true;
         }
     }
 
-    /** All gates, cheapest first. */
-    private boolean mayTake(long now, Server server, Call call, boolean ignoreHealth) {
-        return ledger.mayGoTo(call, server)
-                && server.inFlight < Math.max(1, (int) server.limit)
-                && (ignoreHealth || health.open(now, server, call) && !reports.crowded(server, call))
-                && roster.coldRoom(now, server, call);
+    /** Whether a request may be sent to a server now. Evaluates the cheapest conditions first. */
+    private boolean isEligible(long now, Server server, Call call, boolean ignoreHealth) {
+        return tracker.mayAttemptOn(call, server)
+                && server.inFlight < Math.max(1, (int) server.concurrencyLimit)
+                && (ignoreHealth || health.allows(now, server, call) && !probes.excludes(server, call))
+                && serverList.coldBudgetAllows(now, server, call);
     }
 
-    /** This sidecar's part of what all together may send to one cold server for a while. */
+    /**
+     * This sidecar's share of the requests that all sidecars together may send to a cold server for a limited
+     * time.
+     */
     private static final class Lease {
-        final double count;
-        final long from;
-        final long until;
-        final double draw;
-        int spent;
+        final double permits;
+        final long startsAt;
+        final long expiresAt;
+        final double startOffset;
+        int used;
 
-        Lease(double count, long from, long until, double draw) {
-            this.count = count;
-            this.from = from;
-            this.until = until;
-            this.draw = draw;
+        Lease(double permits, long startsAt, long expiresAt, double startOffset) {
+            this.permits = permits;
+            this.startsAt = startsAt;
+            this.expiresAt = expiresAt;
+            this.startOffset = startOffset;
         }
 
-        /** Evenly over its time, from a drawn place on: those of many sidecars do not begin together. */
-        boolean allows(long now) {
-            return spent + 1 <= Math.min(count, count * (now - from) / (until - from) + draw);
+        /**
+         * Releases the permits evenly over the lease, from a random offset on, so that the leases of many
+         * sidecars do not start together.
+         */
+        boolean hasPermit(long now) {
+            return used + 1 <= Math.min(permits, permits * (now - startsAt) / (expiresAt - startsAt) + startOffset);
         }
     }
 
-    /** What is known of one upstream. */
+    /** State and statistics of one upstream server. */
     private static final class Server {
-        final DecayingSum served;
-        final DecayingSum answered;
+        final DecayingSum servedWork;
+        final DecayingSum recentServedWork;
         Upstream entry;
         int inFlight;
         long coldUntil;
-        double credit;
+        double turnCredit;
         double coldTokens;
-        boolean coldMet;
-        long coldAt;
+        boolean coldBucketStarted;
+        long coldTokensUpdatedAt;
         Lease lease;
-        double load;
-        long integratedAt;
-        double exposure;
-        double heard;
-        long heardAt;
-        double said;
+        double expectedResponseRate;
+        long expectedResponsesUpdatedAt;
+        double expectedResponses;
+        double observedResponses;
+        long lastResponseAt;
+        double peerReportedSlowdown;
         int connectFailures;
-        long nextTrial;
-        long backoff;
-        double limit = Admission.FIRST_LIMIT;
-        long lastCut;
-        double holds = Double.MAX_VALUE;
-        final List<Call> askers = new ArrayList<>(2);
+        long nextTrialAt;
+        long trialBackoffNanos;
+        double concurrencyLimit = AdmissionControl.INITIAL_CONCURRENCY_LIMIT;
+        long lastLimitDecreaseAt;
+        double reportedInFlight = Double.MAX_VALUE;
+        final List<Call> probeWaiters = new ArrayList<>(2);
 
         Server(Upstream entry, long now, Limits limits) {
-            this.served = new DecayingSum(Math.max(1, limits.rampTime()), 0);
-            this.answered = new DecayingSum(Math.max(1, limits.tipAfter() / 3), 0);
+            this.servedWork = new DecayingSum(Math.max(1, limits.rampTime()), 0);
+            this.recentServedWork = new DecayingSum(Math.max(1, limits.tipAfter() / 3), 0);
             this.entry = entry;
-            this.integratedAt = now;
-            this.coldAt = now;
+            this.expectedResponsesUpdatedAt = now;
+            this.coldTokensUpdatedAt = now;
         }
     }
 
     private static final class Attempt {
         final Server server;
         final long sentAt;
-        final int crowd;
-        final double found;
-        boolean out = true;
+        final int inFlightAtSend;
+        final double reportedInFlightAtSend;
+        boolean outstanding = true;
         boolean mayHaveRun = true;
 
         Attempt(Server server, long sentAt) {
             this.server = server;
             this.sentAt = sentAt;
-            this.crowd = server.inFlight;
-            this.found = server.holds++;
+            this.inFlightAtSend = server.inFlight;
+            this.reportedInFlightAtSend = server.reportedInFlight++;
         }
     }
 
     private static final class Call {
-        /** In expected times: what waits until less is left is late half the time. */
-        static final double MOST_IN_TIME = 1.5;
+        /**
+         * Multiple of the expected response time. A request that stays queued until less time remains is late
+         * half the time.
+         */
+        static final double ON_TIME_MARGIN = 1.5;
 
         final Request request;
-        final RequestClass kind;
+        final RequestClass requestClass;
         final long deadline;
-        final long aim;
-        final long aimAt;
+        final long sloNanos;
+        final long sloDeadline;
         final List<Attempt> attempts = new ArrayList<>(2);
         boolean closed;
-        boolean held;
+        boolean queued;
         boolean streaming;
-        boolean asked;
-        int pending;
-        List<Server> looked = List.of();
-        double bar;
-        double expected;
-        /** Time without which it is not begun. */
-        double least;
-        /** How many requests like it came for each that was let through. */
-        double standsFor = 1;
-
-        boolean counted;
-
-        Call(Request request, RequestClass kind, long now, long elapsed) {
+        boolean probed;
+        int pendingProbes;
+        List<Server> probedServers = List.of();
+        double maxReportedInFlight;
+        double expectedNanos;
+        /** Time that must remain for the request to be started. */
+        double minRemainingNanos;
+        /** Number of similar requests that arrived for each admitted one. */
+        double samplingWeight = 1;
+
+        boolean countedAsCompleted;
+
+        Call(Request request, RequestClass requestClass, long now, long elapsedOnEarlierTries) {
             this.request = request;
-            this.kind = kind;
+            this.requestClass = requestClass;
             this.deadline = now + request.timeLeft();
-            double stretched = kind.aim() + kind.aimStretch() * request.costHint();
-            this.aim = (long) Math.min(stretched, kind.deadline());
-            this.aimAt = now - elapsed + Math.min(request.timeLeft() + elapsed, aim);
+            double stretchedSloNanos = requestClass.aim() + requestClass.aimStretch() * request.costHint();
+            this.sloNanos = (long) Math.min(stretchedSloNanos, requestClass.deadline());
+            this.sloDeadline =
+                    now - elapsedOnEarlierTries + Math.min(request.timeLeft() + elapsedOnEarlierTries, sloNanos);
         }
 
-        /** Whether the last attempt is out; there is never more than one. */
-        boolean waiting() {
-            return !attempts.isEmpty() && attempts.get(attempts.size() - 1).out;
+        /** Whether the last attempt is outstanding. There is never more than one. */
+        boolean hasOutstandingAttempt() {
+            return !attempts.isEmpty() && attempts.get(attempts.size() - 1).outstanding;
         }
     }
 
-    /** Each request's attempts, what is proven of them, and its one answer. */
-    private final class Ledger {
+    /** Tracks the attempts of each request, which of them may have run, and its single final response. */
+    private final class RequestTracker {
         private final Map<Long, Call> calls = new HashMap<>();
 
-        Call open(long now, Request request) {
+        Call register(long now, Request request) {
             Call call = new Call(
-                    request, settings.classes().get(request.requestClass()), now, admission.elapsed(now, request));
-            // Danger: answers of no time would bring alarms an expected time apart to a stand.
-            call.expected =
-                    Math.max(call.aim / 1000.0, health.usual[request.requestClass()].expected(request.costHint()));
-            // A later try is the client's last: half the expected will do. One of little patience is worked
-            // on also when its client has gone, so most must be in time. Danger: where all are so, nothing
-            // would ever show that answers are fast again; what nothing has shown for an aim is not held so.
-            boolean hasty = call.aimAt == call.deadline
-                    && request.timeLeft() < call.aim
-                    && now - health.usual[request.requestClass()].learnedAt < call.aim;
-            // Danger: a class held to take longer than two aims would send nothing, and never learn better.
-            call.least = hasty
-                    ? Call.MOST_IN_TIME * call.expected
-                    : 0.5 * Math.min(call.expected, Math.min(call.aim, request.timeLeft()));
+                    request,
+                    settings.classes().get(request.requestClass()),
+                    now,
+                    admission.elapsedOnEarlierTries(now, request));
+            // Bounded below: with an expected time of zero, timers set one expected time apart would never
+            // advance.
+            call.expectedNanos = Math.max(
+                    call.sloNanos / 1000.0, health.serviceTimes[request.requestClass()].expected(request.costHint()));
+            // A client's later try is its last, so half the expected time is enough. A request with a short
+            // client timeout keeps running on the server after its client has left, so most of them must be on
+            // time. If all requests have short timeouts, refusing them would leave no response that shows a
+            // recovery. The strict rule therefore applies only if the estimate was updated within one SLO.
+            boolean shortTimeout = call.sloDeadline == call.deadline
+                    && request.timeLeft() < call.sloNanos
+                    && now - health.serviceTimes[request.requestClass()].learnedAt < call.sloNanos;
+            // Bounded above: a class expected to take longer than two SLOs would send nothing and never correct
+            // its estimate.
+            call.minRemainingNanos = shortTimeout
+                    ? Call.ON_TIME_MARGIN * call.expectedNanos
+                    : 0.5 * Math.min(call.expectedNanos, Math.min(call.sloNanos, request.timeLeft()));
             calls.put(request.id(), call);
-            alarms.set(call.deadline, at -> {
+            timers.set(call.deadline, firedAt -> {
                 if (!call.streaming) {
-                    answer(call);
+                    refuseOrFail(call);
                 }
             });
             return call;
         }
 
-        /** The first attempt that may have run, or null while every one is proven not to have. */
-        private Attempt firstDoubt(Call call) {
+        /** Returns the first attempt that may have run, or null if every attempt is proven not to have run. */
+        private Attempt firstThatMayHaveRun(Call call) {
             for (Attempt attempt : call.attempts) {
                 if (attempt.mayHaveRun) {
                     return attempt;
@@ -393,230 +423,264 @@
             return null;
         }
 
-        /** Whether some further attempt is allowed now, whichever server it goes to. */
-        boolean mayTryAgain(long now, Call call) {
+        /** Whether another attempt is allowed now, on whichever server. */
+        boolean mayRetry(long now, Call call) {
             if (call.closed
                     || call.streaming
                     || now >= call.deadline
-                    || call.waiting()
+                    || call.hasOutstandingAttempt()
                     || call.attempts.size() >= settings.allowed().tryLimit()) {
                 return false;
             }
-            Attempt doubt = firstDoubt(call);
-            return doubt == null
-                    || switch (call.kind.semantics()) {
+            Attempt uncertain = firstThatMayHaveRun(call);
+            return uncertain == null
+                    || switch (call.requestClass.semantics()) {
                         case REPEATABLE -> true;
                         case ONCE -> false;
-                            // One quantum is kept back: the send takes effect at the end of this batch.
-                        case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
+                            // One quantum is subtracted because the send takes effect at the end of this event
+                            // batch.
+                        case BY_KEY -> now + settings.quantum() < uncertain.sentAt + call.requestClass.keyTtl();
                     };
         }
 
-        /** Whether the next attempt, if there may be one, may go to this server. */
-        boolean mayGoTo(Call call, Server server) {
+        /** Whether the next attempt, if one is allowed, may go to this server. */
+        boolean mayAttemptOn(Call call, Server server) {
             for (Attempt attempt : call.attempts) {
                 if (attempt.server == server) {
                     return false;
                 }
             }
-            Attempt doubt = firstDoubt(call);
-            if (doubt == null || call.kind.semantics() != Semantics.BY_KEY) {
+            Attempt uncertain = firstThatMayHaveRun(call);
+            if (uncertain == null || call.requestClass.semantics() != Semantics.BY_KEY) {
                 return true;
             }
-            Upstream first = doubt.server.entry;
-            return switch (call.kind.scope()) {
+            Upstream firstUpstream = uncertain.server.entry;
+            return switch (call.requestClass.scope()) {
                 case ALL -> true;
-                case ZONE -> first.zone() == server.entry.zone();
-                case CELL -> first.cell() == server.entry.cell();
+                case ZONE -> firstUpstream.zone() == server.entry.zone();
+                case CELL -> firstUpstream.cell() == server.entry.cell();
             };
         }
 
-        /** The one place that sends. */
+        /** Starts an attempt. No other method sends. */
         void send(long now, Call call, Server server) {
             Attempt attempt = new Attempt(server, now);
             call.attempts.add(attempt);
-            call.held = false;
-            call.asked = false;
-            call.looked = List.of();
-            health.sent(now, server, call);
-            server.coldTokens -= roster.work(call);
+            call.queued = false;
+            call.probed = false;
+            call.probedServers = List.of();
+            health.onSend(now, server, call);
+            server.coldTokens -= serverList.estimatedWork(call);
             if (server.lease != null) {
-                server.lease.spent++;
+                server.lease.used++;
             }
             server.inFlight++;
-            // Danger: work past its aim keeps a core from work that can still be in time. It is given up only
-            // where looks show what an upstream holds; elsewhere given-up work would run on unseen.
-            boolean worthless = reports.looks() && call.kind.lateShare() == 0 && call.aimAt > now;
-            actions.send(call.request.id(), server.entry.id(), worthless ? call.aimAt - now : 0);
+            // Work past its SLO occupies a core that requests still on time could use. The attempt is cancelled
+            // only where probes show what an upstream holds; elsewhere cancelled work would keep running
+            // unobserved.
+            boolean uselessAfterSlo = probes.enabled() && call.requestClass.lateShare() == 0 && call.sloDeadline > now;
+            actions.send(call.request.id(), server.entry.id(), uselessAfterSlo ? call.sloDeadline - now : 0);
         }
 
-        void outcome(long now, long id, int number, Outcome outcome, boolean ended) {
-            Call call = calls.get(id);
-            if (call == null || number >= call.attempts.size() || !call.attempts.get(number).out) {
+        void outcome(long now, long requestId, int attemptIndex, Outcome outcome, boolean ended) {
+            Call call = calls.get(requestId);
+            if (call == null || attemptIndex >= call.attempts.size() || !call.attempts.get(attemptIndex).outstanding) {
                 return;
             }
-            Attempt attempt = call.attempts.get(number);
-            attempt.out = false;
+            Attempt attempt = call.attempts.get(attemptIndex);
+            attempt.outstanding = false;
             attempt.mayHaveRun = !outcome.provesNeverRan();
             Server server = attempt.server;
             server.inFlight--;
-            health.ended(now, attempt, outcome, call);
-            // Danger: what was never sent says nothing of the servers. Clients that leave while a connection
-            // comes up would count as late answers, and a burst of them have those that come next refused.
+            health.onAttemptEnd(now, attempt, outcome, call);
+            // An attempt that was never sent is no evidence about the servers. Clients that leave while a
+            // connection is being established would count as late responses, and a burst of them would cause
+            // later requests to be refused.
             if (outcome != Outcome.CONNECT_FAILED && outcome != Outcome.NEVER_SENT) {
-                admission.ended(now, attempt, outcome, call);
+                admission.onAttemptEnd(now, attempt, outcome, call);
             }
-            roster.ended(now, attempt, outcome, call);
+            serverList.onAttemptEnd(now, attempt, outcome, call);
             if (ended || call.closed) {
                 close(call, outcome == Outcome.OK);
                 return;
             }
-            // Danger: held for a further attempt with every server tried, it would wait in vain.
-            if (mayTryAgain(now, call)
-                    && roster.ready.stream().anyMatch(next -> mayGoTo(call, next))
-                    && admission.worthRetry(now, call)) {
+            // Without an untried server, a request queued for a retry would wait in vain.
+            if (mayRetry(now, call)
+                    && serverList.readyServers.stream().anyMatch(next -> mayAttemptOn(call, next))
+                    && admission.retryWorthwhile(now, call)) {
                 admission.admit(now, call);
             } else {
-                answer(call);
+                refuseOrFail(call);
             }
         }
 
-        /** Gives the final answer: refused where a client's retry is known to be harmless, else failed. */
-        void answer(Call call) {
+        /**
+         * Sends the final response: a refusal if a retry by the client is known to be safe, otherwise a
+         * failure.
+         */
+        void refuseOrFail(Call call) {
             if (call.closed) {
                 return;
             }
-            boolean harmless = firstDoubt(call) == null
-                    || call.kind.semantics() == Semantics.REPEATABLE
-                    || call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == Scope.ALL;
-            if (harmless) {
-                actions.refuse(call.request.id(), admission.stayAway(call));
+            boolean retrySafe = firstThatMayHaveRun(call) == null
+                    || call.requestClass.semantics() == Semantics.REPEATABLE
+                    || call.requestClass.semantics() == Semantics.BY_KEY && call.requestClass.scope() == Scope.ALL;
+            if (retrySafe) {
+                actions.refuse(call.request.id(), admission.retryAfterNanos(call));
             } else {
                 actions.fail(call.request.id());
             }
             close(call, false);
         }
 
-        /** Nothing is sent for a closed request; its outstanding attempt still counts as in flight. */
-        void close(Call call, boolean served) {
-            if (!call.closed && !served) {
-                admission.unserved.add(call);
+        /** Closes a request; nothing more is sent for it. Its outstanding attempt still counts as in flight. */
+        void close(Call call, boolean succeeded) {
+            if (!call.closed && !succeeded) {
+                admission.unservedRequests.add(call);
             }
             if (!call.closed
-                    && call.waiting()
+                    && call.hasOutstandingAttempt()
                     && !call.streaming
                     && settings.allowed().cancel()) {
                 actions.cancel(call.request.id(), call.attempts.size() - 1);
             }
             call.closed = true;
-            call.held = false;
-            if (!call.waiting()) {
+            call.queued = false;
+            if (!call.hasOutstandingAttempt()) {
                 calls.remove(call.request.id());
             }
         }
     }
 
-    /** The list, the subscription to it, and the budget of cold servers. */
-    private final class Roster {
-        /** What is lent beyond these is not believed. */
-        static final double MOST_LEASED = 1e6;
+    /** The server list, its discovery subscription, and the request budgets of cold servers. */
+    private final class ServerList {
+        /** Leases above these limits are ignored as invalid. */
+        static final double MAX_LEASE_PERMITS = 1e6;
 
-        static final int LONGEST_LEASE = 60_000;
+        static final int MAX_LEASE_MILLIS = 60_000;
         private final TreeMap<Long, Server> servers = new TreeMap<>();
-        private List<Server> ready = List.of();
-        private boolean listed;
-        /** What discovery has and can be asked for counts as told after 6 s; a call may wait 2 s of them. */
-        private static final long UNANSWERED = 6_000_000_000L - 2_000_000_000L;
-        /** From one call to the next at most, and half of that at least: three of them, and a call's wait. */
-        private static final long EVERY = 1_200_000_000L;
-        /** What came by one break, or by one start, is spread over this at most. */
-        private static final long MOST_SPREAD = 750_000_000L;
-        /** What a break hid counts as told after a call's wait; the drain grace is what is left for it. */
-        private final long spread =
-                Math.min(MOST_SPREAD, (long) (0.8 * settings.limits().drainGrace()));
-        /** Where many ask, who is refused at once leaves the turn to who has waited for up to so long. */
-        private static final long LONG_WAIT = 6_000_000_000L;
-
-        private static final double SLOWEST = 3;
-        /** So few have no need to: what they ask costs discovery little. */
-        private static final double FEW = 8;
-        /** After a call that took longer than its turn: a silent one has used up half of the 6 s by then. */
-        private static final long PAUSE = 200_000_000L;
-
-        private final double factor = settings.limits().overloadFactor();
-        /** How many times over what was seen of warm ones may be taken: half of what a cold one bears. */
-        private final double lift = Math.max(1, factor / 2);
-        /** How much faster than its answers an all-cold server may be asked; the less the less it bears. */
-        private final double growth = Math.min(2, factor - 1);
-        /** Part of a window that may be saved up, beside the rate. */
-        private final double saved = Math.max(0.1, Math.min(0.5, factor / Math.max(lift, growth) - 1));
-
-        private final DecayingSum served =
+        private List<Server> readyServers = List.of();
+        private boolean listReceived;
+        /**
+         * A change must be received within 6 s of being available from discovery; a discovery call may wait 2 s
+         * of them.
+         */
+        private static final long SUBSCRIBE_TIMEOUT_NANOS = 6_000_000_000L - 2_000_000_000L;
+        /**
+         * Longest interval between the starts of two calls; the shortest is half of it. Three intervals and the
+         * wait of one call fit into the 6 s.
+         */
+        private static final long MAX_SUBSCRIBE_INTERVAL_NANOS = 1_200_000_000L;
+        /** Upper limit of the jitter of calls that follow the same interruption or the same start. */
+        private static final long MAX_RECONNECT_JITTER_NANOS = 750_000_000L;
+        /**
+         * A change missed during an interruption must be received within the drain grace plus the wait of one
+         * call, so the jitter uses only a part of the drain grace.
+         */
+        private final long reconnectJitterNanos = Math.min(
+                MAX_RECONNECT_JITTER_NANOS, (long) (0.8 * settings.limits().drainGrace()));
+        /**
+         * With many sidecars, one that discovery rejects at once calls less often at first, in favor of those
+         * that have waited longer; after this time without a response it calls at full pace.
+         */
+        private static final long FULL_PACE_AFTER_NANOS = 6_000_000_000L;
+
+        private static final double MAX_INTERVAL_FACTOR = 3;
+        /** Up to this number of replicas, calls are not slowed down: they cost discovery little. */
+        private static final double REPLICAS_AT_FULL_PACE = 8;
+        /**
+         * Upper limit of the pause after a call that outlasted its interval. An unanswered call has used up
+         * half of the 6 s by then.
+         */
+        private static final long MAX_PAUSE_AFTER_CALL_NANOS = 200_000_000L;
+
+        private final double overloadFactor = settings.limits().overloadFactor();
+        /**
+         * Multiple of the observed rate of warm servers that a cold one may receive: half of the overload that
+         * a cold server tolerates.
+         */
+        private final double warmRateFactor = Math.max(1, overloadFactor / 2);
+        /**
+         * Multiple of its response rate at which a server may receive requests while all servers are cold;
+         * lower if a server tolerates less overload.
+         */
+        private final double growthFactor = Math.min(2, overloadFactor - 1);
+        /** Fraction of the overload window's work that may accumulate as a burst, in addition to the rate. */
+        private final double burstFraction =
+                Math.max(0.1, Math.min(0.5, overloadFactor / Math.max(warmRateFactor, growthFactor) - 1));
+
+        private final DecayingSum servedWork =
                 new DecayingSum(Math.max(1, settings.limits().rampTime()), 0);
-        private long warm;
-        private double comparable;
-        private double remembered;
-        private long comparedAt = Long.MIN_VALUE;
-        private List<Server> compared = List.of();
-        private long servedAt;
-        private long since;
-        private long asked;
-        private long askedAt;
+        private long warmServers;
+        private double warmServerRate;
+        private double lastWarmServerRate;
+        private long warmRateUpdatedAt = Long.MIN_VALUE;
+        private List<Server> warmRateServers = List.of();
+        private long lastServedAt;
+        private long observedSince;
+        private long subscribeGeneration;
+        private long subscribedAt;
         private boolean failing;
         private long failingSince;
-        private boolean broken;
+        private boolean subscriptionBroken;
 
-        void follow(long now) {
-            broken = false;
+        void subscribe(long now) {
+            subscriptionBroken = false;
             if (settings.discovery() == Discovery.SUBSCRIBE) {
-                askedAt = now;
+                subscribedAt = now;
                 actions.subscribe(true);
-                followAgain(now + UNANSWERED);
+                scheduleSubscribe(now + SUBSCRIBE_TIMEOUT_NANOS);
             }
         }
 
-        private void followAgain(long at) {
-            long mine = ++asked;
-            alarms.set(at, now -> {
-                if (mine == asked) {
-                    follow(now);
+        private void scheduleSubscribe(long subscribeAt) {
+            long generation = ++subscribeGeneration;
+            timers.set(subscribeAt, now -> {
+                if (generation == subscribeGeneration) {
+                    subscribe(now);
                 }
             });
         }
 
         /**
-         * Danger: a broken subscription is silent from now on. Asked for at once, many sidecars whose calls
-         * failed together would hammer discovery together; with waits that grow, the last one would outlast
-         * the 6 s. So calls begin at a steady pace, each sidecar's drawn anew each time, one out at a time.
+         * Schedules the next subscription call. A broken subscription delivers no more changes. Calls made at
+         * once by many sidecars whose calls failed together would overload discovery; with exponential backoff
+         * the last one would miss the 6 s. So calls start at a steady pace with jitter drawn anew for each, and
+         * at most one is outstanding.
          */
-        private void brokeAt(long now) {
-            double draw = phases.nextDouble();
+        private void onSubscriptionFailure(long now) {
+            double jitter = jitterRandom.nextDouble();
             failingSince = failing ? failingSince : now;
-            boolean turnedAway = failing && now - askedAt < EVERY / 2;
-            double pace = turnedAway ? pace(now - failingSince) : 1;
-            long turn = askedAt + (long) (pace * EVERY * (1 + draw) / 2);
-            followAgain(Math.max(turn, now + (long) ((failing ? PAUSE : spread) * draw)));
+            boolean rejectedEarly = failing && now - subscribedAt < MAX_SUBSCRIBE_INTERVAL_NANOS / 2;
+            double intervalFactor = rejectedEarly ? intervalFactor(now - failingSince) : 1;
+            long nextSlot = subscribedAt + (long) (intervalFactor * MAX_SUBSCRIBE_INTERVAL_NANOS * (1 + jitter) / 2);
+            scheduleSubscribe(Math.max(
+                    nextSlot, now + (long) ((failing ? MAX_PAUSE_AFTER_CALL_NANOS : reconnectJitterNanos) * jitter)));
             failing = true;
-            broken = true;
+            subscriptionBroken = true;
         }
 
-        /** How many times the usual time between two calls, for who has had no answer for so long. */
-        private double pace(long waited) {
-            double first = Math.max(1, Math.min(SLOWEST, settings.replicas() / FEW));
-            return Math.max(1, first - (first - 1) * waited / LONG_WAIT);
+        /**
+         * Returns the multiple of the normal interval between two calls for a sidecar that has waited this long
+         * for a response.
+         */
+        private double intervalFactor(long waitedNanos) {
+            double initialFactor =
+                    Math.max(1, Math.min(MAX_INTERVAL_FACTOR, settings.replicas() / REPLICAS_AT_FULL_PACE));
+            return Math.max(1, initialFactor - (initialFactor - 1) * waitedNanos / FULL_PACE_AFTER_NANOS);
         }
 
         void listChanged(long now, ListKind kind, List<Upstream> entries) {
             if (kind == ListKind.FAILED) {
-                if (!broken) {
-                    brokeAt(now);
+                if (!subscriptionBroken) {
+                    onSubscriptionFailure(now);
                 }
                 return;
             }
-            // Danger: the whole list may come by a call of its own while the subscription is broken; taken
-            // for the subscription's answer, it would end the asking for good.
-            if (kind != ListKind.CACHED && !broken) {
-                asked++;
+            // A full list may arrive by a separate fetch while the subscription is broken. Taken for the
+            // response of the subscription, it would end the calls for good.
+            if (kind != ListKind.CACHED && !subscriptionBroken) {
+                subscribeGeneration++;
                 failing = false;
             }
             Set<Long> missing = new TreeSet<>(kind == ListKind.DELTA ? Set.of() : servers.keySet());
@@ -630,237 +694,269 @@
                 changed |= server.entry.state() == State.READY;
                 server.entry = server.entry.gone();
             }
-            listed = true;
+            listReceived = true;
             if (changed) {
-                ready = servers.values().stream()
+                readyServers = servers.values().stream()
                         .filter(s -> s.entry.state() == State.READY)
                         .toList();
-                pattern.redraw(ready);
+                rotation.reshuffle(readyServers);
             }
         }
 
-        /** Takes one line over; true if the set of ready servers changed. */
+        /** Applies one entry. Returns true if the set of ready servers changed. */
         private boolean update(long now, Upstream entry) {
             Server server = servers.get(entry.id());
             boolean wasReady = server != null && server.entry.state() == State.READY;
-            // A restarted process shares nothing with the one before: not its load, nor its faults.
-            boolean fresh = server == null || entry.startedAt() > server.entry.startedAt();
-            if (fresh) {
-                long since = entry.startedAt() == 0 && listed ? now : entry.startedAt();
+            // A restarted process inherits neither the load nor the faults of the one before.
+            boolean newProcess = server == null || entry.startedAt() > server.entry.startedAt();
+            if (newProcess) {
+                long startedAt = entry.startedAt() == 0 && listReceived ? now : entry.startedAt();
                 server = new Server(entry, now, settings.limits());
-                server.credit = random.nextDouble();
+                server.turnCredit = random.nextDouble();
                 servers.put(entry.id(), server);
-                if (since > 0 && now < since + settings.limits().rampTime()) {
-                    server.coldUntil = since + settings.limits().rampTime();
+                if (startedAt > 0 && now < startedAt + settings.limits().rampTime()) {
+                    server.coldUntil = startedAt + settings.limits().rampTime();
                 }
             }
             server.entry = entry;
-            return fresh || wasReady != (entry.state() == State.READY);
+            return newProcess || wasReady != (entry.state() == State.READY);
         }
 
         /**
-         * Danger: a cold server falls over and stays down when all sidecars together overfill it. A share of
-         * what comparable servers are seen to serve FOR THIS SIDECAR is this sidecar's part, so the parts of
-         * all sum up to that share of a server's load, whoever sends how much.
+         * Whether the request budget of a cold server allows this request. A cold server that all sidecars
+         * together overload fails and does not recover. The budget is a fraction of what comparable servers are
+         * seen to serve for this sidecar. The budgets of all sidecars therefore sum up to that fraction of one
+         * server's load, however much each of them sends.
          */
-        boolean coldRoom(long now, Server server, Call call) {
+        boolean coldBudgetAllows(long now, Server server, Call call) {
             if (now >= server.coldUntil) {
                 return true;
             }
-            if (server.lease != null && now < server.lease.until) {
-                // Danger: own parts sum up only while there are warm servers to compare with. Lent ones sum
-                // up always; one that ends leaves the own part, which was charged meanwhile.
-                return server.lease.allows(now) && server.inFlight <= 1 + server.limit / 2;
+            if (server.lease != null && now < server.lease.expiresAt) {
+                // Own budgets sum up correctly only while there are warm servers to compare with; leased ones
+                // always do. When a lease expires, the own budget applies again; it was charged in the
+                // meantime.
+                return server.lease.hasPermit(now) && server.inFlight <= 1 + server.concurrencyLimit / 2;
             }
-            double age =
+            double rampProgress =
                     1 - (server.coldUntil - now) / (double) settings.limits().rampTime();
-            double cold = settings.limits().coldShare();
-            double part = cold + (1 - cold) * Math.max(0, Math.min(1, age));
-            compare(now);
-            double rate = comparable * part;
-            double depth = rate * settings.limits().tipAfter() / 2;
-            if (warm == 0) {
-                // Danger: with nothing to compare with, one at a time is one from every sidecar at once, and
-                // the sooner it refuses the more. What a warm one served for this sidecar is remembered, and
-                // who never saw one has its part of what one core does. What it answers may be exceeded by
-                // the growth: the answers of all sidecars sum up to what it can do, whoever sends how much.
-                // What one core does is counted in times that were guessed until a cold one has answered.
-                double core = 1.0 / Math.max(1, settings.replicas());
-                double met = server.answered.value(now);
+            double initialShare = settings.limits().coldShare();
+            double share = initialShare + (1 - initialShare) * Math.max(0, Math.min(1, rampProgress));
+            updateWarmRate(now);
+            double rate = warmServerRate * share;
+            double bucketDepth = rate * settings.limits().tipAfter() / 2;
+            if (warmServers == 0) {
+                // With no warm server to compare with, a limit of one request at a time means one from every
+                // sidecar at once, and the sooner the server refuses, the more arrive. So the last known rate
+                // of a warm server is used, and a sidecar that never observed one takes its share of the
+                // capacity of one core. The rate may exceed the server's responses by the growth factor: the
+                // responses to all sidecars sum up to what the server can do, however much each of them sends.
+                // The capacity of a core is in units of expected time, which is a guess until a cold server has
+                // responded.
+                double coreShare = 1.0 / Math.max(1, settings.replicas());
+                double recentWork = server.recentServedWork.value(now);
                 rate = Math.max(
-                        remembered > 0 ? lift * Math.max(remembered, core) * part : met > 0 ? core : core * part,
-                        growth * met / Math.max(1, settings.limits().tipAfter() / 3));
-                depth = rate * settings.limits().tipAfter() * saved;
+                        lastWarmServerRate > 0
+                                ? warmRateFactor * Math.max(lastWarmServerRate, coreShare) * share
+                                : recentWork > 0 ? coreShare : coreShare * share,
+                        growthFactor
+                                * recentWork
+                                / Math.max(1, settings.limits().tipAfter() / 3));
+                bucketDepth = rate * settings.limits().tipAfter() * burstFraction;
             } else if (rate == 0) {
-                return false; // nothing seen yet: the warm ones take the request
+                return false; // no observations yet: the warm servers take the request
             }
-            if (!server.coldMet) {
-                // Danger: a first request free of charge comes from hundreds of sidecars together. Each
-                // starts somewhere within the debt of one request, so that their sum keeps to the rate.
-                server.coldMet = true;
-                // Where all are cold and even one from each is little for one core, it need not wait.
-                boolean few = warm == 0
-                        && settings.replicas() * work(call)
-                                <= factor * part * settings.limits().tipAfter() / 2;
-                server.coldTokens = few ? 0 : -random.nextDouble() * work(call);
+            if (!server.coldBucketStarted) {
+                // A first request free of charge would come from hundreds of sidecars together. Each starts
+                // with a random debt of up to one request, so that their sum keeps to the rate.
+                server.coldBucketStarted = true;
+                // If all servers are cold and one request per sidecar is little for one core, the first request
+                // need not wait.
+                boolean startAtOnce = warmServers == 0
+                        && settings.replicas() * estimatedWork(call)
+                                <= overloadFactor * share * settings.limits().tipAfter() / 2;
+                server.coldTokens = startAtOnce ? 0 : -random.nextDouble() * estimatedWork(call);
             }
-            server.coldTokens = Math.min(depth, server.coldTokens + rate * (now - server.coldAt));
-            server.coldAt = now;
-            return server.coldTokens >= 0 && server.inFlight <= 1 + server.limit / 2;
+            server.coldTokens = Math.min(bucketDepth, server.coldTokens + rate * (now - server.coldTokensUpdatedAt));
+            server.coldTokensUpdatedAt = now;
+            return server.coldTokens >= 0 && server.inFlight <= 1 + server.concurrencyLimit / 2;
         }
 
         /**
-         * Work a nanosecond that a warm server serves for this sidecar, on average. Danger: with the work of
-         * those that have gone counted for the few that are left, each would seem to serve for all.
+         * Updates the average work per nanosecond that a warm server serves for this sidecar. The work of all
+         * servers is limited by that of the present ones: otherwise the work of servers that have left would be
+         * attributed to the few that remain.
          */
-        void compare(long now) {
-            if (now == comparedAt && ready == compared) {
+        void updateWarmRate(long now) {
+            if (now == warmRateUpdatedAt && readyServers == warmRateServers) {
                 return;
             }
-            since = comparedAt == Long.MIN_VALUE ? now : since;
-            comparedAt = now;
-            compared = ready;
-            warm = 0;
-            double ramp = Math.max(1, settings.limits().rampTime());
-            double sum = 0;
-            double last = 0;
-            for (Server server : ready) {
+            observedSince = warmRateUpdatedAt == Long.MIN_VALUE ? now : observedSince;
+            warmRateUpdatedAt = now;
+            warmRateServers = readyServers;
+            warmServers = 0;
+            double rampNanos = Math.max(1, settings.limits().rampTime());
+            double warmWork = 0;
+            double warmWorkAtLastResponse = 0;
+            for (Server server : readyServers) {
                 if (now >= server.coldUntil) {
-                    warm++;
-                    sum += server.served.value(now);
-                    last += server.served.value(servedAt);
+                    warmServers++;
+                    warmWork += server.servedWork.value(now);
+                    warmWorkAtLastResponse += server.servedWork.value(lastServedAt);
                 }
             }
-            comparable = warm == 0 ? 0 : Math.min(served.value(now), lift * sum) / warm / ramp;
-            if (last > 0) {
-                // Kept as it was at the last answer: it must not fade while there is nothing to serve. One
-                // that has not been here for the whole time has seen its first part only.
-                double seen = 1 - Math.exp(-Math.max(servedAt - since, ramp / 16) / ramp);
-                remembered = last / warm / ramp / seen;
+            warmServerRate = warmServers == 0
+                    ? 0
+                    : Math.min(servedWork.value(now), warmRateFactor * warmWork) / warmServers / rampNanos;
+            if (warmWorkAtLastResponse > 0) {
+                // Computed as of the last response, so that it does not decay while there is nothing to serve.
+                // A sidecar that has not observed a whole window has seen only the first part of it.
+                double observedFraction =
+                        1 - Math.exp(-Math.max(lastServedAt - observedSince, rampNanos / 16) / rampNanos);
+                lastWarmServerRate = warmWorkAtLastResponse / warmServers / rampNanos / observedFraction;
             }
         }
 
-        /** What is refused stays charged: it has reached the server. What was never sent has not. */
-        void ended(long now, Attempt attempt, Outcome outcome, Call call) {
+        /**
+         * Refunds attempts that were never sent. Rejected attempts stay charged because they have reached the
+         * server.
+         */
+        void onAttemptEnd(long now, Attempt attempt, Outcome outcome, Call call) {
             Server server = attempt.server;
-            server.coldTokens += outcome == Outcome.NEVER_SENT ? work(call) : 0;
+            server.coldTokens += outcome == Outcome.NEVER_SENT ? estimatedWork(call) : 0;
             if (outcome == Outcome.OK) {
-                served.add(now, work(call));
-                server.served.add(now, work(call));
-                server.answered.add(now, work(call));
-                servedAt = now;
+                servedWork.add(now, estimatedWork(call));
+                server.servedWork.add(now, estimatedWork(call));
+                server.recentServedWork.add(now, estimatedWork(call));
+                lastServedAt = now;
             }
         }
 
-        double work(Call call) {
-            return call.request.costHint() > 0 ? call.request.costHint() : call.expected;
+        double estimatedWork(Call call) {
+            return call.request.costHint() > 0 ? call.request.costHint() : call.expectedNanos;
         }
     }
 
-    /** Evidence about each server, from this sidecar's own attempts. */
-    private final class Health {
-        /** Part of the aim: a kind that takes no more is far from its limit and takes every turn. */
-        private static final double EASY = 0.25;
+    /** Health of each server, from the results of this sidecar's own attempts. */
+    private final class HealthTracker {
+        /**
+         * Fraction of the SLO. A server kind that takes no longer is far from saturation and takes every turn.
+         */
+        private static final double ALL_TURNS_SLO_FRACTION = 0.25;
 
-        private static final double STEEP = 1.4;
-        private final Map<Integer, SlowdownEstimate> paces = new TreeMap<>();
-        private double fastest = 1;
+        private static final double TURN_SHARE_EXPONENT = 1.4;
+        private final Map<Integer, SlowdownEstimate> slowdownsByKind = new TreeMap<>();
+        private double fastestKindSlowdown = 1;
 
-        SlowdownEstimate pace(Server server) {
-            return paces.computeIfAbsent(server.entry.kind(), kind -> new SlowdownEstimate());
+        SlowdownEstimate kindSlowdown(Server server) {
+            return slowdownsByKind.computeIfAbsent(server.entry.kind(), kind -> new SlowdownEstimate());
         }
 
         /**
-         * The part of its turns that a server takes. Danger: even turns give a slow machine as much work as a
-         * fast one, and with the fleet three quarters busy the slow kind has more than it can ever do. All
-         * turns while its kind answers well within the aim; else as the fastest kind's time is to its own,
-         * and somewhat fewer: at the same use, those who wait on a slow machine wait longer.
+         * Returns the fraction of its turns that a server takes. Equal turns give a slow machine as much work
+         * as a fast one; with three quarters of the fleet's capacity in use, the slow kind receives more than
+         * it can ever process. A kind that responds well within the SLO takes all turns. Otherwise the fraction
+         * is the response time of the fastest kind over its own, and somewhat lower: at equal utilization,
+         * requests wait longer on a slow machine.
          */
         double turnShare(Server server, Call call) {
-            double pace = pace(server).mean;
-            return pace * call.expected < EASY * call.aim ? 1 : Math.min(1, Math.pow(fastest / pace, STEEP));
+            double kindSlowdown = kindSlowdown(server).mean;
+            return kindSlowdown * call.expectedNanos < ALL_TURNS_SLO_FRACTION * call.sloNanos
+                    ? 1
+                    : Math.min(1, Math.pow(fastestKindSlowdown / kindSlowdown, TURN_SHARE_EXPONENT));
         }
 
-        private void learnPace(Server server, double ratio) {
-            pace(server).learn(ratio);
-            fastest =
-                    paces.values().stream().mapToDouble(pace -> pace.mean).min().orElse(1);
+        private void learnKindSlowdown(Server server, double ratio) {
+            kindSlowdown(server).learn(ratio);
+            fastestKindSlowdown = slowdownsByKind.values().stream()
+                    .mapToDouble(kindSlowdown -> kindSlowdown.mean)
+                    .min()
+                    .orElse(1);
         }
 
-        /** A part of the aim: a server expected to take longer is of no use to the class. */
-        private static final double USELESS = 0.75;
-        /** Machines of one fleet differ about twofold from their mean; beyond that it is a fault. */
-        private static final double SLOW = 2;
-        /** Of each class, over all servers, starting from a tenth of its aim. */
-        private final ServiceTimeEstimate[] usual =
+        /** Fraction of the SLO. A server expected to take longer is of no use to the class. */
+        private static final double MAX_EXPECTED_SLO_FRACTION = 0.75;
+        /**
+         * Response times of one fleet's machines differ about twofold from their mean; a larger slowdown is a
+         * fault.
+         */
+        private static final double MIN_FAULT_SLOWDOWN = 2;
+        /** One estimate per class over all servers, starting from a tenth of its SLO. */
+        private final ServiceTimeEstimate[] serviceTimes =
                 new ServiceTimeEstimate[settings.classes().size()];
 
-        private final long firstBackoff;
-        /** What is said beyond the worst that can be is not believed. */
-        private static final long LONGEST_BACKOFF = 8;
+        private final long shortestSloNanos;
+        private static final long MAX_BACKOFF_FACTOR = 8;
 
-        private static final double WORST_TOLD = 10_000;
+        /** Slowdowns reported by peers above this are ignored as invalid. */
+        private static final double MAX_PEER_SLOWDOWN = 10_000;
 
-        Health() {
-            for (int i = 0; i < usual.length; i++) {
-                usual[i] = new ServiceTimeEstimate(settings.classes().get(i).aim() / 10.0);
+        HealthTracker() {
+            for (int i = 0; i < serviceTimes.length; i++) {
+                serviceTimes[i] =
+                        new ServiceTimeEstimate(settings.classes().get(i).aim() / 10.0);
             }
-            firstBackoff = settings.classes().stream()
+            shortestSloNanos = settings.classes().stream()
                     .mapToLong(RequestClass::aim)
                     .min()
                     .orElse(1);
         }
 
-        private void integrate(long now, Server server) {
-            server.exposure += server.load * (now - server.integratedAt);
-            server.integratedAt = now;
+        private void updateExpectedResponses(long now, Server server) {
+            server.expectedResponses += server.expectedResponseRate * (now - server.expectedResponsesUpdatedAt);
+            server.expectedResponsesUpdatedAt = now;
         }
 
-        void sent(long now, Server server, Call call) {
-            integrate(now, server);
-            server.load += 1 / call.expected;
-            if (server.nextTrial > 0) {
-                server.backoff = Math.min(server.backoff * 2, firstBackoff * LONGEST_BACKOFF);
-                server.nextTrial = now + server.backoff;
+        void onSend(long now, Server server, Call call) {
+            updateExpectedResponses(now, server);
+            server.expectedResponseRate += 1 / call.expectedNanos;
+            if (server.nextTrialAt > 0) {
+                server.trialBackoffNanos =
+                        Math.min(server.trialBackoffNanos * 2, shortestSloNanos * MAX_BACKOFF_FACTOR);
+                server.nextTrialAt = now + server.trialBackoffNanos;
             }
         }
 
-        boolean open(long now, Server server, Call call) {
-            integrate(now, server);
-            boolean closed = server.connectFailures > 0
-                    || current(server) > SLOW && current(server) * call.expected > USELESS * call.aim;
-            if (!closed) {
-                server.nextTrial = 0;
+        boolean allows(long now, Server server, Call call) {
+            updateExpectedResponses(now, server);
+            boolean unhealthy = server.connectFailures > 0
+                    || slowdown(server) > MIN_FAULT_SLOWDOWN
+                            && slowdown(server) * call.expectedNanos > MAX_EXPECTED_SLO_FRACTION * call.sloNanos;
+            if (!unhealthy) {
+                server.nextTrialAt = 0;
                 return true;
             }
-            if (server.nextTrial == 0) {
-                server.backoff = firstBackoff;
-                server.nextTrial = now + server.backoff;
+            if (server.nextTrialAt == 0) {
+                server.trialBackoffNanos = shortestSloNanos;
+                server.nextTrialAt = now + server.trialBackoffNanos;
             }
-            return now >= server.nextTrial;
+            return now >= server.nextTrialAt;
         }
 
-        /** How many times slower than usual it answers; two answers are taken for granted. */
-        private double current(Server server) {
-            return Math.max(server.said, (server.exposure + 2) / (server.heard + 2));
+        /** Returns expected over observed responses, with two observed responses assumed at the start. */
+        private double slowdown(Server server) {
+            return Math.max(
+                    server.peerReportedSlowdown, (server.expectedResponses + 2) / (server.observedResponses + 2));
         }
 
-        void ended(long now, Attempt attempt, Outcome outcome, Call call) {
+        void onAttemptEnd(long now, Attempt attempt, Outcome outcome, Call call) {
             Server server = attempt.server;
-            integrate(now, server);
-            server.load = server.inFlight == 0 ? 0 : Math.max(0, server.load - 1 / call.expected);
+            updateExpectedResponses(now, server);
+            server.expectedResponseRate =
+                    server.inFlight == 0 ? 0 : Math.max(0, server.expectedResponseRate - 1 / call.expectedNanos);
             switch (outcome) {
                 case OK -> {
-                    reports.learn(attempt, now - attempt.sentAt);
-                    learnPace(server, (now - attempt.sentAt) / call.expected);
-                    usual[call.request.requestClass()].learn(now, now - attempt.sentAt, call.request.costHint());
-                    heard(now, server);
+                    probes.learnServiceTime(attempt, now - attempt.sentAt);
+                    learnKindSlowdown(server, (now - attempt.sentAt) / call.expectedNanos);
+                    serviceTimes[call.request.requestClass()].learn(now, now - attempt.sentAt, call.request.costHint());
+                    onResponse(now, server);
                 }
                 case ERROR, RESET -> {
-                    // Danger: fast errors empty the in-flight count and win turns. One is as bad as an answer
-                    // at twice the aim: a stray one shuts nothing, two in a row do.
-                    heard(now, server);
-                    server.exposure += 2 * call.aim / call.expected;
+                    // Fast errors keep the in-flight count low and so attract requests. One error weighs as
+                    // much as a response at twice the SLO: a single one does not make a server unhealthy, two
+                    // in a row do.
+                    onResponse(now, server);
+                    server.expectedResponses += 2 * call.sloNanos / call.expectedNanos;
                 }
                 case CONNECT_FAILED -> server.connectFailures++;
                 default -> {}
@@ -868,152 +964,173 @@
         }
 
         /**
-         * Others find it slow. Danger: with few requests of its own a sidecar meets each slow server anew.
-         *  Holds
-         * until the next own answer, and only where none is fresher than the time a trial waits: what is seen
-         * here always outweighs what is said.
+         * Handles a report that other sidecars find a server slow. A sidecar with few requests of its own would
+         * otherwise detect each slow server anew. The report holds until the next own response, and is used
+         * only if the last own response is older than the first trial interval: own observations always take
+         * precedence.
          */
-        void told(long now, Server server, double ratio) {
-            if (server.heardAt == 0 || now - server.heardAt > firstBackoff) {
-                server.said = ratio;
-                // Danger: each of hundreds of sidecars would try a slow server for itself. Others just have;
-                // once nobody has, nobody says so either, and the trials go on.
-                server.backoff = LONGEST_BACKOFF * firstBackoff;
-                server.nextTrial = Math.max(server.nextTrial, now + server.backoff);
-            }
-        }
-
-        private void heard(long now, Server server) {
-            server.heardAt = now;
-            server.said = 0;
-            double keep = server.nextTrial > 0 ? 0.5 : 0.9;
-            server.exposure *= keep;
-            server.heard = server.heard * keep + 1;
+        void onPeerReport(long now, Server server, double reportedSlowdown) {
+            if (server.lastResponseAt == 0 || now - server.lastResponseAt > shortestSloNanos) {
+                server.peerReportedSlowdown = reportedSlowdown;
+                // Otherwise each of hundreds of sidecars would send its own trials to a slow server. The
+                // reporting sidecars have just done so; once none does, the reports end and the trials
+                // continue.
+                server.trialBackoffNanos = MAX_BACKOFF_FACTOR * shortestSloNanos;
+                server.nextTrialAt = Math.max(server.nextTrialAt, now + server.trialBackoffNanos);
+            }
+        }
+
+        private void onResponse(long now, Server server) {
+            server.lastResponseAt = now;
+            server.peerReportedSlowdown = 0;
+            double decay = server.nextTrialAt > 0 ? 0.5 : 0.9;
+            server.expectedResponses *= decay;
+            server.observedResponses = server.observedResponses * decay + 1;
             server.connectFailures = 0;
         }
     }
 
     /**
-     * How full the whole fleet is, by the queues that answers report. Danger: what was late shows an overload
-     * only when it has passed, and with a few attempts in eight aims it goes on showing it for seconds after
-     * the servers stand idle again; on a calm day of 109 sidecars, 65 in 100 were refused then. All sidecars
-     * see the same servers, so their levels come out alike with no talk between them. With few sidecars own
-     * counts find the server with room, a queue elsewhere says little, and lateness does as before.
+     * Load level of the whole fleet, from the queue lengths in load reports. Late responses show an overload
+     * only when it has passed, and with a few attempts per eight SLOs they go on showing it for seconds after
+     * the servers are idle again: at normal load with 109 sidecars, 65 % of the requests were refused then. All
+     * sidecars see the same servers, so their levels agree without communication. With few sidecars, own
+     * in-flight counts find the server with free capacity and one queue says little about the other servers, so
+     * late responses decide as before.
      */
-    private final class Level {
-        private static final int MANY = 16;
-        /** Servers that may have requests waiting: about as many have at nine tenths of what they can do. */
-        private static final double BUSY = 0.8;
-        /** The worth of most of the work is shed before any of the dearest classes. */
-        private static final double DEAREST = 0.9;
-        /** Of the dearest some always go, else nothing would tell when the servers have room again. */
-        private static final double HIGHEST = 0.98;
-        /** In aims: twice as far as lateness looks back, which rules when it has ended. */
-        private static final int LASTS = 16;
-
-        private final int field = settings.reportFields().indexOf("q");
-        private final boolean many = settings.replicas() >= MANY;
+    private final class FleetLoad {
+        private static final int MIN_REPLICAS = 16;
+        /**
+         * Fraction of servers that may have queued requests: about as many have them at 90 % of their capacity.
+         */
+        private static final double NORMAL_QUEUED_FRACTION = 0.8;
+        /**
+         * Level above which requests of above-average worth are shed; most of the others are shed before any of
+         * them.
+         */
+        private static final double HIGH_WORTH_LEVEL = 0.9;
+        /**
+         * Some requests of the highest worth are always sent; without responses a recovery would go unnoticed.
+         */
+        private static final double MAX_LEVEL = 0.98;
+        /** In multiples of the shortest SLO: twice the window of the on-time statistics, which decide after it. */
+        private static final int REPORT_LIFETIME_SLOS = 16;
+
+        private final int queueFieldIndex = settings.reportFields().indexOf("q");
+        private final boolean manyReplicas = settings.replicas() >= MIN_REPLICAS;
         private final double meanWorth = settings.classes().stream()
                 .mapToDouble(RequestClass::worth)
                 .average()
                 .orElse(0);
-        /** In aims, without a word: one request is sent to hear. */
-        private static final int SILENT = 2;
+        /**
+         * In multiples of the shortest SLO: after this time without a report, one request is sent to obtain one.
+         */
+        private static final int MAX_SILENCE_SLOS = 2;
 
-        private double value;
-        private long toldAt;
-        private long triedAt;
+        private double level;
+        private long reportedAt;
+        private long trialAt;
 
         /**
-         * Whether it decides what is shed: with many sidecars, while queues are reported. Danger: where
-         * reports stop after an overload (other servers, other answers) it would shed for ever.
+         * Whether the level decides what is shed: with many sidecars, while queues are reported. If reports
+         * stop after an overload (other servers, other responses), it would otherwise shed forever.
          */
-        boolean rules(long now) {
-            return many && toldAt != 0 && now - toldAt < LASTS * health.firstBackoff;
+        boolean isActive(long now) {
+            return manyReplicas && reportedAt != 0 && now - reportedAt < REPORT_LIFETIME_SLOS * health.shortestSloNanos;
         }
 
-        /** Up within an aim where all have queues; down the faster the higher it is, so that it ends soon. */
-        void told(long now, float[] load) {
-            if (field < 0 || load.length <= field || !(load[field] >= 0)) {
+        /**
+         * Updates the level from a load report. It rises by 0.2 per shortest SLO while all servers have queues, and
+         * falls faster the higher it is, so that shedding ends soon.
+         */
+        void onReport(long now, float[] load) {
+            if (queueFieldIndex < 0 || load.length <= queueFieldIndex || !(load[queueFieldIndex] >= 0)) {
                 return;
             }
-            double aims = Math.min(1, (now - toldAt) / (double) health.firstBackoff);
-            value = rules(now) ? value : 0;
-            toldAt = now;
-            double step = load[field] >= 1 ? 1 - BUSY : -Math.max(BUSY, value / 2);
-            value = Math.max(0, Math.min(HIGHEST, value + aims * step));
+            double elapsedSlos = Math.min(1, (now - reportedAt) / (double) health.shortestSloNanos);
+            level = isActive(now) ? level : 0;
+            reportedAt = now;
+            double step = load[queueFieldIndex] >= 1
+                    ? 1 - NORMAL_QUEUED_FRACTION
+                    : -Math.max(NORMAL_QUEUED_FRACTION, level / 2);
+            level = Math.max(0, Math.min(MAX_LEVEL, level + elapsedSlos * step));
         }
 
         /**
-         * Whether this one goes whatever the level. Danger: a sidecar of little traffic that sheds hears
-         * nothing any more; held by what it heard last, it turned away all for ten seconds while the servers
-         * stood idle. All of them together try so seldom that it is little of what servers can do.
+         * Whether to admit this request regardless of the level. A sidecar with little traffic that sheds
+         * everything receives no more reports; one that relied on its last report refused all requests for ten
+         * seconds while the servers were idle. Trials are so rare that those of all sidecars together are a
+         * small part of the servers' capacity.
          */
-        private boolean trial(long now) {
-            if (now - Math.max(toldAt, triedAt) <= SILENT * health.firstBackoff) {
+        private boolean admitTrial(long now) {
+            if (now - Math.max(reportedAt, trialAt) <= MAX_SILENCE_SLOS * health.shortestSloNanos) {
                 return false;
             }
-            triedAt = now;
+            trialAt = now;
             return true;
         }
 
-        double shedding(long now, RequestClass kind) {
-            double part = kind.worth() >= meanWorth
-                    ? Math.max(0, (value - DEAREST) / (1 - DEAREST))
-                    : Math.min(1, value / DEAREST);
-            return part > 0 && trial(now) ? 0 : part;
+        double shedFraction(long now, RequestClass requestClass) {
+            double fraction = requestClass.worth() >= meanWorth
+                    ? Math.max(0, (level - HIGH_WORTH_LEVEL) / (1 - HIGH_WORTH_LEVEL))
+                    : Math.min(1, level / HIGH_WORTH_LEVEL);
+            return fraction > 0 && admitTrial(now) ? 0 : fraction;
         }
     }
 
-    /** One tenant's held work and what it has had lately of its quota. */
-    private static final class Share {
+    /** The queued requests of one tenant and its recent use of its quota. */
+    private static final class TenantQueue {
         /**
-         * Newest first. Danger: first-in first-out under overload lets all wait until every answer is late,
-         * and stays so after the overload has gone; this way some wait in vain and the rest are in time.
+         * Newest first. First-in first-out under overload delays all requests until every response is late, and
+         * stays so after the overload has passed. With newest first, some requests wait in vain and the rest
+         * are on time.
          */
-        private final ArrayDeque<Call> held = new ArrayDeque<>();
+        private final ArrayDeque<Call> calls = new ArrayDeque<>();
 
         private final double quota;
-        private final DecayingSum spent;
-        private long skippedAt;
+        private final DecayingSum usedWork;
+        private long skippedInRound;
 
-        Share(double quota, double window) {
+        TenantQueue(double quota, double windowNanos) {
             this.quota = quota;
-            this.spent = new DecayingSum(window, 0);
+            this.usedWork = new DecayingSum(windowNanos, 0);
         }
 
-        double used(long now) {
-            return spent.value(now) / quota;
+        double quotaUsage(long now) {
+            return usedWork.value(now) / quota;
         }
     }
 
-    /** Requests that ended here with no service, by what later tries of them have in common with them. */
-    private final class Unserved {
-        /** Two hundred a second over the longest deadlines; the oldest go first. */
-        private static final int MOST = 1024;
-        /** Part of the aim by which whole milliseconds, the way here and a turn of the host may shift it. */
-        private static final int SHIFT = 20;
+    /** Requests that ended here without service, by the properties that later tries of them have in common. */
+    private final class UnservedRequests {
+        /** Two hundred per second over the longest deadlines; the oldest are dropped first. */
+        private static final int MAX_TRIES = 1024;
+        /**
+         * Divisor of the SLO. Rounding to milliseconds, the network and one scheduling turn of the host may
+         * shift the time by this part.
+         */
+        private static final int SLO_TOLERANCE_DIVISOR = 20;
 
-        private record Try(int kind, int tenant, long key, long openedAt) {}
+        private record Try(int requestClass, int tenant, long key, long openedAt) {}
 
         private final ArrayDeque<Try> tries = new ArrayDeque<>();
 
         void add(Call call) {
             Request request = call.request;
-            if (tries.size() == MOST) {
+            if (tries.size() == MAX_TRIES) {
                 tries.poll();
             }
             tries.add(new Try(
                     request.requestClass(), request.tenant(), request.key(), call.deadline - request.timeLeft()));
         }
 
-        /** Whether one like this was opened about then. */
-        boolean came(Request request, long then) {
-            long aim = settings.classes().get(request.requestClass()).aim();
-            long shift = 2 * settings.quantum() + aim / SHIFT;
+        /** Whether a matching request was opened at about that time. */
+        boolean containsTryOpenedAt(Request request, long openedAt) {
+            long sloNanos = settings.classes().get(request.requestClass()).aim();
+            long tolerance = 2 * settings.quantum() + sloNanos / SLO_TOLERANCE_DIVISOR;
             for (Try each : tries) {
-                if (Math.abs(each.openedAt - then) <= shift
-                        && each.kind == request.requestClass()
+                if (Math.abs(each.openedAt - openedAt) <= tolerance
+                        && each.requestClass == request.requestClass()
                         && each.tenant == request.tenant()
                         && each.key == request.key()) {
                     return true;
@@ -1023,283 +1140,319 @@
         }
     }
 
-    /** Learned concurrency limits, held work, refusals, and the budget of further attempts. */
-    private final class Admission {
-        /** Room for two-choice to act; many sidecars start together, so no more before anything is known. */
-        static final double FIRST_LIMIT = 2;
-        /** Part of the aim: what takes longer leaves no time for a second try with its own delays. */
-        private static final double LATE = 0.4;
-        /** Enough that a jam of later tries does not unseat the first ones at once. */
-        private static final int MANY_VOTES = 100;
-        /** Four in five in time is sound enough: the rest is chance and single faults. */
-        private static final double ENOUGH = 1.25;
-
-        private final Level level = new Level();
-        private final Unserved unserved = new Unserved();
-        private final Share[] shares = new Share[Math.max(1, settings.tenants().size())];
-        private int held;
-        private long drains;
-        private final long[] firstLeft = new long[settings.classes().size()];
-        private final int[] firstVotes = new int[settings.classes().size()];
-        /** The rest always goes, else nothing would tell when the servers have room again. */
-        private static final double MOST_SHED = 0.9;
-        /** Over eight aims: ten requests at a few a second; one is taken for good at first. */
-        private final DecayingSum tried = new DecayingSum(8.0 * health.firstBackoff, 1);
-
-        private final DecayingSum inTime = new DecayingSum(8.0 * health.firstBackoff, 1);
-        private final DecayingSum rejected = new DecayingSum(8.0 * health.firstBackoff, 0);
-
-        Admission() {
-            for (int i = 0; i < shares.length; i++) {
+    /** Learned concurrency limits, queued requests, refusals, and the retry budget. */
+    private final class AdmissionControl {
+        /**
+         * Enough for the choice between two servers; no higher, because many sidecars start together with
+         * nothing known.
+         */
+        static final double INITIAL_CONCURRENCY_LIMIT = 2;
+        /**
+         * Fraction of the SLO. A response that takes longer leaves no time for a second try with its own
+         * delays.
+         */
+        private static final double SLOW_SLO_FRACTION = 0.4;
+        /** High enough that a burst of later tries does not displace the value of first tries at once. */
+        private static final int MAX_VOTES = 100;
+        /** Four of five responses on time count as healthy: the rest is chance and single faults. */
+        private static final double ON_TIME_GAIN = 1.25;
+
+        private final FleetLoad fleetLoad = new FleetLoad();
+        private final UnservedRequests unservedRequests = new UnservedRequests();
+        private final TenantQueue[] tenantQueues =
+                new TenantQueue[Math.max(1, settings.tenants().size())];
+        private int queuedCount;
+        private long drainRound;
+        private final long[] firstTryTimeLeft = new long[settings.classes().size()];
+        private final int[] firstTryVotes = new int[settings.classes().size()];
+        /** The rest is always sent; without responses a recovery would go unnoticed. */
+        private static final double MAX_SHED_FRACTION = 0.9;
+        /** Eight times the shortest SLO: ten requests at a few per second. Starts with one request, on time. */
+        private final DecayingSum completed = new DecayingSum(8.0 * health.shortestSloNanos, 1);
+
+        private final DecayingSum onTime = new DecayingSum(8.0 * health.shortestSloNanos, 1);
+        private final DecayingSum rejected = new DecayingSum(8.0 * health.shortestSloNanos, 0);
+
+        AdmissionControl() {
+            for (int i = 0; i < tenantQueues.length; i++) {
                 double quota = settings.tenants().isEmpty()
                         ? 1
                         : settings.tenants().get(i).quotaPerSecond();
-                // Four aims: long against answers, short against a burst of some seconds.
-                shares[i] = new Share(
+                // Four SLOs of the first class: long compared with response times, short compared with a burst of some
+                // seconds.
+                tenantQueues[i] = new TenantQueue(
                         quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).aim());
             }
         }
 
         /**
-         * Time the client has spent on earlier tries. A first try has a fixed part of the deadline left, the
-         * same each time; a last one has what remains of the whole. The commonest value marks the first tries
-         * (it loses its place once half of them differ). More than that is a last try's. Less is one's only
-         * if its earlier try ended here with no service just so long ago. Danger: else it is the first try of
-         * a client with little patience; refused at once as hopeless, such clients come again at once, and
-         * with them up to half of all requests were turned away before idle upstreams.
+         * Returns the time that the client has spent on earlier tries. A first try has a fixed part of the
+         * deadline left, always the same; a last try has what remains of the whole. The most common value
+         * identifies first tries; it is replaced once half of the requests differ from it. More time left means
+         * a last try. Less means a last try only if an earlier try ended here without service just that long
+         * ago. Otherwise it is the first try of a client with a short timeout: if refused at once as hopeless,
+         * such clients retry at once, and with them up to half of all requests were refused while upstreams
+         * were idle.
          */
-        long elapsed(long now, Request request) {
-            int kind = request.requestClass();
-            long left = request.timeLeft();
-            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.quantum()) {
-                firstVotes[kind] = Math.min(firstVotes[kind] + 1, MANY_VOTES);
+        long elapsedOnEarlierTries(long now, Request request) {
+            int classIndex = request.requestClass();
+            long timeLeft = request.timeLeft();
+            if (Math.abs(timeLeft - firstTryTimeLeft[classIndex]) <= 2 * settings.quantum()) {
+                firstTryVotes[classIndex] = Math.min(firstTryVotes[classIndex] + 1, MAX_VOTES);
                 return 0;
             }
-            if (--firstVotes[kind] < 0) {
-                firstLeft[kind] = left;
-                firstVotes[kind] = 0;
+            if (--firstTryVotes[classIndex] < 0) {
+                firstTryTimeLeft[classIndex] = timeLeft;
+                firstTryVotes[classIndex] = 0;
                 return 0;
             }
-            long spent = Math.max(0, settings.classes().get(kind).deadline() - left);
-            return left > firstLeft[kind] || unserved.came(request, now - spent) ? spent : 0;
+            long elapsed = Math.max(0, settings.classes().get(classIndex).deadline() - timeLeft);
+            return timeLeft > firstTryTimeLeft[classIndex]
+                            || unservedRequests.containsTryOpenedAt(request, now - elapsed)
+                    ? elapsed
+                    : 0;
         }
 
-        /** Sends a request now, or holds it while it can still be answered within its aim. */
+        /** Sends a request now, or queues it while it can still be served within its SLO. */
         void admit(long now, Call call) {
-            if (now >= call.deadline || roster.ready.isEmpty()) {
-                ledger.answer(call);
+            if (now >= call.deadline || serverList.readyServers.isEmpty()) {
+                tracker.refuseOrFail(call);
                 return;
             }
-            int ease = call.request.clientRetry() ? 3 : 1;
-            if (call.attempts.isEmpty() && !call.asked) {
+            int shedMultiplier = call.request.clientRetry() ? 3 : 1;
+            if (call.attempts.isEmpty() && !call.probed) {
                 double draw = random.nextDouble();
-                double shed = shedding(now, call);
-                if (draw < ease * shed) {
-                    ledger.answer(call);
+                double shedFraction = shedFraction(now, call);
+                if (draw < shedMultiplier * shedFraction) {
+                    tracker.refuseOrFail(call);
                     return;
                 }
-                call.standsFor = 1 / (1 - Math.min(MOST_SHED, shed));
+                call.samplingWeight = 1 / (1 - Math.min(MAX_SHED_FRACTION, shedFraction));
             }
-            if (reports.ask(now, call)) {
+            if (probes.probeFirst(now, call)) {
                 return;
             }
-            if (call.attempts.isEmpty() && now + call.least >= call.aimAt) {
-                ledger.answer(call); // a later try, or one of little patience, that can hardly be in time
-            } else if (held > 0 || !place(now, call)) {
-                call.held = true;
-                share(call).held.push(call);
-                held++;
-                long hopeless = call.aimAt - (long) (Call.MOST_IN_TIME * call.expected);
-                alarms.set(Math.max(now + 1, hopeless), at -> {
-                    if (call.held) {
-                        ledger.answer(call);
+            if (call.attempts.isEmpty() && now + call.minRemainingNanos >= call.sloDeadline) {
+                tracker.refuseOrFail(call); // a retry or a request with a short timeout, unlikely to be on time
+            } else if (queuedCount > 0 || !dispatch(now, call)) {
+                call.queued = true;
+                tenantQueue(call).calls.push(call);
+                queuedCount++;
+                long latestStart = call.sloDeadline - (long) (Call.ON_TIME_MARGIN * call.expectedNanos);
+                timers.set(Math.max(now + 1, latestStart), firedAt -> {
+                    if (call.queued) {
+                        tracker.refuseOrFail(call);
                     }
                 });
-                drain(now);
+                drainQueues(now);
             }
         }
 
         /**
-         * The part of new requests to shed. Danger: where many sidecars keep one in flight each, no limit per
-         * upstream binds; once work is answered too late, upstreams work for nobody until much less is sent.
-         * Nothing is shed while four fifths of the recent requests were in time; below, the cube lets a jam
-         * drain where a share would feed it. What is shed comes again: marked retries are shed more readily.
+         * Returns the fraction of new requests to shed. If many sidecars keep one request in flight each, no
+         * limit per upstream takes effect, and once responses are late, upstreams do useless work until much
+         * less is sent. Nothing is shed while four fifths of the recent requests were on time. Below that, the
+         * cube of the ratio lets a backlog drain where the ratio itself would sustain it. Shed requests come
+         * again: marked retries are shed more readily.
          */
-        private double shedding(long now, Call call) {
-            if (level.rules(now)) {
-                return level.shedding(now, call.kind);
+        private double shedFraction(long now, Call call) {
+            if (fleetLoad.isActive(now)) {
+                return fleetLoad.shedFraction(now, call.requestClass);
             }
-            return Math.min(MOST_SHED, 1 - borne(now));
+            return Math.min(MAX_SHED_FRACTION, 1 - admitFraction(now));
         }
 
-        private double borne(long now) {
-            double borne = Math.min(1, ENOUGH * (inTime.value(now) + 1) / (tried.value(now) + 1));
-            return borne * borne * borne;
+        private double admitFraction(long now) {
+            double onTimeRatio = Math.min(1, ON_TIME_GAIN * (onTime.value(now) + 1) / (completed.value(now) + 1));
+            return onTimeRatio * onTimeRatio * onTimeRatio;
         }
 
-        private Share share(Call call) {
-            return shares[Math.min(call.request.tenant(), shares.length - 1)];
+        private TenantQueue tenantQueue(Call call) {
+            return tenantQueues[Math.min(call.request.tenant(), tenantQueues.length - 1)];
         }
 
-        private boolean place(long now, Call call) {
-            Server server = pattern.pick(now, call, false);
-            // Danger: a trouble common to all would empty the pattern. Gates that all shut do not count.
-            if (server == null && roster.ready.stream().noneMatch(any -> health.open(now, any, call))) {
-                server = pattern.pick(now, call, true);
+        private boolean dispatch(long now, Call call) {
+            Server server = rotation.pick(now, call, false);
+            // A fault common to all servers would leave none eligible. If all are unhealthy, health is ignored.
+            if (server == null && serverList.readyServers.stream().noneMatch(any -> health.allows(now, any, call))) {
+                server = rotation.pick(now, call, true);
             }
             if (server == null) {
                 return false;
             }
-            ledger.send(now, call, server);
-            share(call).spent.add(now, call.expected);
+            tracker.send(now, call, server);
+            tenantQueue(call).usedWork.add(now, call.expectedNanos);
             return true;
         }
 
-        /** Gives freed room to held work, of the tenant that had the least of its quota first. */
-        void drain(long now) {
-            drains++;
-            while (held > 0) {
-                Share poorest = null;
-                for (Share share : shares) {
-                    if (!share.held.isEmpty()
-                            && share.skippedAt != drains
-                            && (poorest == null || share.used(now) < poorest.used(now))) {
-                        poorest = share;
+        /**
+         * Sends queued requests as capacity becomes available, from the tenant with the lowest quota usage
+         * first.
+         */
+        void drainQueues(long now) {
+            drainRound++;
+            while (queuedCount > 0) {
+                TenantQueue leastUsed = null;
+                for (TenantQueue tenantQueue : tenantQueues) {
+                    if (!tenantQueue.calls.isEmpty()
+                            && tenantQueue.skippedInRound != drainRound
+                            && (leastUsed == null || tenantQueue.quotaUsage(now) < leastUsed.quotaUsage(now))) {
+                        leastUsed = tenantQueue;
                     }
                 }
-                if (poorest == null) {
+                if (leastUsed == null) {
                     return;
                 }
-                Call call = poorest.held.peek();
-                if (call.held && !place(now, call)) {
-                    poorest.skippedAt = drains;
+                Call call = leastUsed.calls.peek();
+                if (call.queued && !dispatch(now, call)) {
+                    leastUsed.skippedInRound = drainRound;
                 } else {
-                    poorest.held.remove(call);
-                    held--;
+                    leastUsed.calls.remove(call);
+                    queuedCount--;
                 }
             }
         }
 
-        void ended(long now, Attempt attempt, Outcome outcome, Call call) {
+        void onAttemptEnd(long now, Attempt attempt, Outcome outcome, Call call) {
             Server server = attempt.server;
-            // Danger: shed by what few were let through, all is refused for seconds by what was late before.
-            // So each stands for those that were shed beside it. A request counts once, by its last answer:
-            // full servers refuse it up to the try limit within milliseconds, all for one moment's burst.
-            tried.add(now, call.counted ? 0 : call.standsFor);
-            inTime.add(now, outcome == Outcome.OK && now <= call.aimAt ? call.standsFor : 0);
-            call.counted = true;
+            // While most requests are shed, the few admitted ones would outweigh earlier late responses only after
+            // seconds of refusals. So each admitted request also counts for those shed beside it. A request counts
+            // once, by its last response: full servers reject it up to the try limit within milliseconds, all
+            // because of the same short burst.
+            completed.add(now, call.countedAsCompleted ? 0 : call.samplingWeight);
+            onTime.add(now, outcome == Outcome.OK && now <= call.sloDeadline ? call.samplingWeight : 0);
+            call.countedAsCompleted = true;
             rejected.add(now, outcome == Outcome.REJECTED ? 1 : 0);
-            ServiceTimeEstimate usual = health.usual[call.request.requestClass()];
-            double scaled = (now - attempt.sentAt) * usual.mean / call.expected;
-            if (outcome == Outcome.REJECTED || scaled > LATE * call.aim) {
-                if (attempt.sentAt >= server.lastCut) {
-                    server.limit = Math.max(0.1, server.limit * 0.8);
-                    server.lastCut = now;
+            ServiceTimeEstimate serviceTime = health.serviceTimes[call.request.requestClass()];
+            double normalizedNanos = (now - attempt.sentAt) * serviceTime.mean / call.expectedNanos;
+            if (outcome == Outcome.REJECTED || normalizedNanos > SLOW_SLO_FRACTION * call.sloNanos) {
+                if (attempt.sentAt >= server.lastLimitDecreaseAt) {
+                    server.concurrencyLimit = Math.max(0.1, server.concurrencyLimit * 0.8);
+                    server.lastLimitDecreaseAt = now;
                 }
-            } else if (outcome == Outcome.OK && attempt.crowd + 1 >= server.limit / 2) {
-                server.limit += Math.min(0.2 * server.limit, 1 / server.limit); // one a round trip
+            } else if (outcome == Outcome.OK && attempt.inFlightAtSend + 1 >= server.concurrencyLimit / 2) {
+                server.concurrencyLimit +=
+                        Math.min(0.2 * server.concurrencyLimit, 1 / server.concurrencyLimit); // one per round trip
             }
         }
 
-        /** Under overload a further attempt takes the place of a first one, or is refused like the others. */
-        boolean worthRetry(long now, Call call) {
-            return now < call.aimAt
-                    && (level.rules(now) ? level.value : 1 - borne(now)) < 0.8
+        /**
+         * Whether a retry is worthwhile. Under overload it would displace a first attempt or be rejected like
+         * the others.
+         */
+        boolean retryWorthwhile(long now, Call call) {
+            return now < call.sloDeadline
+                    && (fleetLoad.isActive(now) ? fleetLoad.level : 1 - admitFraction(now)) < 0.8
                     && rejected.value(now)
-                            <= tried.value(now) + settings.allowed().tryLimit();
+                            <= completed.value(now) + settings.allowed().tryLimit();
         }
 
-        long stayAway(Call call) {
-            return settings.allowed().retryAfter() ? Math.min(settings.allowed().maxRetryAfter(), call.aim / 2) : 0;
+        long retryAfterNanos(Call call) {
+            return settings.allowed().retryAfter()
+                    ? Math.min(settings.allowed().maxRetryAfter(), call.sloNanos / 2)
+                    : 0;
         }
     }
 
     /**
-     * Looking before a send, where upstreams tell what they hold and a probe is all but free. Danger: with
-     * hundreds of sidecars all of an upstream's work is other sidecars', which own in-flight counts never
-     * show, and the cycle feeds a busy upstream as readily as an idle one. So the next few entries are asked,
-     * and those that hold more than is usual, or do not answer, are shut to this request. Who of the others
-     * takes it is the pattern's choice; what was told counts for one request's look and no longer.
+     * Probes servers before a send, where upstreams report their requests in flight and probes are almost free.
+     * With hundreds of sidecars, nearly all of an upstream's work is that of other sidecars, which own
+     * in-flight counts never show, and the rotation sends to a busy upstream as readily as to an idle one. So
+     * the next few entries are probed, and those that hold more than usual or do not respond are excluded for
+     * this request. The rotation chooses among the others. A probe result is used for one request only.
      */
-    private final class Reports {
-        /** So many that most of them are seldom all busy. */
-        private static final int ASKED = 5;
-        /** Part of all worth that looking may be charged. */
-        private static final double CHEAP = 0.01;
-        /** Part of the aim that a look may take; a healthy upstream answers beside its queue at once. */
-        private static final int PATIENCE = 20;
-
-        private final int field = settings.reportFields().indexOf("rif");
-        private final boolean pays =
-                field >= 0 && settings.allowed().probes() && settings.charges().probe() * ASKED <= CHEAP;
-        /** Part of the aim that an upstream's work in hand may take up; the rest is for its spread. */
-        private static final double FULL = 0.6;
-
-        private double usual;
-        private double turnTime;
-
-        /** With no more sidecars than upstreams, own counts show enough of what an upstream holds. */
-        boolean looks() {
-            return pays && settings.replicas() > roster.ready.size();
-        }
-
-        /** Asks the entries next in turn; true if the request waits for what they tell. */
-        boolean ask(long now, Call call) {
-            if (!looks() || call.asked) {
+    private final class LoadProbes {
+        /** Enough that all of the probed servers are rarely busy. */
+        private static final int PROBES_PER_REQUEST = 5;
+        /** Fraction of the total worth that may be charged for probes. */
+        private static final double MAX_PROBE_CHARGE = 0.01;
+        /**
+         * Divisor of the SLO: the time to wait for probe results. A healthy upstream answers probes at once,
+         * past its queue.
+         */
+        private static final int PROBE_TIMEOUT_SLO_DIVISOR = 20;
+
+        private final int inFlightFieldIndex = settings.reportFields().indexOf("rif");
+        private final boolean affordable = inFlightFieldIndex >= 0
+                && settings.allowed().probes()
+                && settings.charges().probe() * PROBES_PER_REQUEST <= MAX_PROBE_CHARGE;
+        /** Fraction of the SLO that an upstream's requests in flight may take up; the rest is for variation. */
+        private static final double FULL_SLO_FRACTION = 0.6;
+
+        private double meanInFlight;
+        private double nanosPerRequest;
+
+        /**
+         * Whether servers are probed before a send. With no more sidecars than upstreams, own in-flight counts
+         * show enough of an upstream's load.
+         */
+        boolean enabled() {
+            return affordable && settings.replicas() > serverList.readyServers.size();
+        }
+
+        /** Probes the next entries in turn. Returns true if the request waits for the results. */
+        boolean probeFirst(long now, Call call) {
+            if (!enabled() || call.probed) {
                 return false;
             }
-            call.asked = true;
-            call.looked = pattern.ahead(now, call, ASKED);
-            for (Server server : call.looked) {
-                server.holds = Double.MAX_VALUE;
-                server.askers.add(call);
+            call.probed = true;
+            call.probedServers = rotation.nextEligible(now, call, PROBES_PER_REQUEST);
+            for (Server server : call.probedServers) {
+                server.reportedInFlight = Double.MAX_VALUE;
+                server.probeWaiters.add(call);
                 actions.probe(server.entry.id());
             }
-            call.pending = call.looked.size();
-            alarms.set(now + call.aim / PATIENCE, at -> decide(at, call, call.pending));
-            return call.pending > 0;
+            call.pendingProbes = call.probedServers.size();
+            timers.set(
+                    now + call.sloNanos / PROBE_TIMEOUT_SLO_DIVISOR,
+                    firedAt -> onProbesCompleted(firedAt, call, call.pendingProbes));
+            return call.pendingProbes > 0;
         }
 
-        void told(long now, Server server, Outcome outcome, float[] load) {
-            if (outcome == Outcome.OK && load.length > field && field >= 0) {
-                server.holds = load[field];
-                usual += 0.05 * (server.holds - usual);
+        void onProbeResult(long now, Server server, Outcome outcome, float[] load) {
+            if (outcome == Outcome.OK && load.length > inFlightFieldIndex && inFlightFieldIndex >= 0) {
+                server.reportedInFlight = load[inFlightFieldIndex];
+                meanInFlight += 0.05 * (server.reportedInFlight - meanInFlight);
             }
-            List<Call> askers = List.copyOf(server.askers);
-            server.askers.clear();
-            askers.forEach(call -> decide(now, call, 1));
+            List<Call> waiters = List.copyOf(server.probeWaiters);
+            server.probeWaiters.clear();
+            waiters.forEach(call -> onProbesCompleted(now, call, 1));
         }
 
-        /** All told or out of patience: sets the bar that shuts the crowded ones, and goes on. */
-        private void decide(long now, Call call, int answers) {
-            if (call.pending == 0 || (call.pending -= answers) > 0 || call.closed) {
+        /**
+         * Once all probes have completed or timed out, sets the threshold that excludes busy servers and
+         * continues with the request.
+         */
+        private void onProbesCompleted(long now, Call call, int completedProbes) {
+            if (call.pendingProbes == 0 || (call.pendingProbes -= completedProbes) > 0 || call.closed) {
                 return;
             }
-            double least = Double.MAX_VALUE;
-            for (Server server : call.looked) {
-                least = Math.min(least, server.holds);
+            double fewest = Double.MAX_VALUE;
+            for (Server server : call.probedServers) {
+                fewest = Math.min(fewest, server.reportedInFlight);
             }
-            double full = FULL * call.aim / Math.max(1, turnTime) - 1;
-            if (least == Double.MAX_VALUE) {
-                call.looked = List.of();
-            } else if (least > Math.max(usual, full)) {
-                ledger.answer(call);
+            double fullInFlight = FULL_SLO_FRACTION * call.sloNanos / Math.max(1, nanosPerRequest) - 1;
+            if (fewest == Double.MAX_VALUE) {
+                call.probedServers = List.of();
+            } else if (fewest > Math.max(meanInFlight, fullInFlight)) {
+                tracker.refuseOrFail(call);
                 return;
             }
-            call.bar = least <= usual ? usual : full;
+            call.maxReportedInFlight = fewest <= meanInFlight ? meanInFlight : fullInFlight;
             admission.admit(now, call);
         }
 
-        /** What an answer took for each request that the upstream had in hand, this one included. */
-        void learn(Attempt attempt, double took) {
-            if (attempt.found < Double.MAX_VALUE) {
-                double each = took / (attempt.found + 1);
-                turnTime += (turnTime == 0 ? 1 : 0.05) * (each - turnTime);
+        /** Learns the response time per request that the upstream had in flight, this one included. */
+        void learnServiceTime(Attempt attempt, double elapsedNanos) {
+            if (attempt.reportedInFlightAtSend < Double.MAX_VALUE) {
+                double nanosPerHeldRequest = elapsedNanos / (attempt.reportedInFlightAtSend + 1);
+                nanosPerRequest += (nanosPerRequest == 0 ? 1 : 0.05) * (nanosPerHeldRequest - nanosPerRequest);
             }
         }
 
-        boolean crowded(Server server, Call call) {
-            return !call.looked.isEmpty() && (server.holds > call.bar || !call.looked.contains(server));
+        boolean excludes(Server server, Call call) {
+            return !call.probedServers.isEmpty()
+                    && (server.reportedInFlight > call.maxReportedInFlight || !call.probedServers.contains(server));
         }
     }
 }
