--- a/src/test/java/pondridge/EmbeddingExampleTest.java
+++ b/src/test/java/pondridge/EmbeddingExampleTest.java
@@ -15,8 +15,8 @@
 class EmbeddingExampleTest {
 
     @Test
-    void hostDrivesTheModule() {
-        // The host's side: carries out what the module orders (here it only writes it down).
+    void hostDrivesTheBalancer() {
+        // The host carries out the balancer's actions; this one only records them.
         Recorder host = new Recorder(Recorder.settings(Recorder.REPEATABLE), 42);
         Balancer balancer = host.rules;
         long now = host.now;
@@ -26,17 +26,17 @@
                 ListKind.CACHED,
                 List.of(new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
         balancer.request(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, false, false));
-        Recorder.Sent sent = host.last();
+        Recorder.SentAttempt sent = host.last();
         assertEquals(100, sent.request());
 
         now += 20_000_000;
         balancer.outcome(now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
-        assertTrue(host.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
+        assertTrue(host.finalResponses.isEmpty(), "the host passed the response on; no other final response follows");
 
-        // A restart: a new instance, a new seed, no memory.
+        // A restart is a new instance with a new seed and no state.
         Recorder restarted = new Recorder(Recorder.settings(Recorder.REPEATABLE), 43);
         restarted.rules.listChanged(now, ListKind.CACHED, List.of());
         restarted.request(101, 0);
-        assertEquals(List.of("refuse 101"), restarted.answers);
+        assertEquals(List.of("refuse 101"), restarted.finalResponses);
     }
 }
--- a/src/test/java/pondridge/Recorder.java
+++ b/src/test/java/pondridge/Recorder.java
@@ -19,25 +19,25 @@
 import pondridge.Balancer.Upstream;
 import pondridge.Balancer.Weights;
 
-/** A host for tests: it keeps the clock, rings timers and writes down what the module orders. */
+/** A host for tests: keeps the clock, fires timers and records the actions of the balancer. */
 final class Recorder implements Actions {
     static final long MS = 1_000_000;
     static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, Scope.ALL);
     static final RequestClass ONCE = requestClass(Semantics.ONCE, Scope.ALL);
-    static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
-    static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, Scope.ALL);
+    static final RequestClass BY_KEY_IN_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
+    static final RequestClass BY_KEY_ANYWHERE = requestClass(Semantics.BY_KEY, Scope.ALL);
 
-    record Sent(long request, int attempt, long upstream, long at) {}
+    record SentAttempt(long request, int attempt, long upstream, long at) {}
 
     record Timer(long at, long token) {}
 
-    final List<String> log = new ArrayList<>();
-    final List<Sent> sends = new ArrayList<>();
-    final List<String> answers = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
+    final List<SentAttempt> sends = new ArrayList<>();
+    final List<String> finalResponses = new ArrayList<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     final Rules rules;
     long now = 1_000 * MS;
-    int subscriptions;
+    int subscribeCalls;
 
     Recorder(Settings settings, long seed) {
         rules = new Rules(settings, seed, this);
@@ -70,8 +70,8 @@
                 1);
     }
 
-    /** Where probes are all but free, reports tell what is held, and attempts may not overlap. */
-    static Settings lookingSettings(int replicas, RequestClass... classes) {
+    /** Probes are cheap, load reports include the requests in flight, and attempts may not overlap. */
+    static Settings probingSettings(int replicas, RequestClass... classes) {
         Settings base = settings(classes);
         return new Settings(
                 0,
@@ -90,9 +90,9 @@
                 1);
     }
 
-    /** Many sidecars or few, whose upstreams report how many requests wait; a cheap class and a dear one. */
-    static Settings reportingSettings(int replicas) {
-        Settings base = settings(worth(1), worth(10));
+    /** Upstreams report how many requests are queued; one class of low worth and one of high worth. */
+    static Settings queueReportingSettings(int replicas) {
+        Settings base = settings(classWithWorth(1), classWithWorth(10));
         return new Settings(
                 0,
                 replicas,
@@ -110,7 +110,7 @@
                 1);
     }
 
-    private static RequestClass worth(double worth) {
+    private static RequestClass classWithWorth(double worth) {
         return new RequestClass(500 * MS, 0, 1_000 * MS, worth, 0, Semantics.REPEATABLE, Scope.ALL, 0, false);
     }
 
@@ -122,7 +122,7 @@
         return new Upstream(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
-    /** Lists upstreams 0 to count - 1 as ready and long started. */
+    /** Lists upstreams 0 to count - 1 as ready and started long ago. */
     Recorder withUpstreams(int count) {
         List<Upstream> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -136,16 +136,16 @@
         request(id, requestClass, 1_000 * MS);
     }
 
-    void request(long id, int requestClass, long left) {
-        rules.request(now, new Request(id, requestClass, 0, 0, left, 0, false, false));
+    void request(long id, int requestClass, long timeLeft) {
+        rules.request(now, new Request(id, requestClass, 0, 0, timeLeft, 0, false, false));
     }
 
-    void outcome(Sent sent, Outcome outcome, float... load) {
+    void outcome(SentAttempt sent, Outcome outcome, float... load) {
         rules.outcome(
                 now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at, outcome == Outcome.OK, load);
     }
 
-    /** Moves the clock, ringing every timer on its way. */
+    /** Advances the clock and fires every timer that becomes due. */
     void advance(long by) {
         long end = now + by;
         while (!timers.isEmpty() && timers.peek().at <= end) {
@@ -156,93 +156,93 @@
         now = end;
     }
 
-    /** Serves ids from..to one by one, each answered after {@code took}. */
-    void serve(long from, long to, int requestClass, long took) {
+    /** Serves requests from..to one by one, each with a response after {@code responseTime}. */
+    void serve(long from, long to, int requestClass, long responseTime) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
-            Sent sent = last();
-            advance(took);
+            SentAttempt sent = last();
+            advance(responseTime);
             outcome(sent, Outcome.OK);
         }
     }
 
-    /** Ids from..to, all at once. */
+    /** Sends requests from..to all at once. */
     void burst(long from, long to, int requestClass) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
         }
     }
 
-    /** Attempts sent to an upstream since that many sends. */
+    /** Number of attempts sent to an upstream, without the first {@code since} sends. */
     long sentTo(long upstream, int since) {
         return sends.stream().skip(since).filter(s -> s.upstream == upstream).count();
     }
 
-    Sent last() {
+    SentAttempt last() {
         return sends.get(sends.size() - 1);
     }
 
-    List<Sent> sendsOf(long request) {
+    List<SentAttempt> sendsOf(long request) {
         return sends.stream().filter(s -> s.request == request).toList();
     }
 
     @Override
     public void send(long request, long upstream, long timeout) {
-        log.add("send " + request + " " + upstream + " " + timeout);
-        sends.add(new Sent(request, sendsOf(request).size(), upstream, now));
+        actions.add("send " + request + " " + upstream + " " + timeout);
+        sends.add(new SentAttempt(request, sendsOf(request).size(), upstream, now));
     }
 
     @Override
     public void refuse(long request, long wait) {
-        log.add("refuse " + request + " " + wait);
-        answers.add("refuse " + request);
+        actions.add("refuse " + request + " " + wait);
+        finalResponses.add("refuse " + request);
     }
 
     @Override
     public void fail(long request) {
-        log.add("fail " + request);
-        answers.add("fail " + request);
+        actions.add("fail " + request);
+        finalResponses.add("fail " + request);
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        log.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
     public void timer(long token, long at) {
-        log.add("timer " + token + " " + at);
+        actions.add("timer " + token + " " + at);
         timers.add(new Timer(at, token));
     }
 
     @Override
     public void probe(long upstream) {
-        log.add("probe " + upstream);
+        actions.add("probe " + upstream);
     }
 
     @Override
     public void closeIdle(long upstream) {
-        log.add("close " + upstream);
+        actions.add("close " + upstream);
     }
 
     @Override
     public void tell(int peer, byte[] message) {
-        log.add("tell " + peer);
+        actions.add("tell " + peer);
     }
 
     @Override
     public void log(String line) {
-        log.add("log " + line);
+        actions.add("log " + line);
     }
 
     @Override
     public void subscribe(boolean on) {
-        log.add("subscribe " + on);
-        subscriptions++;
+        actions.add("subscribe " + on);
+        subscribeCalls++;
     }
 
     @Override
     public void fetchList() {
-        log.add("fetch");
+        actions.add("fetch");
     }
 }
