--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/Rules.java
@@ -567,11 +567,11 @@
          */
         private static final long SUBSCRIBE_TIMEOUT_NANOS = 6_000_000_000L - 2_000_000_000L;
         /**
-         * Longest interval between the starts of two calls; the shortest is half of it. Three intervals and the
-         * wait of one call fit into the 6 s.
+         * Longest interval between the starts of two discovery calls; the shortest is half of it. Three
+         * intervals and the wait of one call fit into the 6 s.
          */
         private static final long MAX_SUBSCRIBE_INTERVAL_NANOS = 1_200_000_000L;
-        /** Upper limit of the jitter of calls that follow the same interruption or the same start. */
+        /** Upper limit of the jitter of discovery calls that follow the same interruption or the same start. */
         private static final long MAX_RECONNECT_JITTER_NANOS = 750_000_000L;
         /**
          * A change missed during an interruption must be received within the drain grace plus the wait of one
@@ -586,7 +586,7 @@
         private static final long FULL_PACE_AFTER_NANOS = 6_000_000_000L;
 
         private static final double MAX_INTERVAL_FACTOR = 3;
-        /** Up to this number of replicas, calls are not slowed down: they cost discovery little. */
+        /** Up to this number of replicas, discovery calls are not slowed down: they cost little. */
         private static final double REPLICAS_AT_FULL_PACE = 8;
         /**
          * Upper limit of the pause after a call that outlasted its interval. An unanswered call has used up
@@ -733,8 +733,8 @@
                 return true;
             }
             if (server.lease != null && now < server.lease.expiresAt) {
-                // Own budgets sum up correctly only while there are warm servers to compare with; leased ones
-                // always do. When a lease expires, the own budget applies again; it was charged in the
+                // Local budgets sum up correctly only while there are warm servers to compare with; leased ones
+                // always do. When a lease expires, the local budget applies again; it was charged in the
                 // meantime.
                 return server.lease.hasPermit(now) && server.inFlight <= 1 + server.concurrencyLimit / 2;
             }
@@ -1178,8 +1178,8 @@
                 double quota = settings.tenants().isEmpty()
                         ? 1
                         : settings.tenants().get(i).quotaPerSecond();
-                // Four SLOs of the first class: long compared with response times, short compared with a burst of some
-                // seconds.
+                // Four SLOs of the first class: long compared with response times, short compared with a burst
+                // of some seconds.
                 tenantQueues[i] = new TenantQueue(
                         quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).aim());
             }
