--- a/src/main/java/pondridge/store/Budgets.java
+++ b/src/main/java/pondridge/store/Budgets.java
@@ -3,21 +3,26 @@
 import java.util.List;
 
 /**
- * Who has budgets together with other members of the fleet, and heeds its parts of them. Called by
- * {@link SharedStore} on its event loop.
+ * Holds leases of budgets that are shared with other members of the fleet: names the budgets and obeys the
+ * leases granted. Called by {@link SharedStore} on its event loop.
  */
 public interface Budgets {
-    /** A budget by its name, the same at all members, and what all together may use of it in one slot. */
-    record Budget(String name, double most) {}
+    /**
+     * A shared budget.
+     *
+     * @param name the same at all members
+     * @param capacity what all members together may use of it in one slot
+     */
+    record Budget(String name, double capacity) {}
 
     /**
-     * Budgets of which a part is wanted in the next slot.
+     * Budgets of which a lease is wanted for the next slot.
      *
-     * @param slot its length in nanoseconds
-     * @param ahead nanoseconds until it begins
+     * @param slotNanos the length of a slot
+     * @param untilSlotNanos time until that slot begins
      */
-    List<Budget> wanted(long slot, long ahead);
+    List<Budget> wanted(long slotNanos, long untilSlotNanos);
 
-    /** From now on, for so many nanoseconds, so many of a budget that was wanted may be used. */
-    void granted(String name, long count, long valid);
+    /** From now on, for {@code validNanos}, {@code count} uses of a wanted budget are allowed. */
+    void granted(String name, long count, long validNanos);
 }
--- /dev/null
+++ b/src/main/java/pondridge/store/ColdStartBudgets.java
@@ -0,0 +1,75 @@
+package pondridge.store;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import pondridge.Balancer;
+import pondridge.core.Engine;
+
+/**
+ * Budgets for what all sidecars together send to servers that have just started. A server's budget is the
+ * fraction of a warm server's rate that a cold one can do, rising to all of it over the ramp. The ramp counts
+ * from when this sidecar saw the start, which is never before the start itself.
+ */
+final class ColdStartBudgets implements Budgets {
+    private static final String NAME_PREFIX = "cold:";
+    private static final int MAX_NAME_LENGTH = 160;
+
+    private final Engine engine;
+    private final StoreSettings.LeaseSettings settings;
+    private final Balancer.Limits limits;
+    private final Map<String, String> uidsByBudget = new HashMap<>();
+
+    ColdStartBudgets(Engine engine, StoreSettings.LeaseSettings settings, Balancer.Limits limits) {
+        this.engine = engine;
+        this.settings = settings;
+        this.limits = limits;
+    }
+
+    @Override
+    public List<Budget> wanted(long slotNanos, long untilSlotNanos) {
+        Map<String, Engine.Start> started = engine.started(limits.rampTime());
+        if (started.isEmpty()) {
+            uidsByBudget.clear();
+            return List.of();
+        }
+        List<Budget> wanted = new ArrayList<>();
+        uidsByBudget.clear();
+        started.entrySet().stream()
+                .sorted(Comparator.comparingLong((Map.Entry<String, Engine.Start> each) ->
+                                each.getValue().age())
+                        .thenComparing(Map.Entry::getKey))
+                .limit(settings.maxColdServers())
+                .forEach(each -> {
+                    String name =
+                            NAME_PREFIX + each.getKey() + ':' + each.getValue().startedMs();
+                    if (name.length() <= MAX_NAME_LENGTH) {
+                        uidsByBudget.put(name, each.getKey());
+                        wanted.add(new Budget(
+                                name,
+                                capacity(
+                                        limits,
+                                        settings.warmServerPerSecond(),
+                                        each.getValue().age() + untilSlotNanos + slotNanos / 2,
+                                        slotNanos)));
+                    }
+                });
+        return wanted;
+    }
+
+    /** What all sidecars may send in one slot to a server that was seen to start {@code ageNanos} ago. */
+    static double capacity(Balancer.Limits limits, double warmPerSecond, long ageNanos, long slotNanos) {
+        double rampProgress = Math.min(1, ageNanos / (double) limits.rampTime());
+        return (limits.coldShare() + (1 - limits.coldShare()) * rampProgress) * warmPerSecond * slotNanos / 1e9;
+    }
+
+    @Override
+    public void granted(String name, long count, long validNanos) {
+        String uid = uidsByBudget.get(name);
+        if (uid != null) {
+            engine.leased(Map.of(uid, new Engine.Lease(count, (int) (validNanos / 1_000_000))));
+        }
+    }
+}
--- a/src/main/java/pondridge/store/Demand.java
+++ b/src/main/java/pondridge/store/Demand.java
@@ -1,26 +1,27 @@
 package pondridge.store;
 
 /**
- * Requests a second that clients ask of this sidecar, smoothed: what it is asked and not what it sends, or
- * who once had to refuse would be lent less for it and refuse more. No I/O; times in nanoseconds.
+ * Smoothed rate of requests that clients send to this sidecar. It counts requests received rather than
+ * attempts sent: otherwise a sidecar that had to refuse requests would get smaller leases and refuse more. No
+ * I/O; times in nanoseconds.
  */
 final class Demand {
-    private static final double SMOOTHING = 10e9;
+    private static final double SMOOTHING_NANOS = 10e9;
     private double perSecond;
-    private long count;
-    private long at;
-    private boolean any;
+    private long lastTotal;
+    private long lastNanos;
+    private boolean anyTotal;
 
-    /** So many have been asked in all by now. */
-    void asked(long inAll, long now) {
-        if (any && now > at) {
-            double took = now - at;
-            double part = perSecond == 0 ? 1 : 1 - Math.exp(-took / SMOOTHING);
-            perSecond += part * ((inAll - count) / took * 1e9 - perSecond);
+    /** Records how many requests have been received in total by now. */
+    void recordTotal(long total, long now) {
+        if (anyTotal && now > lastNanos) {
+            double elapsedNanos = now - lastNanos;
+            double smoothingWeight = perSecond == 0 ? 1 : 1 - Math.exp(-elapsedNanos / SMOOTHING_NANOS);
+            perSecond += smoothingWeight * ((total - lastTotal) / elapsedNanos * 1e9 - perSecond);
         }
-        any = true;
-        count = inAll;
-        at = now;
+        anyTotal = true;
+        lastTotal = total;
+        lastNanos = now;
     }
 
     double perSecond() {
--- a/src/main/java/pondridge/store/Hearsay.java
+++ b/src/main/java/pondridge/store/Hearsay.java
@@ -9,98 +9,108 @@
 import java.util.Set;
 
 /**
- * Which servers to doubt, by what other sidecars saw. One of them can't condemn a server: a quorum must
- *  find it
- * slow, and more of those that saw enough of it than not; who finds most of what it saw slow tells of itself
- * and is not heard; at most a stated part of the list is doubted, the worst first. No I/O; times are
- * arguments.
+ * Detects outlier servers from the reports of other sidecars. A single sidecar cannot mark a server: a quorum
+ * must find it slow, and they must outweigh the other sidecars that report on it. The report of a sidecar
+ * that finds most of its servers slow is ignored, because the cause is probably the sidecar itself. At most a
+ * configured fraction of the endpoint list is suspected, the slowest first. No I/O; times are arguments.
  */
 final class Hearsay {
     /**
-     * How others are heard.
+     * Limits on the use of peer reports.
      *
-     * @param oldest a report older than this is not heard, in milliseconds of the store's clock
-     * @param least answers of all sidecars together that are enough to judge a server; with many sidecars
-     *  each
-     *     has seen little of it
+     * @param maxAgeMillis older reports are ignored; in milliseconds of the store's clock
+     * @param minAttempts attempts, summed over all reporting sidecars, that are enough to judge a server; with
+     *     many sidecars each one has seen few of them
      * @param quorum sidecars that must find a server slow
-     * @param most the part of the list that may be doubted
+     * @param maxSuspectedFraction largest fraction of the endpoint list that may be suspected
      */
-    record Limits(long oldest, int least, int quorum, double most) {}
+    record Limits(long maxAgeMillis, int minAttempts, int quorum, double maxSuspectedFraction) {}
 
-    /** A report that came, and when it was written, by age. */
-    record Heard(String member, long ageMs, Report report) {}
+    /** A report read from the store, with its age by the store's clock. */
+    record ReceivedReport(String member, long ageMillis, Report report) {}
 
-    private static final double MOST_BAD = 0.5;
-    private static final double CONFUSED = 0.5;
-    private static final int FEW = 4;
-    /** Of one sidecar's answers from a server no more count: none outvotes the others by its traffic. */
-    private static final int HEAVIEST = 3;
+    /** A sidecar finds a server slow if more than this fraction of its attempts there were bad. */
+    private static final double SLOW_SERVER_BAD_FRACTION = 0.5;
+    /** A report that finds more than this fraction of its servers slow is ignored. */
+    private static final double UNRELIABLE_REPORT_SLOW_FRACTION = 0.5;
+    /** Reports on fewer servers are not checked for reliability. */
+    private static final int MIN_SERVERS_FOR_RELIABILITY_CHECK = 4;
+    /** Attempts counted per sidecar and server, so that no sidecar outvotes the others by its traffic. */
+    private static final int MAX_ATTEMPTS_PER_REPORT = 3;
 
     private final Limits limits;
-    private long dropped;
+    private long droppedReports;
 
     Hearsay(Limits limits) {
         this.limits = limits;
     }
 
-    /** Reports that were not heard: too old, from the future, or of a confused sidecar. */
-    long dropped() {
-        return dropped;
+    /** Reports that were ignored: too old, dated in the future, or unreliable. */
+    long droppedReports() {
+        return droppedReports;
     }
 
-    private static boolean slow(ServerSum sum) {
-        return sum.bad() > MOST_BAD * sum.answers();
+    private static boolean isSlow(ServerSum stats) {
+        return stats.badAttempts() > SLOW_SERVER_BAD_FRACTION * stats.attempts();
     }
 
-    private List<ServerSum> counted(Heard heard) {
-        if (heard.ageMs > limits.oldest || heard.ageMs < -limits.oldest) {
+    private List<ServerSum> usableStats(ReceivedReport received) {
+        if (received.ageMillis > limits.maxAgeMillis || received.ageMillis < -limits.maxAgeMillis) {
             return List.of();
         }
-        List<ServerSum> sums = heard.report.sums();
-        long found = sums.stream().filter(Hearsay::slow).count();
-        return sums.size() >= FEW && found > CONFUSED * sums.size() ? List.of() : sums;
+        List<ServerSum> servers = received.report.servers();
+        long slowServers = servers.stream().filter(Hearsay::isSlow).count();
+        return servers.size() >= MIN_SERVERS_FOR_RELIABILITY_CHECK
+                        && slowServers > UNRELIABLE_REPORT_SLOW_FRACTION * servers.size()
+                ? List.of()
+                : servers;
     }
 
-    private static int weight(List<ServerSum> sums) {
-        return sums.stream().mapToInt(sum -> Math.min(HEAVIEST, sum.answers())).sum();
+    private static int weight(List<ServerSum> reported) {
+        return reported.stream()
+                .mapToInt(stats -> Math.min(MAX_ATTEMPTS_PER_REPORT, stats.attempts()))
+                .sum();
     }
 
     /**
-     * Servers to doubt, and how many times slower than usual others find them; the worst first.
+     * Suspected servers, each with the slowdown that other sidecars report; the slowest first.
      *
-     * @param reports at most one report of each other sidecar; of several, the youngest counts
-     * @param listed servers that are ready
+     * @param reports reports of other sidecars; of several from one sidecar, the most recent counts
+     * @param readyServers servers that are ready
      */
-    Map<String, Double> doubted(List<Heard> reports, Set<String> listed) {
-        Map<String, Heard> youngest = new HashMap<>();
-        reports.forEach(each -> youngest.merge(each.member, each, (a, b) -> a.ageMs <= b.ageMs ? a : b));
-        Map<String, List<ServerSum>> seen = new HashMap<>();
-        for (Heard each : youngest.values()) {
-            List<ServerSum> sums = counted(each);
-            dropped += sums.isEmpty() && !each.report.sums().isEmpty() ? 1 : 0;
-            sums.stream().filter(sum -> listed.contains(sum.uid())).forEach(sum -> seen.computeIfAbsent(
-                            sum.uid(), uid -> new ArrayList<>())
-                    .add(sum));
+    Map<String, Double> suspects(List<ReceivedReport> reports, Set<String> readyServers) {
+        Map<String, ReceivedReport> latest = new HashMap<>();
+        reports.forEach(each -> latest.merge(each.member, each, (a, b) -> a.ageMillis <= b.ageMillis ? a : b));
+        Map<String, List<ServerSum>> statsByServer = new HashMap<>();
+        for (ReceivedReport each : latest.values()) {
+            List<ServerSum> usable = usableStats(each);
+            droppedReports += usable.isEmpty() && !each.report.servers().isEmpty() ? 1 : 0;
+            usable.stream().filter(stats -> readyServers.contains(stats.uid())).forEach(stats -> statsByServer
+                    .computeIfAbsent(stats.uid(), uid -> new ArrayList<>())
+                    .add(stats));
         }
-        Map<String, Double> worst = new HashMap<>();
-        seen.forEach((uid, sums) -> {
-            List<ServerSum> slow = sums.stream().filter(Hearsay::slow).toList();
-            int all = weight(sums);
-            if (slow.size() >= limits.quorum && all >= limits.least && 2 * weight(slow) > all) {
-                // The middle one, so that nobody makes it worse than most find it.
-                worst.put(
+        Map<String, Double> slowdowns = new HashMap<>();
+        statsByServer.forEach((uid, reported) -> {
+            List<ServerSum> slow = reported.stream().filter(Hearsay::isSlow).toList();
+            int totalWeight = weight(reported);
+            if (slow.size() >= limits.quorum && totalWeight >= limits.minAttempts && 2 * weight(slow) > totalWeight) {
+                // The median, so that one exaggerated report does not raise the slowdown.
+                slowdowns.put(
                         uid,
-                        slow.stream().map(ServerSum::ratio).sorted().toList().get((slow.size() - 1) / 2));
+                        slow.stream()
+                                .map(ServerSum::meanSlowdown)
+                                .sorted()
+                                .toList()
+                                .get((slow.size() - 1) / 2));
             }
         });
-        Map<String, Double> doubted = new LinkedHashMap<>();
-        worst.entrySet().stream()
+        Map<String, Double> suspects = new LinkedHashMap<>();
+        slowdowns.entrySet().stream()
                 .sorted(Comparator.<Map.Entry<String, Double>>comparingDouble(Map.Entry::getValue)
                         .reversed()
                         .thenComparing(Map.Entry::getKey))
-                .limit((long) (limits.most * listed.size()))
-                .forEach(each -> doubted.put(each.getKey(), each.getValue()));
-        return doubted;
+                .limit((long) (limits.maxSuspectedFraction * readyServers.size()))
+                .forEach(each -> suspects.put(each.getKey(), each.getValue()));
+        return suspects;
     }
 }
--- a/src/main/java/pondridge/store/Leases.java
+++ b/src/main/java/pondridge/store/Leases.java
@@ -8,87 +8,96 @@
 import java.util.Random;
 
 /**
- * Parts of budgets that all members of a fleet have together, taken from counters in the store. Time is cut
- * into slots of the store's clock; in each slot a member asks for its part of the next one, and a counter
- * that all raise says what is left. A part holds for its slot and no longer, as this member's own clock
- * counts it: from when the slot has surely begun until before it can have ended, however long the reply took.
- * So a part that can't be renewed ends by itself, and who wakes from a pause finds that its part is over.
+ * Leases of budgets that all members of a fleet share, taken from counters in the store. The store's clock is
+ * divided into slots. In each slot a member requests its lease for the next one; a counter that every request
+ * increments shows what is left. A lease is valid only during its slot, measured on this member's own clock:
+ * from when the slot has certainly begun until before it can have ended, however long the reply took. So a
+ * lease that cannot be renewed expires by itself, and a member that resumes after a pause finds its lease
+ * expired.
  *
- * <p>A member's part goes by its weight, which is its traffic beside the others': parts that were alike left
- * those with much to send refusing while others kept what they could not use. A counter may be lost or wrong,
- * and a weight may rest on reports that are; so nobody asks for more than three even shares, and what is less
- * than one request is drawn by lot. No I/O.
+ * <p>The size of a request follows the member's traffic relative to the others: with equal leases, members
+ * with much traffic refused requests while others kept what they could not use. A counter may be lost or
+ * wrong, and the weight may rest on reports that are; so no member requests more than three even shares.
+ * Fractions of one request are rounded at random. No I/O.
  */
 final class Leases {
-    /** The most even shares that one member may ask for, whatever its weight. */
-    static final double MOST_SHARES = 3;
-    /** The least weight: who has just begun has no traffic to show. */
-    static final double LEAST_SHARES = 0.1;
+    /** The most even shares that one member may request, whatever its weight. */
+    static final double MAX_EVEN_SHARES = 3;
+    /** The fewest even shares of a request: a member that has just started has no traffic to show. */
+    static final double MIN_EVEN_SHARES = 0.1;
 
-    private static final long MILLI = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** What is asked of a counter: {@code want} more, of {@code most} in all; 0 need not be asked. */
-    record Ask(String name, long slot, long want, long most) {}
+    /**
+     * A request to a counter, which is to be incremented by {@code amount}. It need not be sent if that is 0.
+     *
+     * @param capacity of the budget in the slot, for all members together
+     */
+    record LeaseRequest(String name, long slot, long amount, long capacity) {}
 
-    /** So many may be used between two times of this member's clock, in nanoseconds. */
-    record Grant(String name, long count, long from, long until) {}
+    /** Allows {@code count} uses between two times of this member's clock, in nanoseconds. */
+    record Grant(String name, long count, long fromNanos, long untilNanos) {}
 
-    private final long slotMs;
+    private final long slotMillis;
     private final Random random;
-    private final Map<String, Long> asked = new HashMap<>();
+    private final Map<String, Long> lastRequestedSlots = new HashMap<>();
 
-    Leases(long slotMs, long seed) {
-        this.slotMs = slotMs;
+    Leases(long slotMillis, long seed) {
+        this.slotMillis = slotMillis;
         this.random = new Random(seed);
     }
 
-    /** How long until the next slot begins, in nanoseconds. */
-    long ahead(long storeMs) {
-        return ((storeMs / slotMs + 1) * slotMs - storeMs) * MILLI;
+    /** Time until the next slot begins, in nanoseconds. */
+    long nanosUntilNextSlot(long storeMillis) {
+        return ((storeMillis / slotMillis + 1) * slotMillis - storeMillis) * NANOS_PER_MILLI;
     }
 
     /**
-     * What to ask for now, each budget once a slot.
+     * The requests to send now, at most one per budget and slot.
      *
-     * @param weight this member's traffic beside the mean of all
      * @param members how many share the budgets
-     * @param storeMs the store's clock
+     * @param weight this member's traffic relative to the mean of all
+     * @param storeMillis the store's clock
      */
-    List<Ask> asks(Collection<Budgets.Budget> budgets, long members, double weight, long storeMs) {
-        long next = storeMs / slotMs + 1;
-        // Slots of long ago, and those of a clock that has been set back since.
-        asked.values().removeIf(slot -> Math.abs(next - slot) > 2);
-        List<Ask> asks = new ArrayList<>();
+    List<LeaseRequest> requests(Collection<Budgets.Budget> budgets, long members, double weight, long storeMillis) {
+        long nextSlot = storeMillis / slotMillis + 1;
+        // Drops slots of long ago, and slots of a clock that has since been set back.
+        lastRequestedSlots.values().removeIf(slot -> Math.abs(nextSlot - slot) > 2);
+        List<LeaseRequest> requests = new ArrayList<>();
         for (Budgets.Budget budget : budgets) {
-            if (asked.getOrDefault(budget.name(), Long.MIN_VALUE) >= next || budget.most() < 1) {
+            if (lastRequestedSlots.getOrDefault(budget.name(), Long.MIN_VALUE) >= nextSlot || budget.capacity() < 1) {
                 continue;
             }
-            asked.put(budget.name(), next);
-            double shares = Math.max(LEAST_SHARES, Math.min(MOST_SHARES, weight));
-            double part = Math.min(budget.most(), shares * budget.most() / Math.max(1, members));
-            asks.add(new Ask(budget.name(), next, (long) (part + random.nextDouble()), (long) budget.most()));
+            lastRequestedSlots.put(budget.name(), nextSlot);
+            double evenShares = Math.max(MIN_EVEN_SHARES, Math.min(MAX_EVEN_SHARES, weight));
+            double share = Math.min(budget.capacity(), evenShares * budget.capacity() / Math.max(1, members));
+            requests.add(new LeaseRequest(
+                    budget.name(), nextSlot, (long) (share + random.nextDouble()), (long) budget.capacity()));
         }
-        return asks;
+        return requests;
     }
 
     /**
-     * What a counter's reply gives; null where the store's clock was set meanwhile.
+     * What a counter's reply grants; null if the store's clock was set in the meantime.
      *
-     * @param counter what it stood at after this ask was added
-     * @param storeMs the store's clock when it replied
-     * @param askedAt when the ask left here
-     * @param toldAt when the reply came
+     * @param counter its value after this request was added
+     * @param storeMillis the store's clock when it replied
+     * @param sentNanos when the request was sent, by this member's clock
+     * @param receivedNanos when the reply was received, by this member's clock
      */
-    Grant told(Ask ask, long counter, long storeMs, long askedAt, long toldAt) {
-        long before = counter - ask.want;
-        long left = before < 0 ? 0 : Math.max(0, ask.most - before);
-        long begins = ask.slot * slotMs - storeMs;
-        if (begins > 2 * slotMs || begins < -slotMs) {
+    Grant grantFor(LeaseRequest request, long counter, long storeMillis, long sentNanos, long receivedNanos) {
+        long takenBefore = counter - request.amount;
+        long left = takenBefore < 0 ? 0 : Math.max(0, request.capacity - takenBefore);
+        long millisUntilSlot = request.slot * slotMillis - storeMillis;
+        if (millisUntilSlot > 2 * slotMillis || millisUntilSlot < -slotMillis) {
             return null;
         }
         // The store replied between the two times: the slot begins no later than counted from the later one
         // and ends no sooner than counted from the earlier one.
         return new Grant(
-                ask.name, Math.min(left, ask.want), toldAt + begins * MILLI, askedAt + (begins + slotMs) * MILLI);
+                request.name,
+                Math.min(left, request.amount),
+                receivedNanos + millisUntilSlot * NANOS_PER_MILLI,
+                sentNanos + (millisUntilSlot + slotMillis) * NANOS_PER_MILLI);
     }
 }
--- a/src/main/java/pondridge/store/Members.java
+++ b/src/main/java/pondridge/store/Members.java
@@ -5,77 +5,77 @@
 import java.util.List;
 
 /**
- * Who shares the store, for dividing what all have together: the most that was seen in a while, so that a
- * store that forgets members, or shows only part of them, makes nobody's share larger. No I/O; times in
- * nanoseconds, on this sidecar's clock.
+ * Estimates how many members share the store, for dividing shared budgets. It uses the largest recent count,
+ * so that a store that loses members, or shows only some of them, makes no member's share larger. No I/O;
+ * times in nanoseconds of this sidecar's clock.
  */
 final class Members {
-    private record Seen(long at, long count) {}
+    private record MemberCount(long atNanos, long count) {}
 
-    private final long memory;
-    private final long settles;
-    private final ArrayDeque<Seen> most = new ArrayDeque<>();
+    private final long retentionNanos;
+    private final long settleNanos;
+    private final ArrayDeque<MemberCount> largestCounts = new ArrayDeque<>();
     private double meanRate;
-    private long first;
-    private boolean any;
+    private long firstCountNanos;
+    private boolean anyCount;
 
     /**
-     * Nobody seen so far.
+     * Starts without any count.
      *
-     * @param memory how long a count holds
-     * @param settles how long counts must have come before they are gone by: who starts with a whole fleet
-     * sees it come
+     * @param retentionNanos how long a count is kept
+     * @param settleNanos how long counts must have been received before they are used: while a whole fleet
+     *     starts, the count is still growing
      */
-    Members(long memory, long settles) {
-        this.memory = memory;
-        this.settles = settles;
+    Members(long retentionNanos, long settleNanos) {
+        this.retentionNanos = retentionNanos;
+        this.settleNanos = settleNanos;
     }
 
-    /** So many wrote to the store lately. */
-    void seen(long count, long now) {
-        if (!any) {
-            any = true;
-            first = now;
+    /** Records how many members wrote to the store recently. */
+    void recordCount(long count, long now) {
+        if (!anyCount) {
+            anyCount = true;
+            firstCountNanos = now;
         }
-        // What is less than a later count can't be the most any more: the rest falls from first to last.
-        while (!most.isEmpty() && most.peekLast().count <= count) {
-            most.pollLast();
+        // A count below a later one can no longer be the largest; the remaining ones decrease from first to last.
+        while (!largestCounts.isEmpty() && largestCounts.peekLast().count <= count) {
+            largestCounts.pollLast();
         }
-        most.add(new Seen(now, count));
-        forget(now);
+        largestCounts.add(new MemberCount(now, count));
+        removeExpired(now);
     }
 
-    private void forget(long now) {
-        while (!most.isEmpty() && now - most.peek().at > memory) {
-            most.poll();
+    private void removeExpired(long now) {
+        while (!largestCounts.isEmpty() && now - largestCounts.peek().atNanos > retentionNanos) {
+            largestCounts.poll();
         }
     }
 
-    /** Some others say how many requests a second they are asked, drawn at random; 0 is no word. */
-    void rates(List<Double> told, double own) {
-        List<Double> said = new ArrayList<>(told);
-        said.add(own);
-        meanRate = said.stream()
+    /** Records the request rates of a random sample of other members and of this one; 0 means unknown. */
+    void recordRates(List<Double> sampledRates, double ownRate) {
+        List<Double> rates = new ArrayList<>(sampledRates);
+        rates.add(ownRate);
+        meanRate = rates.stream()
                 .filter(rate -> rate > 0)
                 .mapToDouble(rate -> rate)
                 .average()
                 .orElse(0);
     }
 
-    /** This member's traffic beside the mean of all. */
-    double weight(double own) {
-        return meanRate == 0 ? 1 : own / meanRate;
+    /** This member's traffic relative to the mean of all. */
+    double trafficWeight(double ownRate) {
+        return meanRate == 0 ? 1 : ownRate / meanRate;
     }
 
-    /** The most seen, at least 1. */
-    long most(long now) {
-        forget(now);
-        return most.isEmpty() ? 1 : Math.max(1, most.peek().count);
+    /** The largest recent count, at least 1. */
+    long size(long now) {
+        removeExpired(now);
+        return largestCounts.isEmpty() ? 1 : Math.max(1, largestCounts.peek().count);
     }
 
-    /** Whether counts have come for long enough, and lately. */
-    boolean settled(long now) {
-        forget(now);
-        return any && !most.isEmpty() && now - first >= settles;
+    /** Whether counts have been received for long enough, and recently. */
+    boolean isSettled(long now) {
+        removeExpired(now);
+        return anyCount && !largestCounts.isEmpty() && now - firstCountNanos >= settleNanos;
     }
 }
--- a/src/main/java/pondridge/store/OwnSums.java
+++ b/src/main/java/pondridge/store/OwnSums.java
@@ -7,97 +7,100 @@
 import java.util.Map;
 
 /**
- * This sidecar's own sums over a short window, from its own attempts. What is usual is its own mean over all
- * servers, by class: who finds every server slow finds none of them slower than usual. Bounded in servers; no
- * I/O; times in nanoseconds. Of one thread.
+ * Statistics of this sidecar's own attempts over a short window. The baseline is this sidecar's own mean over
+ * all servers, per class: a sidecar to which every server is slow finds none of them slower than the baseline.
+ * Bounded in servers; no I/O; times in nanoseconds. Confined to one thread.
  */
 final class OwnSums {
-    /** One attempt counts as at most so many times the usual. */
-    static final double MOST_SLOW = 10_000;
+    /** Cap on the slowdown that one attempt counts with. */
+    static final double MAX_SLOWDOWN = 10_000;
 
-    private static final double NEW = 0.02;
+    private static final double MIN_SMOOTHING_WEIGHT = 0.02;
 
-    private static final class Sum {
-        private int answers;
-        private double slowness;
-        private int bad;
+    private static final class Totals {
+        private int attempts;
+        private double slowdownSum;
+        private int badAttempts;
 
-        private void add(double ratio, boolean failed) {
-            answers++;
-            slowness += ratio;
-            bad += failed ? 1 : 0;
+        private void add(double slowdown, boolean bad) {
+            attempts++;
+            slowdownSum += slowdown;
+            badAttempts += bad ? 1 : 0;
         }
     }
 
-    private final double slow;
-    private final long window;
-    private final int mostServers;
-    private final Map<Integer, double[]> usual = new HashMap<>();
-    private Map<String, Sum> current = new HashMap<>();
-    private Map<String, Sum> before = new HashMap<>();
-    private long began;
+    private final double badSlowdown;
+    private final long windowNanos;
+    private final int maxServers;
+    /** Mean time of successful attempts and their number, by class. */
+    private final Map<Integer, double[]> baselines = new HashMap<>();
+
+    private Map<String, Totals> currentWindow = new HashMap<>();
+    private Map<String, Totals> previousWindow = new HashMap<>();
+    private long windowStartNanos;
 
     /**
-     * Nothing seen so far.
+     * Starts without any attempt.
      *
-     * @param slow an attempt is bad that failed, or took so many times the usual
-     * @param window a report covers one to two of them
-     * @param mostServers that are kept at a time; what is seen of others meanwhile is not counted
+     * @param badSlowdown an attempt is bad if it failed, or took more than this many times the baseline
+     * @param windowNanos a report covers one to two windows
+     * @param maxServers servers per window; attempts at further servers are not counted
      */
-    OwnSums(double slow, long window, int mostServers, long now) {
-        this.slow = slow;
-        this.window = window;
-        this.mostServers = mostServers;
-        this.began = now;
+    OwnSums(double badSlowdown, long windowNanos, int maxServers, long now) {
+        this.badSlowdown = badSlowdown;
+        this.windowNanos = windowNanos;
+        this.maxServers = maxServers;
+        this.windowStartNanos = now;
     }
 
-    /** An attempt that went out has ended. */
-    void ended(String uid, int requestClass, boolean good, long took, long now) {
-        turn(now);
-        double[] mean = usual.computeIfAbsent(requestClass, each -> new double[2]);
-        if (good) {
-            double capped = mean[1] == 0 ? took : Math.min(took, 3 * mean[0]);
-            mean[1]++;
-            mean[0] += Math.max(NEW, 1 / mean[1]) * (capped - mean[0]);
+    /** Records the end of an attempt that was sent. */
+    void attemptEnded(String uid, int requestClass, boolean successful, long tookNanos, long now) {
+        rotateWindows(now);
+        double[] baseline = baselines.computeIfAbsent(requestClass, each -> new double[2]);
+        if (successful) {
+            double capped = baseline[1] == 0 ? tookNanos : Math.min(tookNanos, 3 * baseline[0]);
+            baseline[1]++;
+            baseline[0] += Math.max(MIN_SMOOTHING_WEIGHT, 1 / baseline[1]) * (capped - baseline[0]);
         }
-        Sum sum = current.get(uid);
-        if (sum == null && current.size() < mostServers) {
-            sum = new Sum();
-            current.put(uid, sum);
+        Totals totals = currentWindow.get(uid);
+        if (totals == null && currentWindow.size() < maxServers) {
+            totals = new Totals();
+            currentWindow.put(uid, totals);
         }
-        if (sum != null) {
-            double ratio = mean[0] > 0 ? Math.min(MOST_SLOW, took / mean[0]) : 1;
-            sum.add(good ? ratio : Math.max(slow, ratio), !good || ratio > slow);
+        if (totals != null) {
+            double slowdown = baseline[0] > 0 ? Math.min(MAX_SLOWDOWN, tookNanos / baseline[0]) : 1;
+            totals.add(successful ? slowdown : Math.max(badSlowdown, slowdown), !successful || slowdown > badSlowdown);
         }
     }
 
-    private void turn(long now) {
-        if (now - began >= 2 * window) {
-            before = new HashMap<>();
-            current = new HashMap<>();
-            began = now;
-        } else if (now - began >= window) {
-            before = current;
-            current = new HashMap<>();
-            began += window;
+    private void rotateWindows(long now) {
+        if (now - windowStartNanos >= 2 * windowNanos) {
+            previousWindow = new HashMap<>();
+            currentWindow = new HashMap<>();
+            windowStartNanos = now;
+        } else if (now - windowStartNanos >= windowNanos) {
+            previousWindow = currentWindow;
+            currentWindow = new HashMap<>();
+            windowStartNanos += windowNanos;
         }
     }
 
-    /** What was seen lately: the servers with the most answers, {@code most} of them. */
-    List<ServerSum> lately(int most, long now) {
-        turn(now);
-        Map<String, Sum> all = new HashMap<>();
-        for (Map<String, Sum> each : List.of(before, current)) {
-            each.forEach((uid, sum) -> {
-                Sum both = all.computeIfAbsent(uid, added -> new Sum());
-                both.answers += sum.answers;
-                both.slowness += sum.slowness;
-                both.bad += sum.bad;
+    /** Statistics of the last one to two windows: the {@code limit} servers with the most attempts. */
+    List<ServerSum> recent(int limit, long now) {
+        rotateWindows(now);
+        Map<String, Totals> totalsByServer = new HashMap<>();
+        for (Map<String, Totals> window : List.of(previousWindow, currentWindow)) {
+            window.forEach((uid, totals) -> {
+                Totals both = totalsByServer.computeIfAbsent(uid, added -> new Totals());
+                both.attempts += totals.attempts;
+                both.slowdownSum += totals.slowdownSum;
+                both.badAttempts += totals.badAttempts;
             });
         }
-        List<ServerSum> sums = new ArrayList<>();
-        all.forEach((uid, sum) -> sums.add(new ServerSum(uid, sum.answers, sum.slowness, sum.bad)));
-        sums.sort(Comparator.comparingInt(ServerSum::answers).reversed().thenComparing(ServerSum::uid));
-        return sums.size() > most ? List.copyOf(sums.subList(0, most)) : sums;
+        List<ServerSum> stats = new ArrayList<>();
+        totalsByServer.forEach((uid, totals) ->
+                stats.add(new ServerSum(uid, totals.attempts, totals.slowdownSum, totals.badAttempts)));
+        stats.sort(Comparator.comparingInt(ServerSum::attempts).reversed().thenComparing(ServerSum::uid));
+        return stats.size() > limit ? List.copyOf(stats.subList(0, limit)) : stats;
     }
 }
--- a/src/main/java/pondridge/store/Report.java
+++ b/src/main/java/pondridge/store/Report.java
@@ -9,50 +9,55 @@
 import java.util.List;
 
 /**
- * What one sidecar tells the others, as it stands in the store: JSON with a version. A reader that does not
- *  know
- * the version, or finds anything that can't be, takes none of it.
+ * A sidecar's report to its peers, in its stored format: JSON with a version. A reader that does not know the
+ * version, or finds an impossible value, ignores the whole report.
  *
- * @param at when it was written, in milliseconds of the store's clock
- * @param rate requests a second that clients ask of its writer; 0 where it does not say, as older programs
- * don't
+ * @param writtenAtMillis when it was written, in milliseconds of the store's clock
+ * @param requestsPerSecond requests that clients send to its writer; 0 if absent, as in reports of older
+ *     versions
+ * @param servers statistics of the servers that its writer used
  */
-record Report(long at, double rate, List<ServerSum> sums) {
-    /** The version of keys and values. */
+record Report(long writtenAtMillis, double requestsPerSecond, List<ServerSum> servers) {
+    /** The version of the store's keys and values. */
     static final int VERSION = 1;
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int LONGEST = 64 << 10;
-    private static final double MOST_RATE = 1e7;
-    private static final int MOST_TRIES = 3;
-    private static final int FEW = 30;
+    private static final int MAX_CHARS = 64 << 10;
+    private static final double MAX_REQUESTS_PER_SECOND = 1e7;
+    private static final int MAX_ATTEMPTS_PER_REQUEST = 3;
+    private static final int ATTEMPT_SLACK = 30;
 
-    String write() {
-        ObjectNode root =
-                JSON.createObjectNode().put("v", VERSION).put("at", at).put("r", Math.round(rate * 1000) / 1000.0);
-        ArrayNode all = root.putArray("s");
-        for (ServerSum sum : sums) {
-            all.addArray()
-                    .add(sum.uid())
-                    .add(sum.answers())
-                    .add(Math.round(sum.slowness() * 100) / 100.0)
-                    .add(sum.bad());
+    String toJson() {
+        ObjectNode root = JSON.createObjectNode()
+                .put("v", VERSION)
+                .put("at", writtenAtMillis)
+                .put("r", Math.round(requestsPerSecond * 1000) / 1000.0);
+        ArrayNode serverArray = root.putArray("s");
+        for (ServerSum stats : servers) {
+            serverArray
+                    .addArray()
+                    .add(stats.uid())
+                    .add(stats.attempts())
+                    .add(Math.round(stats.slowdownSum() * 100) / 100.0)
+                    .add(stats.badAttempts());
         }
         return root.toString();
     }
 
     /**
-     * The rate, or 0 where it does not fit what else is told: who saw that many attempts end within two
-     * periods can't be asked so little.
+     * The request rate, or 0 if it contradicts the statistics: a sidecar that saw so many attempts end within
+     * two periods cannot have received so few requests.
      */
-    double soundRate(long period) {
-        long seen = sums.stream().mapToLong(ServerSum::answers).sum();
-        return seen <= MOST_TRIES * 2 * period / 1e9 * rate + FEW ? rate : 0;
+    double plausibleRate(long periodNanos) {
+        long attempts = servers.stream().mapToLong(ServerSum::attempts).sum();
+        return attempts <= MAX_ATTEMPTS_PER_REQUEST * 2 * periodNanos / 1e9 * requestsPerSecond + ATTEMPT_SLACK
+                ? requestsPerSecond
+                : 0;
     }
 
-    /** Null for what can't be read or can't be. */
-    static Report read(String text, int mostServers) {
-        if (text == null || text.length() > LONGEST) {
+    /** Parses a report; null if it is malformed or contains an impossible value. */
+    static Report parse(String text, int maxServers) {
+        if (text == null || text.length() > MAX_CHARS) {
             return null;
         }
         try {
@@ -61,14 +66,14 @@
                     || root.path("v").asInt() != VERSION
                     || !root.path("at").isIntegralNumber()
                     || !root.path("s").isArray()
-                    || root.path("s").size() > mostServers) {
+                    || root.path("s").size() > maxServers) {
                 return null;
             }
-            double rate = root.path("r").asDouble(0);
-            if (!(rate >= 0 && rate <= MOST_RATE)) {
+            double requestsPerSecond = root.path("r").asDouble(0);
+            if (!(requestsPerSecond >= 0 && requestsPerSecond <= MAX_REQUESTS_PER_SECOND)) {
                 return null;
             }
-            List<ServerSum> sums = new ArrayList<>();
+            List<ServerSum> servers = new ArrayList<>();
             for (JsonNode each : root.path("s")) {
                 if (!each.path(0).isTextual()
                         || !each.path(1).isInt()
@@ -76,17 +81,17 @@
                         || !each.path(3).isInt()) {
                     return null;
                 }
-                ServerSum sum = new ServerSum(
+                ServerSum stats = new ServerSum(
                         each.path(0).asText(),
                         each.path(1).asInt(),
                         each.path(2).asDouble(),
                         each.path(3).asInt());
-                if (!sum.sound()) {
+                if (!stats.isValid()) {
                     return null;
                 }
-                sums.add(sum);
+                servers.add(stats);
             }
-            return new Report(root.path("at").asLong(), rate, sums);
+            return new Report(root.path("at").asLong(), requestsPerSecond, servers);
         } catch (JsonProcessingException e) {
             return null;
         }
--- a/src/main/java/pondridge/store/ServerSum.java
+++ b/src/main/java/pondridge/store/ServerSum.java
@@ -1,32 +1,33 @@
 package pondridge.store;
 
 /**
- * What one sidecar saw of one server in a short while: sums, never a verdict.
+ * Statistics of one sidecar on one server over a short window: raw sums, without a judgement.
  *
- * @param uid the server, as the list names it
- * @param answers attempts that ended
- * @param slowness the sum, over them, of how many times the usual time each took, each cut at
- *     {@link OwnSums#MOST_SLOW}
- * @param bad how many of them ended in an error or in none, or took far longer than usual
+ * @param uid the server's name in the endpoint list
+ * @param attempts attempts that ended
+ * @param slowdownSum the sum over these attempts of time taken divided by baseline time, each quotient capped
+ *     at {@link OwnSums#MAX_SLOWDOWN}
+ * @param badAttempts attempts that ended in an error or without a response, or took far longer than the
+ *     baseline
  */
-record ServerSum(String uid, int answers, double slowness, int bad) {
-    private static final int MOST_ANSWERS = 10_000_000;
-    private static final int LONGEST_UID = 128;
+record ServerSum(String uid, int attempts, double slowdownSum, int badAttempts) {
+    private static final int MAX_ATTEMPTS = 10_000_000;
+    private static final int MAX_UID_LENGTH = 128;
 
-    /** Whether it can be what it says: nothing else may enter a decision. */
-    boolean sound() {
+    /** Whether the values are possible. Others must not enter a decision. */
+    boolean isValid() {
         return !uid.isEmpty()
-                && uid.length() <= LONGEST_UID
-                && answers > 0
-                && answers <= MOST_ANSWERS
-                && bad >= 0
-                && bad <= answers
-                && slowness >= 0
-                && slowness <= OwnSums.MOST_SLOW * answers * 1.001;
+                && uid.length() <= MAX_UID_LENGTH
+                && attempts > 0
+                && attempts <= MAX_ATTEMPTS
+                && badAttempts >= 0
+                && badAttempts <= attempts
+                && slowdownSum >= 0
+                && slowdownSum <= OwnSums.MAX_SLOWDOWN * attempts * 1.001;
     }
 
-    /** How many times slower than usual. */
-    double ratio() {
-        return slowness / answers;
+    /** How many times longer than the baseline an attempt took on average. */
+    double meanSlowdown() {
+        return slowdownSum / attempts;
     }
 }
--- a/src/main/java/pondridge/store/SharedStore.java
+++ b/src/main/java/pondridge/store/SharedStore.java
@@ -15,155 +15,163 @@
 import java.util.function.Supplier;
 
 /**
- * Shares what this sidecar sees of servers, and hears what others see: every period it writes its report,
- * draws some other members and reads theirs; and it takes its parts of what all have together. Nothing waits
- * for it; when the store is away, slow or talks nonsense, nobody is doubted on hearsay, no part is taken, and
- * all else is as without it. On the event loop only.
+ * Exchanges server statistics with other sidecars through the store. Every period it writes its own report,
+ * reads the reports of a random sample of members, and requests leases of shared budgets. No request waits for
+ * it. While the store is unreachable, slow or sends invalid data, no server is suspected because of peer
+ * reports, no lease is taken, and everything else works as without a store. Confined to the event loop.
  */
 public final class SharedStore {
-    /** How long a set of members stands; a member is in the set of the time in which it last wrote. */
-    private static final long SLOT_MS = 10_000;
-    /** So long the most members that were seen count: as long as one of them may stand in the store. */
-    private static final long REMEMBERED = 30_000_000_000L;
-    /** Replies before those to asks for parts. */
-    private static final int REPORTING = 8;
+    /** Members are counted in one set per slot of this length; each writes itself into the current one. */
+    private static final long MEMBERS_SLOT_MILLIS = 10_000;
+    /** How long a member count is kept: as long as a member may remain in the store. */
+    private static final long MEMBER_COUNT_RETENTION_NANOS = 30_000_000_000L;
+    /** Number of replies that precede the replies to lease requests. */
+    private static final int REPLIES_BEFORE_LEASES = 8;
 
-    /** A part that was asked for, and by whom. */
-    private record Asked(Leases.Ask ask, Budgets by) {}
+    /** A lease request and who wants the lease. */
+    private record PendingLease(Leases.LeaseRequest request, Budgets holder) {}
 
     private final EventLoop loop;
     private final StoreSettings settings;
-    private final OwnSums own;
-    private final Hearsay hearsay;
-    private final StoreCircuit circuit;
-    private final StoreLink link;
-    private final Members fleet;
+    private final OwnSums attemptStats;
+    private final Hearsay outlierDetector;
+    private final StoreCircuit circuitBreaker;
+    private final StoreConnection connection;
+    private final Members members;
     private final Leases leases;
-    private final List<Budgets> budgets = new ArrayList<>();
-    private final Demand demand = new Demand();
-    private final LongSupplier asked;
-    private final Supplier<Set<String>> listed;
-    private final Consumer<Map<String, Double>> doubts;
+    private final List<Budgets> leaseHolders = new ArrayList<>();
+    private final Demand requestRate = new Demand();
+    private final LongSupplier requestCount;
+    private final Supplier<Set<String>> readyServers;
+    private final Consumer<Map<String, Double>> suspectsListener;
     private final Random random;
-    private final Map<String, Long> counts = new LinkedHashMap<>();
+    private final Map<String, Long> counters = new LinkedHashMap<>();
     private Future<?> timer;
-    private boolean asking;
-    private long storeMs;
-    private long storeAt;
+    private boolean exchangeOpen;
+    /** The store's clock at its last reply; 0 while unknown. */
+    private long storeMillis;
+
+    private long storeReadNanos;
 
     /**
-     * Begins at once.
+     * Schedules the first exchange.
      *
-     * @param asked how many requests clients have asked in all
-     * @param listed the names of servers that are ready, asked each time
-     * @param doubts told after each exchange which servers others find slow, and how slow; empty when the
-     *     store can't be heard
+     * @param requestCount how many requests clients have sent in total
+     * @param readyServers supplies the names of servers that are ready, for each exchange
+     * @param suspectsListener receives after each exchange the servers that peers find slow, with their
+     *     slowdown; an empty map while the store is unavailable
      */
     public SharedStore(
             EventLoop loop,
             StoreSettings settings,
-            LongSupplier asked,
-            Supplier<Set<String>> listed,
-            Consumer<Map<String, Double>> doubts,
+            LongSupplier requestCount,
+            Supplier<Set<String>> readyServers,
+            Consumer<Map<String, Double>> suspectsListener,
             long seed) {
         long now = System.nanoTime();
         this.loop = loop;
         this.settings = settings;
-        this.asked = asked;
-        this.listed = listed;
-        this.doubts = doubts;
+        this.requestCount = requestCount;
+        this.readyServers = readyServers;
+        this.suspectsListener = suspectsListener;
         this.random = new Random(seed);
-        this.own = new OwnSums(settings.slow(), settings.period(), 4 * settings.servers(), now);
-        this.hearsay = new Hearsay(settings.hearsay());
-        this.circuit = new StoreCircuit(settings.circuit(), random.nextLong());
-        this.link = new StoreLink(loop, settings);
-        this.fleet = new Members(REMEMBERED, settings.shares().settle());
-        this.leases = new Leases(settings.shares().slot() / 1_000_000, random.nextLong());
-        // Drawn within the period: sidecars that start together do not write together.
-        this.timer = loop.schedule(this::tick, (long) (random.nextDouble() * settings.period()), TimeUnit.NANOSECONDS);
+        this.attemptStats = new OwnSums(settings.badSlowdown(), settings.periodNanos(), 4 * settings.maxServers(), now);
+        this.outlierDetector = new Hearsay(settings.reportLimits());
+        this.circuitBreaker = new StoreCircuit(settings.circuitLimits(), random.nextLong());
+        this.connection = new StoreConnection(loop, settings);
+        this.members =
+                new Members(MEMBER_COUNT_RETENTION_NANOS, settings.leases().settleNanos());
+        this.leases = new Leases(settings.leases().slotNanos() / 1_000_000, random.nextLong());
+        // A random delay within the period, so that sidecars that start together do not write together.
+        this.timer =
+                loop.schedule(this::tick, (long) (random.nextDouble() * settings.periodNanos()), TimeUnit.NANOSECONDS);
     }
 
-    /** From now on parts of these budgets are asked for, too. */
-    public void share(Budgets with) {
-        budgets.add(with);
+    /** From now on leases are also requested for the budgets of this holder. */
+    public void share(Budgets leaseHolder) {
+        leaseHolders.add(leaseHolder);
     }
 
-    /** An attempt that went out has ended. */
-    public void ended(String uid, int requestClass, boolean good, long took) {
-        own.ended(uid, requestClass, good, took, System.nanoTime());
+    /** Records the end of an attempt that was sent. */
+    public void attemptEnded(String uid, int requestClass, boolean successful, long tookNanos) {
+        attemptStats.attemptEnded(uid, requestClass, successful, tookNanos, System.nanoTime());
     }
 
-    /** Where it stands: counts by name. */
+    /** Counters and gauges by name. */
     public Map<String, Long> counts() {
-        Map<String, Long> all = new LinkedHashMap<>(counts);
-        all.put("members", fleet.most(System.nanoTime()));
-        all.put("open", circuit.open() ? 1L : 0);
-        all.put("not_heard", hearsay.dropped());
+        Map<String, Long> all = new LinkedHashMap<>(counters);
+        all.put("members", members.size(System.nanoTime()));
+        all.put("open", circuitBreaker.isOpen() ? 1L : 0);
+        all.put("not_heard", outlierDetector.droppedReports());
         return all;
     }
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    private void count(String counter) {
+        counters.merge(counter, 1L, Long::sum);
     }
 
     private void tick() {
         timer = loop.schedule(
-                this::tick, (long) (settings.period() * (0.9 + 0.2 * random.nextDouble())), TimeUnit.NANOSECONDS);
+                this::tick, (long) (settings.periodNanos() * (0.9 + 0.2 * random.nextDouble())), TimeUnit.NANOSECONDS);
         long now = System.nanoTime();
-        if (asking || !circuit.may(now)) {
+        if (exchangeOpen || !circuitBreaker.allowsExchange(now)) {
             return;
         }
-        asking = true;
-        demand.asked(asked.getAsLong(), now);
+        exchangeOpen = true;
+        requestRate.recordTotal(requestCount.getAsLong(), now);
         count("exchanges");
-        if (storeMs == 0) {
-            link.ask(List.of(List.of("TIME")), replies -> firstTold(replies, List.of(), now));
+        if (storeMillis == 0) {
+            connection.send(List.of(List.of("TIME")), replies -> reportWritten(replies, List.of(), now));
             return;
         }
-        List<Asked> asks = asks(now);
-        List<List<String>> commands = new ArrayList<>(first(now));
-        for (Asked each : asks) {
-            if (each.ask.want() == 0) {
+        List<PendingLease> pendingLeases = leaseRequests(now);
+        List<List<String>> commands = new ArrayList<>(reportCommands(now));
+        for (PendingLease each : pendingLeases) {
+            if (each.request.amount() == 0) {
                 continue;
             }
-            String counter =
-                    key("part", each.ask.name() + ':' + settings.shares().slot() / 1_000_000 + ':' + each.ask.slot());
-            commands.add(List.of("INCRBY", counter, Long.toString(each.ask.want())));
+            String counter = key(
+                    "part",
+                    each.request.name() + ':' + settings.leases().slotNanos() / 1_000_000 + ':' + each.request.slot());
+            commands.add(List.of("INCRBY", counter, Long.toString(each.request.amount())));
             commands.add(List.of(
-                    "PEXPIRE", counter, Long.toString(4 * settings.shares().slot() / 1_000_000)));
+                    "PEXPIRE", counter, Long.toString(4 * settings.leases().slotNanos() / 1_000_000)));
         }
-        link.ask(commands, replies -> firstTold(replies, asks, now));
+        connection.send(commands, replies -> reportWritten(replies, pendingLeases, now));
     }
 
-    private List<Asked> asks(long now) {
-        List<Asked> asks = new ArrayList<>();
-        if (fleet.settled(now)) {
-            double weight = fleet.weight(demand.perSecond());
-            for (Budgets each : budgets) {
-                leases.asks(
-                                each.wanted(settings.shares().slot(), leases.ahead(storeNow(now))),
-                                fleet.most(now),
+    private List<PendingLease> leaseRequests(long now) {
+        List<PendingLease> pendingLeases = new ArrayList<>();
+        if (members.isSettled(now)) {
+            double weight = members.trafficWeight(requestRate.perSecond());
+            for (Budgets each : leaseHolders) {
+                leases.requests(
+                                each.wanted(
+                                        settings.leases().slotNanos(), leases.nanosUntilNextSlot(storeMillisAt(now))),
+                                members.size(now),
                                 weight,
-                                storeNow(now))
-                        .forEach(ask -> asks.add(new Asked(ask, each)));
+                                storeMillisAt(now))
+                        .forEach(request -> pendingLeases.add(new PendingLease(request, each)));
             }
         }
-        return asks;
+        return pendingLeases;
     }
 
     /**
-     * Takes what the counters gave; a part holds only when its time has come, and if that is not over then.
+     * Takes what the counters granted. A lease is passed on when its slot begins, unless it has expired by then.
      */
-    private void take(List<Object> replies, List<Asked> asks, long askedAt, long now) {
-        int at = REPORTING;
-        for (Asked its : asks) {
+    private void takeLeases(List<Object> replies, List<PendingLease> pendingLeases, long sentNanos, long now) {
+        int replyIndex = REPLIES_BEFORE_LEASES;
+        for (PendingLease pending : pendingLeases) {
             Object reply = 0L;
-            if (its.ask.want() > 0) {
-                reply = replies.get(at);
-                at += 2;
+            if (pending.request.amount() > 0) {
+                reply = replies.get(replyIndex);
+                // The request and the expiry of its counter have one reply each.
+                replyIndex += 2;
             }
-            Leases.Grant grant =
-                    reply instanceof Long counter ? leases.told(its.ask, counter, storeMs, askedAt, now) : null;
+            Leases.Grant grant = reply instanceof Long counter
+                    ? leases.grantFor(pending.request, counter, storeMillis, sentNanos, now)
+                    : null;
             if (grant == null) {
                 count("parts_not_told");
                 continue;
@@ -171,83 +179,88 @@
             count(grant.count() > 0 ? "parts" : "parts_none_left");
             loop.schedule(
                     () -> {
-                        long valid = grant.until() - System.nanoTime();
-                        if (valid > 0) {
-                            its.by.granted(grant.name(), grant.count(), valid);
+                        long validNanos = grant.untilNanos() - System.nanoTime();
+                        if (validNanos > 0) {
+                            pending.holder.granted(grant.name(), grant.count(), validNanos);
                         }
                     },
-                    Math.max(0, grant.from() - now),
+                    Math.max(0, grant.fromNanos() - now),
                     TimeUnit.NANOSECONDS);
         }
     }
 
     private String key(String kind, String name) {
-        return settings.prefix() + ':' + Report.VERSION + ':' + kind + ':' + name;
+        return settings.keyPrefix() + ':' + Report.VERSION + ':' + kind + ':' + name;
     }
 
-    /** The store's clock as it should be now; only its own times are ever compared. */
-    private long storeNow(long now) {
-        return storeMs + (now - storeAt) / 1_000_000;
+    /** The estimated time of the store's clock. It is compared only with other times of that clock. */
+    private long storeMillisAt(long now) {
+        return storeMillis + (now - storeReadNanos) / 1_000_000;
     }
 
-    private List<List<String>> first(long now) {
-        long at = storeNow(now);
-        String slot = key("members", Long.toString(at / SLOT_MS));
-        String before = key("members", Long.toString(at / SLOT_MS - 1));
-        String read = Integer.toString(settings.read());
+    private List<List<String>> reportCommands(long now) {
+        long writtenAtMillis = storeMillisAt(now);
+        String currentSlot = key("members", Long.toString(writtenAtMillis / MEMBERS_SLOT_MILLIS));
+        String previousSlot = key("members", Long.toString(writtenAtMillis / MEMBERS_SLOT_MILLIS - 1));
+        String sampleSize = Integer.toString(settings.reportsPerExchange());
         return List.of(
                 List.of("TIME"),
                 List.of(
                         "SET",
                         key("report", settings.member()),
-                        new Report(at, demand.perSecond(), own.lately(settings.servers(), now)).write(),
+                        new Report(
+                                        writtenAtMillis,
+                                        requestRate.perSecond(),
+                                        attemptStats.recent(settings.maxServers(), now))
+                                .toJson(),
                         "PX",
-                        Long.toString(Math.max(1, settings.hearsay().oldest()))),
-                List.of("SADD", slot, settings.member()),
-                List.of("PEXPIRE", slot, Long.toString(3 * SLOT_MS)),
-                List.of("SCARD", slot),
-                List.of("SCARD", before),
-                List.of("SRANDMEMBER", slot, read),
-                List.of("SRANDMEMBER", before, read));
+                        Long.toString(Math.max(1, settings.reportLimits().maxAgeMillis()))),
+                List.of("SADD", currentSlot, settings.member()),
+                List.of("PEXPIRE", currentSlot, Long.toString(3 * MEMBERS_SLOT_MILLIS)),
+                List.of("SCARD", currentSlot),
+                List.of("SCARD", previousSlot),
+                List.of("SRANDMEMBER", currentSlot, sampleSize),
+                List.of("SRANDMEMBER", previousSlot, sampleSize));
     }
 
-    private void firstTold(List<Object> replies, List<Asked> asks, long began) {
+    private void reportWritten(List<Object> replies, List<PendingLease> pendingLeases, long sentNanos) {
         long now = System.nanoTime();
-        Long time = replies == null ? null : time(replies.get(0));
-        if (time == null || replies.stream().anyMatch(StoreLink.StoreError.class::isInstance)) {
-            failed(now);
+        Long time = replies == null ? null : timeMillis(replies.get(0));
+        if (time == null || replies.stream().anyMatch(StoreConnection.StoreError.class::isInstance)) {
+            exchangeFailed(now);
             return;
         }
-        boolean known = storeMs != 0;
-        storeMs = time;
-        storeAt = now;
-        if (!known) {
-            over(now - began, now);
+        boolean clockKnown = storeMillis != 0;
+        storeMillis = time;
+        storeReadNanos = now;
+        if (!clockKnown) {
+            exchangeCompleted(now - sentNanos, now);
             return;
         }
-        if (replies.get(4) instanceof Long these && replies.get(5) instanceof Long those) {
-            fleet.seen(Math.max(these, those), now);
+        if (replies.get(4) instanceof Long current && replies.get(5) instanceof Long previous) {
+            members.recordCount(Math.max(current, previous), now);
         }
-        take(replies, asks, began, now);
-        Set<String> drawn = new HashSet<>();
-        for (Object part : List.of(replies.get(6), replies.get(7))) {
-            if (part instanceof List<?> names) {
-                names.forEach(each -> drawn.add(String.valueOf(each)));
+        takeLeases(replies, pendingLeases, sentNanos, now);
+        Set<String> sampled = new HashSet<>();
+        for (Object sample : List.of(replies.get(6), replies.get(7))) {
+            if (sample instanceof List<?> names) {
+                names.forEach(each -> sampled.add(String.valueOf(each)));
             }
         }
-        drawn.remove(settings.member());
-        List<String> chosen = drawn.stream().limit(settings.read()).toList();
+        sampled.remove(settings.member());
+        List<String> chosen =
+                sampled.stream().limit(settings.reportsPerExchange()).toList();
         if (chosen.isEmpty()) {
-            over(now - began, now);
-            doubts.accept(Map.of());
+            exchangeCompleted(now - sentNanos, now);
+            suspectsListener.accept(Map.of());
             return;
         }
         List<String> command = new ArrayList<>(List.of("MGET"));
         chosen.forEach(each -> command.add(key("report", each)));
-        link.ask(List.of(command), told -> secondTold(told, chosen, now));
+        connection.send(List.of(command), reports -> reportsRead(reports, chosen, now));
     }
 
-    private static Long time(Object reply) {
+    private static Long timeMillis(Object reply) {
         try {
             return reply instanceof List<?> parts && parts.size() == 2
                     ? Math.addExact(
@@ -259,52 +272,53 @@
         }
     }
 
-    private void secondTold(List<Object> replies, List<String> chosen, long began) {
+    private void reportsRead(List<Object> replies, List<String> chosen, long sentNanos) {
         long now = System.nanoTime();
         if (replies == null || !(replies.get(0) instanceof List<?> texts) || texts.size() != chosen.size()) {
-            failed(now);
+            exchangeFailed(now);
             return;
         }
-        List<Hearsay.Heard> heard = new ArrayList<>();
+        List<Hearsay.ReceivedReport> received = new ArrayList<>();
         for (int i = 0; i < chosen.size(); i++) {
             if (texts.get(i) instanceof String text) {
-                Report report = Report.read(text, settings.servers());
+                Report report = Report.parse(text, settings.maxServers());
                 if (report == null) {
                     count("unreadable");
                 } else {
-                    heard.add(new Hearsay.Heard(chosen.get(i), storeNow(now) - report.at(), report));
+                    received.add(new Hearsay.ReceivedReport(
+                            chosen.get(i), storeMillisAt(now) - report.writtenAtMillis(), report));
                 }
             }
         }
-        over(now - began, now);
-        fleet.rates(
-                heard.stream()
-                        .filter(each ->
-                                Math.abs(each.ageMs()) <= settings.hearsay().oldest())
-                        .map(each -> each.report().soundRate(settings.period()))
+        exchangeCompleted(now - sentNanos, now);
+        members.recordRates(
+                received.stream()
+                        .filter(each -> Math.abs(each.ageMillis())
+                                <= settings.reportLimits().maxAgeMillis())
+                        .map(each -> each.report().plausibleRate(settings.periodNanos()))
                         .toList(),
-                demand.perSecond());
-        doubts.accept(hearsay.doubted(heard, listed.get()));
+                requestRate.perSecond());
+        suspectsListener.accept(outlierDetector.suspects(received, readyServers.get()));
     }
 
-    private void over(long took, long now) {
-        asking = false;
-        circuit.answered(took, now);
+    private void exchangeCompleted(long tookNanos, long now) {
+        exchangeOpen = false;
+        circuitBreaker.recordCompletion(tookNanos, now);
     }
 
-    private void failed(long now) {
-        asking = false;
+    private void exchangeFailed(long now) {
+        exchangeOpen = false;
         count("failures");
-        circuit.failed(now);
-        storeMs = 0;
-        // What said an error may be a replica, or not ready: the next try may reach another.
-        link.reset();
-        doubts.accept(Map.of());
+        circuitBreaker.recordFailure(now);
+        storeMillis = 0;
+        // An error may come from a replica or from a server that is not ready; a new connection may reach another.
+        connection.reset();
+        suspectsListener.accept(Map.of());
     }
 
-    /** Ends it; the report ends by itself. */
+    /** Stops the exchanges; the report in the store expires by itself. */
     public void close() {
         timer.cancel(false);
-        link.close();
+        connection.close();
     }
 }
--- a/src/main/java/pondridge/store/Sharing.java
+++ b/src/main/java/pondridge/store/Sharing.java
@@ -6,27 +6,32 @@
 import pondridge.core.Engine;
 
 /**
- * Puts a shared store beside an engine: what its attempts saw goes out, what others saw comes in as a hint.
+ * Connects a shared store to an engine: the results of its attempts are reported to peers, and the reports of
+ * peers are passed to it as hints.
  */
 public final class Sharing {
     private Sharing() {}
 
-    /** Begins; on the loop, before the engine starts. {@code limits} are the module's. */
+    /**
+     * Starts the exchanges. To be called on the event loop, before the engine starts.
+     *
+     * @param limits the safety limits of the decision module
+     */
     public static SharedStore begin(
             EventLoop loop, Engine engine, StoreSettings settings, Balancer.Limits limits, long seed) {
         SharedStore store = new SharedStore(loop, settings, engine::asked, engine::ready, engine::heard, seed);
-        if (settings.shares().coldPerSecond() > 0) {
-            store.share(new ColdBudgets(engine, settings.shares(), limits));
+        if (settings.leases().warmServerPerSecond() > 0) {
+            store.share(new ColdStartBudgets(engine, settings.leases(), limits));
         }
-        engine.observe((uid, requestClass, outcome, took) -> {
-            boolean good = outcome == Outcome.OK;
-            // Turned away, given up here or never sent: nothing was seen of how the server works.
-            if (good
+        engine.observe((uid, requestClass, outcome, tookNanos) -> {
+            boolean successful = outcome == Outcome.OK;
+            // Rejected, cancelled and never sent attempts show nothing about the speed of the server.
+            if (successful
                     || outcome == Outcome.ERROR
                     || outcome == Outcome.TIMEOUT
                     || outcome == Outcome.RESET
                     || outcome == Outcome.CONNECT_FAILED) {
-                store.ended(uid, requestClass, good, took);
+                store.attemptEnded(uid, requestClass, successful, tookNanos);
             }
         });
         return store;
--- a/src/main/java/pondridge/store/StoreCircuit.java
+++ b/src/main/java/pondridge/store/StoreCircuit.java
@@ -3,27 +3,26 @@
 import java.util.Random;
 
 /**
- * Whether the store is asked: not after it failed or was slow several times in a row, then once in a while,
- *  each
- * time twice as long after the last as before, with a draw within that, so that many sidecars that lost it
- * together do not come back together. Times in nanoseconds; no I/O.
+ * Circuit breaker for the store. It opens after several consecutive failures or slow exchanges; then the store
+ * is tried at intervals that double up to a limit. Each interval is randomized, so that many sidecars that lost
+ * the store together do not return to it together. Times in nanoseconds; no I/O.
  */
 final class StoreCircuit {
     /**
-     * How it is judged.
+     * Thresholds and pauses.
      *
-     * @param slow an answer that took longer counts as a failure
-     * @param misses failures in a row that open it
-     * @param firstPause how long it is open first
-     * @param longestPause the most that doubling makes of it
+     * @param slowReplyNanos an exchange that took longer counts as a failure
+     * @param failureThreshold consecutive failures that open the circuit
+     * @param firstPauseNanos how long the circuit stays open at first
+     * @param maxPauseNanos upper limit of the doubled pauses
      */
-    record Limits(long slow, int misses, long firstPause, long longestPause) {}
+    record Limits(long slowReplyNanos, int failureThreshold, long firstPauseNanos, long maxPauseNanos) {}
 
     private final Limits limits;
     private final Random random;
-    private int inRow;
-    private long pause;
-    private long openUntil;
+    private int consecutiveFailures;
+    private long pauseNanos;
+    private long openUntilNanos;
     private boolean open;
 
     StoreCircuit(Limits limits, long seed) {
@@ -31,34 +30,34 @@
         this.random = new Random(seed);
     }
 
-    /** Whether the store may be asked now. */
-    boolean may(long now) {
-        return !open || now - openUntil >= 0;
+    /** Whether an exchange with the store may start now. */
+    boolean allowsExchange(long now) {
+        return !open || now - openUntilNanos >= 0;
     }
 
-    /** Whether it is thought to be of no use just now. */
-    boolean open() {
+    /** Whether the circuit is open: the store is considered unusable. */
+    boolean isOpen() {
         return open;
     }
 
-    /** It has answered, after so long. */
-    void answered(long took, long now) {
-        if (took > limits.slow) {
-            failed(now);
+    /** Records an exchange that completed; a slow one counts as a failure. */
+    void recordCompletion(long tookNanos, long now) {
+        if (tookNanos > limits.slowReplyNanos) {
+            recordFailure(now);
             return;
         }
-        inRow = 0;
+        consecutiveFailures = 0;
         open = false;
-        pause = 0;
+        pauseNanos = 0;
     }
 
-    /** It has not, or with an error. */
-    void failed(long now) {
-        inRow++;
-        if (open || inRow >= limits.misses) {
-            pause = Math.min(limits.longestPause, pause == 0 ? limits.firstPause : 2 * pause);
+    /** Records an exchange that failed or timed out. */
+    void recordFailure(long now) {
+        consecutiveFailures++;
+        if (open || consecutiveFailures >= limits.failureThreshold) {
+            pauseNanos = Math.min(limits.maxPauseNanos, pauseNanos == 0 ? limits.firstPauseNanos : 2 * pauseNanos);
             open = true;
-            openUntil = now + pause / 2 + (long) (random.nextDouble() * pause / 2);
+            openUntilNanos = now + pauseNanos / 2 + (long) (random.nextDouble() * pauseNanos / 2);
         }
     }
 }
--- a/src/main/java/pondridge/store/StoreLink.java
+++ b/src/main/java/pondridge/store/StoreConnection.java
@@ -32,43 +32,44 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to the store, and one exchange on it at a time: some commands out together, as many replies
- * back. An exchange has its time; one that runs out of it, or meets anything odd, ends the connection, so
- *  that
- * no late reply is taken for another's. On the event loop only.
+ * A connection to the store that carries one exchange at a time: several commands sent together, and as many
+ * replies. An exchange that times out or meets an unexpected message closes the connection, so that no late
+ * reply is taken for the reply of a later exchange. Confined to the event loop.
  */
-final class StoreLink {
-    private static final int LONGEST_LINE = 4 << 10;
-    private static final int MOST_ELEMENTS = 4_096;
-    private static final int MOST_DEPTH = 4;
+final class StoreConnection {
+    private static final int MAX_LINE_BYTES = 4 << 10;
+    private static final int MAX_ARRAY_ELEMENTS = 4_096;
+    private static final int MAX_ARRAY_DEPTH = 4;
 
-    /** Replies to one exchange: texts, numbers, lists, {@code null} for nothing, {@link StoreError}. */
+    /**
+     * An error reply. The other values of replies are strings, numbers, lists, and {@code null} for an absent
+     * value.
+     */
     record StoreError(String text) {}
 
     private final EventLoop loop;
     private final StoreSettings settings;
     private Channel channel;
     private List<Object> replies;
-    private int wanted;
-    private long bytes;
-    private Consumer<List<Object>> asker;
-    private Future<?> limit;
+    private int expectedReplies;
+    private long receivedBytes;
+    private Consumer<List<Object>> pendingCallback;
+    private Future<?> timeout;
 
-    StoreLink(EventLoop loop, StoreSettings settings) {
+    StoreConnection(EventLoop loop, StoreSettings settings) {
         this.loop = loop;
         this.settings = settings;
     }
 
     /**
-     * Sends some commands; {@code told} gets as many replies, or null if anything went wrong. Only when no
-     *  other
-     * exchange is open.
+     * Sends some commands; {@code callback} receives as many replies, or null if anything went wrong. Only when
+     * no other exchange is open.
      */
-    void ask(List<List<String>> commands, Consumer<List<Object>> told) {
-        asker = told;
-        limit = loop.schedule(() -> end(null), settings.within(), TimeUnit.NANOSECONDS);
+    void send(List<List<String>> commands, Consumer<List<Object>> callback) {
+        pendingCallback = callback;
+        timeout = loop.schedule(() -> complete(null), settings.timeoutNanos(), TimeUnit.NANOSECONDS);
         replies = new ArrayList<>();
-        bytes = 0;
+        receivedBytes = 0;
         if (channel != null && channel.isActive()) {
             write(commands, 0);
         } else {
@@ -80,37 +81,37 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, settings.within() / 1_000_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, settings.timeoutNanos() / 1_000_000))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
+                    protected void initChannel(Channel created) {
                         if (settings.tls() != null) {
-                            made.pipeline()
+                            created.pipeline()
                                     .addLast(settings.tls()
                                             .newHandler(
-                                                    made.alloc(),
+                                                    created.alloc(),
                                                     settings.serverName(),
                                                     settings.address().getPort()));
                         }
-                        made.pipeline()
+                        created.pipeline()
                                 .addLast(
-                                        new Bound(),
-                                        new RedisDecoder(LONGEST_LINE, FixedRedisMessagePool.INSTANCE),
+                                        new ReplySizeLimiter(),
+                                        new RedisDecoder(MAX_LINE_BYTES, FixedRedisMessagePool.INSTANCE),
                                         new RedisBulkStringAggregator(),
-                                        new RedisArrayAggregator(MOST_ELEMENTS, MOST_DEPTH),
+                                        new RedisArrayAggregator(MAX_ARRAY_ELEMENTS, MAX_ARRAY_DEPTH),
                                         new RedisEncoder(),
-                                        new Replies());
+                                        new ReplyHandler());
                     }
                 })
                 .connect(settings.address())
-                .addListener((ChannelFutureListener) made -> {
-                    if (!made.isSuccess()) {
-                        end(null);
-                    } else if (asker == null) {
-                        made.channel().close();
+                .addListener((ChannelFutureListener) connected -> {
+                    if (!connected.isSuccess()) {
+                        complete(null);
+                    } else if (pendingCallback == null) {
+                        connected.channel().close();
                     } else {
-                        channel = made.channel();
+                        channel = connected.channel();
                         List<List<String>> all = new ArrayList<>(commands);
                         if (!settings.login().password().isEmpty()) {
                             String password = settings.login().password();
@@ -125,44 +126,44 @@
                 });
     }
 
-    /** The replies to the first {@code ahead} of them must be good and are not told. */
-    private void write(List<List<String>> commands, int ahead) {
-        wanted = commands.size();
-        if (ahead > 0) {
-            Consumer<List<Object>> of = asker;
-            asker = got -> {
-                boolean known = got != null && !(got.get(0) instanceof StoreError);
-                if (!known) {
+    /** The replies to the first {@code loginCommands} must not be errors and are not passed on. */
+    private void write(List<List<String>> commands, int loginCommands) {
+        expectedReplies = commands.size();
+        if (loginCommands > 0) {
+            Consumer<List<Object>> callback = pendingCallback;
+            pendingCallback = received -> {
+                boolean loggedIn = received != null && !(received.get(0) instanceof StoreError);
+                if (!loggedIn) {
                     reset();
                 }
-                of.accept(known ? got.subList(ahead, got.size()) : null);
+                callback.accept(loggedIn ? received.subList(loginCommands, received.size()) : null);
             };
         }
         for (List<String> command : commands) {
-            List<RedisMessage> words = new ArrayList<>();
-            for (String word : command) {
-                words.add(
-                        new FullBulkStringRedisMessage(Unpooled.wrappedBuffer(word.getBytes(StandardCharsets.UTF_8))));
+            List<RedisMessage> arguments = new ArrayList<>();
+            for (String argument : command) {
+                arguments.add(new FullBulkStringRedisMessage(
+                        Unpooled.wrappedBuffer(argument.getBytes(StandardCharsets.UTF_8))));
             }
-            channel.write(new ArrayRedisMessage(words));
+            channel.write(new ArrayRedisMessage(arguments));
         }
         channel.flush();
     }
 
-    private void end(List<Object> got) {
-        Consumer<List<Object>> told = asker;
-        if (told == null) {
+    private void complete(List<Object> received) {
+        Consumer<List<Object>> callback = pendingCallback;
+        if (callback == null) {
             return;
         }
-        asker = null;
-        limit.cancel(false);
-        if (got == null) {
+        pendingCallback = null;
+        timeout.cancel(false);
+        if (received == null) {
             reset();
         }
-        told.accept(got);
+        callback.accept(received);
     }
 
-    /** The next exchange begins on a new connection. */
+    /** Closes the connection; the next exchange opens a new one. */
     void reset() {
         Channel old = channel;
         channel = null;
@@ -172,7 +173,7 @@
     }
 
     void close() {
-        asker = null;
+        pendingCallback = null;
         reset();
     }
 
@@ -196,12 +197,12 @@
         return new StoreError(message instanceof ErrorRedisMessage error ? error.content() : message.toString());
     }
 
-    /** Ends an exchange that brings more than it may. */
-    private final class Bound extends ChannelInboundHandlerAdapter {
+    /** Closes the connection when the replies of one exchange exceed the size limit. */
+    private final class ReplySizeLimiter extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            bytes += ((ByteBuf) message).readableBytes();
-            if (bytes > settings.replyBytes()) {
+            receivedBytes += ((ByteBuf) message).readableBytes();
+            if (receivedBytes > settings.maxReplyBytes()) {
                 ReferenceCountUtil.release(message);
                 context.close();
             } else {
@@ -210,24 +211,24 @@
         }
     }
 
-    private final class Replies extends SimpleChannelInboundHandler<RedisMessage> {
+    private final class ReplyHandler extends SimpleChannelInboundHandler<RedisMessage> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, RedisMessage message) {
-            if (asker == null || context.channel() != channel) {
-                // Nobody asked for it: whatever comes next can't be told apart.
+            if (pendingCallback == null || context.channel() != channel) {
+                // An unsolicited reply: later replies could no longer be matched to their commands.
                 context.close();
                 return;
             }
             replies.add(value(message));
-            if (replies.size() == wanted) {
-                end(replies);
+            if (replies.size() == expectedReplies) {
+                complete(replies);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (context.channel() == channel) {
-                end(null);
+                complete(null);
                 channel = null;
             }
         }
--- a/src/main/java/pondridge/store/StoreSettings.java
+++ b/src/main/java/pondridge/store/StoreSettings.java
@@ -17,45 +17,45 @@
 import pondridge.settings.SettingsFile;
 
 /**
- * What is shared, where, and how much others are heard; times in nanoseconds.
+ * Settings of the shared store.
  *
- * @param address of the store
+ * @param address the store's address
  * @param tls null for plain text
- * @param serverName that the store's certificate must name
- * @param login for {@code AUTH}
- * @param prefix of all keys: sidecars with the same one are a fleet
- * @param member this sidecar's name, one of its own
- * @param period a report is written and others are read so often
- * @param within how long one exchange with the store may take
- * @param read reports of other sidecars that are read each time, drawn at random
- * @param servers that a report tells of at most
- * @param replyBytes of one exchange at most
- * @param slow how many times slower than usual an attempt is bad
- * @param hearsay how others are heard
- * @param circuit when the store is left alone
- * @param shares budgets that all members have together
+ * @param serverName the name that the store's certificate must have
+ * @param login the credentials for {@code AUTH}
+ * @param keyPrefix prefix of all keys; sidecars with the same prefix form a fleet
+ * @param member this sidecar's name, unique in its fleet
+ * @param periodNanos interval at which the own report is written and others are read
+ * @param timeoutNanos limit on the duration of one exchange with the store
+ * @param reportsPerExchange reports of other sidecars that are read each time, chosen at random
+ * @param maxServers limit on the servers in a report
+ * @param maxReplyBytes limit on the replies of one exchange
+ * @param badSlowdown an attempt that took more than this many times the baseline is bad
+ * @param reportLimits limits on the use of peer reports
+ * @param circuitLimits when the circuit breaker opens, and for how long
+ * @param leases leases of budgets that all members share
  */
 public record StoreSettings(
         InetSocketAddress address,
         SslContext tls,
         String serverName,
         Login login,
-        String prefix,
+        String keyPrefix,
         String member,
-        long period,
-        long within,
-        int read,
-        int servers,
-        int replyBytes,
-        double slow,
-        Hearsay.Limits hearsay,
-        StoreCircuit.Limits circuit,
-        Shares shares) {
+        long periodNanos,
+        long timeoutNanos,
+        int reportsPerExchange,
+        int maxServers,
+        int maxReplyBytes,
+        double badSlowdown,
+        Hearsay.Limits reportLimits,
+        StoreCircuit.Limits circuitLimits,
+        LeaseSettings leases) {
     /**
-     * Who this is to the store.
+     * Credentials for the store.
      *
-     * @param user {@code default} where none is told
-     * @param password empty for none; never shown
+     * @param user {@code default} if none is configured
+     * @param password empty for none; never printed
      */
     public record Login(String user, String password) {
         @Override
@@ -65,19 +65,20 @@
     }
 
     /**
-     * Budgets that all members have together.
+     * Leases of budgets that all members share.
      *
-     * @param coldPerSecond requests a second that one warm server is known to take; what a cold one is sent
-     * by all together is a part of it. 0 leaves cold servers to each sidecar's own split
-     * @param slot parts are lent for so long at a time
-     * @param coldServers at a time, the youngest
-     * @param settle members must have been counted for so long before their number is gone by
+     * @param warmServerPerSecond requests a second that one warm server is known to take; all sidecars
+     *     together send a cold server a fraction of it. 0 takes no leases for cold servers: each sidecar
+     *     limits its own requests
+     * @param slotNanos how long a lease is valid
+     * @param maxColdServers cold servers with leases at a time, the most recently started first
+     * @param settleNanos how long members must have been counted before their number is used
      */
-    public record Shares(double coldPerSecond, long slot, int coldServers, long settle) {}
+    public record LeaseSettings(double warmServerPerSecond, long slotNanos, int maxColdServers, long settleNanos) {}
 
-    private static final String NAME = "[A-Za-z0-9._-]{1,64}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,64}";
 
-    /** Reads the section {@code [store]}; null where the file has none or it is not switched on. */
+    /** Reads the section {@code [store]}; null if the file has none, or it has no address. */
     public static StoreSettings of(SettingsFile file, Path folder) {
         Section section = file.section("store");
         InetSocketAddress address = address(section, section.text("address", "none"));
@@ -86,7 +87,7 @@
         SslContext tls = tls(section, folder, section.text("authorities", "none"));
         Login login = new Login(
                 section.text("user", "default"), password(section, folder, section.text("password_file", "none")));
-        String prefix = name(section, "prefix", section.text("prefix", "bankflow"));
+        String keyPrefix = name(section, "prefix", section.text("prefix", "bankflow"));
         String member = name(
                 section,
                 "member",
@@ -96,28 +97,28 @@
                                 Locale.ROOT,
                                 "%016x",
                                 ThreadLocalRandom.current().nextLong())));
-        long period = section.time("period", "1s", "20ms", "1min");
-        long within = section.time("within", "250ms", "1ms", "10s");
-        if (within > period) {
+        long periodNanos = section.time("period", "1s", "20ms", "1min");
+        long timeoutNanos = section.time("within", "250ms", "1ms", "10s");
+        if (timeoutNanos > periodNanos) {
             throw section.contradiction("within", "longer than period: exchanges would overlap");
         }
-        Shares shares = new Shares(
+        LeaseSettings leases = new LeaseSettings(
                 section.fraction("cold_per_second", 0, 0, 1e6),
                 section.time("slot", "1500ms", "20ms", "1min"),
                 section.number("cold_servers", 16, 1, 256),
                 section.time("settle", "10s", "10ms", "10min"));
-        if (shares.slot < period + period / 4) {
-            throw section.contradiction("slot", "less than 5/4 of period: some slots would not be asked for");
+        if (leases.slotNanos < periodNanos + periodNanos / 4) {
+            throw section.contradiction("slot", "less than 5/4 of period: no lease would be requested for some slots");
         }
-        StoreSettings read = new StoreSettings(
+        StoreSettings settings = new StoreSettings(
                 address,
                 tls,
                 serverName,
                 login,
-                prefix,
+                keyPrefix,
                 member,
-                period,
-                within,
+                periodNanos,
+                timeoutNanos,
                 section.number("read", 16, 1, 256),
                 section.number("servers", 256, 1, 4096),
                 section.size("reply_bytes", "1MiB", "16KiB", "64MiB"),
@@ -132,25 +133,25 @@
                         section.number("misses", 2, 1, 1000),
                         section.time("pause", "500ms", "10ms", "10min"),
                         section.time("longest_pause", "30s", "10ms", "60min")),
-                shares);
-        return address == null ? null : read;
+                leases);
+        return address == null ? null : settings;
     }
 
     private static String name(Section section, String key, String text) {
-        if (!text.matches(NAME)) {
+        if (!text.matches(NAME_PATTERN)) {
             throw section.contradiction(key, "expected 1 to 64 letters, digits, dots, dashes, found " + text);
         }
         return text;
     }
 
     private static SslContext tls(Section section, Path folder, String authorities) {
-        boolean wanted = "tls".equals(section.word("security", "plain", List.of("plain", "tls")));
-        if (!wanted && !authorities.equals("none")) {
-            throw section.contradiction("authorities", "of no use without security = \"tls\"");
+        boolean enabled = "tls".equals(section.word("security", "plain", List.of("plain", "tls")));
+        if (!enabled && !authorities.equals("none")) {
+            throw section.contradiction("authorities", "has no effect without security = \"tls\"");
         }
         try {
             SslContextBuilder builder = SslContextBuilder.forClient().sslProvider(SslProvider.JDK);
-            return !wanted
+            return !enabled
                     ? null
                     : authorities.equals("none")
                             ? builder.build()
@@ -169,7 +170,7 @@
         try {
             return Files.readString(folder.resolve(file)).strip();
         } catch (IOException e) {
-            throw section.contradiction("password_file", "can't be read: " + folder.resolve(file));
+            throw section.contradiction("password_file", "cannot be read: " + folder.resolve(file));
         }
     }
 
@@ -185,7 +186,7 @@
                 return new InetSocketAddress(host, port);
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw section.contradiction("address", "expected an address and a port, found \"" + text + '"');
     }
--- a/src/main/java/pondridge/store/package-info.java
+++ b/src/main/java/pondridge/store/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Knowledge that sidecars share through a store that speaks the protocol of Redis. What the store says is a
- *  hint:
- * no request ever waits for it, and nothing that a rule depends on is read from it.
+ * Statistics and budget leases that sidecars share through a store that speaks the Redis protocol. Data from
+ * the store is only a hint: no request waits for it, and no rule depends on it.
  */
 package pondridge.store;
--- a/src/test/java/pondridge/store/LeasesTest.java
+++ b/src/test/java/pondridge/store/LeasesTest.java
@@ -13,140 +13,150 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import pondridge.store.Budgets.Budget;
-import pondridge.store.Leases.Ask;
 import pondridge.store.Leases.Grant;
+import pondridge.store.Leases.LeaseRequest;
 
-/** Parts of a budget that many take from one counter, in true time that none of them knows. */
+/** Leases of a budget that many members take from one counter, each with a clock that differs from true time. */
 class LeasesTest {
     private static final long MS = 1_000_000;
     private static final long SLOT = 1_500;
     private static final long SECOND = 1_000 * MS;
 
-    /** Each with a clock of its own that is off by any amount. */
+    /** A member whose clock is off by an arbitrary amount. */
     private static final class Member {
         private final Leases leases;
-        private final long clock;
+        private final long clockOffset;
         private final double weight;
 
-        Member(long seed, long clock, double weight) {
+        Member(long seed, long clockOffset, double weight) {
             this.leases = new Leases(SLOT, seed);
-            this.clock = clock;
+            this.clockOffset = clockOffset;
             this.weight = weight;
         }
     }
 
-    /** Of a grant: what of it holds, and when, in true milliseconds. */
-    private record Held(long count, double from, double until) {}
+    /** A grant, with its validity in milliseconds of true time. */
+    private record ValidGrant(long count, double from, double until) {}
 
     /**
-     * Up to 64 members, replies that take up to 400 ms each way, and counters that are lost in one of three
-     * worlds: whatever holds at one time is never more than the budget, or than all may ask for together.
+     * Up to 64 members, messages that take up to 400 ms each way, and counters that are lost in one run of
+     * three. The leases valid at one time never exceed the budget or, with lost counters, what all members
+     * together may request.
      */
     @Test
-    void whatHoldsAtATimeIsWithinTheBudget() {
-        long heldMost = 0;
+    void leasesValidAtATimeStayWithinTheBudget() {
+        long totalGranted = 0;
         for (long seed = 0; seed < 1_000; seed++) {
             Random random = new Random(seed);
-            double loses = seed % 3 == 0 ? 0.2 : 0;
+            double lossProbability = seed % 3 == 0 ? 0.2 : 0;
             int count = 1 + random.nextInt(64);
-            double most = 1 + random.nextInt(400);
+            double capacity = 1 + random.nextInt(400);
             Members fleet = new Members(30 * SECOND, 0);
-            fleet.seen(count, 0);
+            fleet.recordCount(count, 0);
             List<Member> members = new ArrayList<>();
             double weights = 0;
             for (int i = 0; i < count; i++) {
                 double weight = random.nextInt(4) == 0 ? 10 * random.nextDouble() : 1;
-                weights += Math.max(Leases.LEAST_SHARES, Math.min(Leases.MOST_SHARES, weight));
+                weights += Math.max(Leases.MIN_EVEN_SHARES, Math.min(Leases.MAX_EVEN_SHARES, weight));
                 members.add(new Member(seed + i, random.nextLong() >> 20, weight));
             }
             Map<String, Long> counters = new HashMap<>();
-            List<Held> held = new ArrayList<>();
+            List<ValidGrant> grants = new ArrayList<>();
             for (int i = 0; i < 40 * count; i++) {
-                double at = 1_000_000 + i * 900.0 / count;
+                double sentMillis = 1_000_000 + i * 900.0 / count;
                 Member member = members.get(random.nextInt(count));
-                double there = at + random.nextDouble() * 400;
-                double back = there + random.nextDouble() * 400;
-                long storeMs = (long) there;
-                for (Ask ask : member.leases.asks(
-                        List.of(new Budget("b", most)), fleet.most(SECOND), member.weight, (long) at)) {
-                    String key = ask.name() + ask.slot();
-                    if (random.nextDouble() < loses) {
+                double storeMillisExact = sentMillis + random.nextDouble() * 400;
+                double receivedMillis = storeMillisExact + random.nextDouble() * 400;
+                long storeMillis = (long) storeMillisExact;
+                for (LeaseRequest request : member.leases.requests(
+                        List.of(new Budget("b", capacity)), fleet.size(SECOND), member.weight, (long) sentMillis)) {
+                    String key = request.name() + request.slot();
+                    if (random.nextDouble() < lossProbability) {
                         counters.remove(key);
                     }
-                    long counter = counters.merge(key, ask.want(), Long::sum);
-                    Grant grant = member.leases.told(
-                            ask, counter, storeMs, nanos(at) + member.clock, nanos(back) + member.clock);
-                    assertTrue(grant.count() >= 0 && grant.count() <= ask.want(), "seed " + seed);
-                    held.add(new Held(
+                    long counter = counters.merge(key, request.amount(), Long::sum);
+                    Grant grant = member.leases.grantFor(
+                            request,
+                            counter,
+                            storeMillis,
+                            nanos(sentMillis) + member.clockOffset,
+                            nanos(receivedMillis) + member.clockOffset);
+                    assertTrue(grant.count() >= 0 && grant.count() <= request.amount(), "seed " + seed);
+                    grants.add(new ValidGrant(
                             grant.count(),
-                            (grant.from() - member.clock) / (double) MS,
-                            (grant.until() - member.clock) / (double) MS));
+                            (grant.fromNanos() - member.clockOffset) / (double) MS,
+                            (grant.untilNanos() - member.clockOffset) / (double) MS));
                 }
             }
-            double bound = loses == 0 ? most : most * weights / count + count;
-            for (Held each : held) {
-                // What holds when this one begins, and the whole of it counts.
-                long sum = held.stream()
+            double bound = lossProbability == 0 ? capacity : capacity * weights / count + count;
+            for (ValidGrant each : grants) {
+                // The sum of the leases that are valid when this one begins, each counted in full.
+                long sum = grants.stream()
                         .filter(other -> other.from <= each.from && each.from < other.until)
-                        .mapToLong(Held::count)
+                        .mapToLong(ValidGrant::count)
                         .sum();
                 assertTrue(each.from >= each.until || sum <= bound, "seed " + seed + ": " + sum + " of " + bound);
-                heldMost += each.count;
+                totalGranted += each.count;
             }
         }
-        assertTrue(heldMost > 100_000, "little was lent: " + heldMost);
+        assertTrue(totalGranted > 100_000, "few uses were granted: " + totalGranted);
     }
 
     private static long nanos(double ms) {
         return (long) (ms * MS);
     }
 
-    /** Who asks gets one part a slot; a store whose clock is set back or forward in between lends nothing. */
+    /** A member gets one lease per slot, and none if the store's clock is set back or forward in between. */
     @Test
-    void aPartASlotAndNoneByAClockThatWasSet() {
+    void oneLeasePerSlotAndNoneAfterAClockChange() {
         Leases leases = new Leases(SLOT, 1);
         Set<Long> slots = new HashSet<>();
         for (long ms = 0; ms < 60_000; ms += 300) {
-            for (Ask ask : leases.asks(List.of(new Budget("b", 10)), 1, 1, ms)) {
-                assertTrue(slots.add(ask.slot()));
-                assertTrue(ask.slot() * SLOT > ms && ask.slot() * SLOT <= ms + SLOT);
-                assertEquals(10, leases.told(ask, ask.want(), ms, 0, 0).count());
-                assertNull(leases.told(ask, ask.want(), ms - 3_600_000, 0, 0));
-                assertNull(leases.told(ask, ask.want(), ms + 3_600_000, 0, 0));
-                assertEquals(0, leases.told(ask, -1_000_000, ms, 0, 0).count(), "a counter that can't be");
-                assertEquals(0, leases.told(ask, Long.MAX_VALUE, ms, 0, 0).count());
+            for (LeaseRequest request : leases.requests(List.of(new Budget("b", 10)), 1, 1, ms)) {
+                assertTrue(slots.add(request.slot()));
+                assertTrue(request.slot() * SLOT > ms && request.slot() * SLOT <= ms + SLOT);
+                assertEquals(
+                        10, leases.grantFor(request, request.amount(), ms, 0, 0).count());
+                assertNull(leases.grantFor(request, request.amount(), ms - 3_600_000, 0, 0));
+                assertNull(leases.grantFor(request, request.amount(), ms + 3_600_000, 0, 0));
+                assertEquals(0, leases.grantFor(request, -1_000_000, ms, 0, 0).count(), "an impossible counter");
+                assertEquals(
+                        0, leases.grantFor(request, Long.MAX_VALUE, ms, 0, 0).count());
             }
         }
         assertEquals(40, slots.size(), 1);
         assertEquals(
-                1, leases.asks(List.of(new Budget("b", 10)), 1, 1, 7_200_000).size(), "an hour ahead");
-        assertEquals(1, leases.asks(List.of(new Budget("b", 10)), 1, 1, 30_000).size(), "and back");
+                1,
+                leases.requests(List.of(new Budget("b", 10)), 1, 1, 7_200_000).size(),
+                "an hour ahead");
+        assertEquals(
+                1, leases.requests(List.of(new Budget("b", 10)), 1, 1, 30_000).size(), "and back");
     }
 
-    /** A store that forgets members makes no part larger; who just came goes by nothing yet. */
+    /** A store that loses members makes no lease larger; a new member uses no count at first. */
     @Test
-    void membersAreTheMostThatWereSeenLately() {
+    void fleetSizeIsTheLargestRecentCount() {
         Members fleet = new Members(30 * SECOND, 10 * SECOND);
         for (int i = 0; i < 20; i++) {
-            fleet.seen(i < 5 ? 64 : 1, i * SECOND);
-            assertEquals(64, fleet.most(i * SECOND));
-            assertEquals(i >= 10, fleet.settled(i * SECOND));
+            fleet.recordCount(i < 5 ? 64 : 1, i * SECOND);
+            assertEquals(64, fleet.size(i * SECOND));
+            assertEquals(i >= 10, fleet.isSettled(i * SECOND));
         }
-        assertEquals(64, fleet.most(34 * SECOND));
-        assertEquals(1, fleet.most(35 * SECOND), "their last word is 30 s old");
-        assertEquals(false, fleet.settled(60 * SECOND), "nothing was heard for long");
-        fleet.rates(List.of(0.0, 30.0, 20.0), 10);
-        assertEquals(0.5, fleet.weight(10), 1e-9);
+        assertEquals(64, fleet.size(34 * SECOND));
+        assertEquals(1, fleet.size(35 * SECOND), "their last count is 30 s old");
+        assertEquals(false, fleet.isSettled(60 * SECOND), "no count for a long time");
+        fleet.recordRates(List.of(0.0, 30.0, 20.0), 10);
+        assertEquals(0.5, fleet.trafficWeight(10), 1e-9);
     }
 
     @Test
-    void demandIsWhatIsAskedOverSomeTime() {
-        Demand demand = new Demand();
+    void requestRateIsSmoothed() {
+        Demand requestRate = new Demand();
         for (long i = 0; i <= 100; i++) {
-            demand.asked(50 * i, i * SECOND);
+            requestRate.recordTotal(50 * i, i * SECOND);
         }
-        assertEquals(50, demand.perSecond(), 0.1);
-        demand.asked(50 * 100, 101 * SECOND);
-        assertTrue(demand.perSecond() > 40, "one quiet second");
+        assertEquals(50, requestRate.perSecond(), 0.1);
+        requestRate.recordTotal(50 * 100, 101 * SECOND);
+        assertTrue(requestRate.perSecond() > 40, "after one second without requests");
     }
 }
--- a/src/test/java/pondridge/store/SharedStoreTest.java
+++ b/src/test/java/pondridge/store/SharedStoreTest.java
@@ -36,7 +36,7 @@
 import pondridge.standin.redis.RedisStandin;
 import redis.clients.jedis.Jedis;
 
-/** Sidecars that share through the stand-in store over sockets, while it fails in each way it can. */
+/** Sidecars that use the stand-in store over sockets, with each failure that it can simulate. */
 class SharedStoreTest {
     private static final long MS = 1_000_000;
     private static final int WAIT_MS = 1_000;
@@ -76,28 +76,28 @@
                 read.tls(),
                 read.serverName(),
                 new StoreSettings.Login("app", "secret"),
-                read.prefix(),
+                read.keyPrefix(),
                 read.member(),
-                read.period(),
-                read.within(),
-                read.read(),
-                read.servers(),
-                read.replyBytes(),
-                read.slow(),
-                read.hearsay(),
-                read.circuit(),
-                read.shares());
+                read.periodNanos(),
+                read.timeoutNanos(),
+                read.reportsPerExchange(),
+                read.maxServers(),
+                read.maxReplyBytes(),
+                read.badSlowdown(),
+                read.reportLimits(),
+                read.circuitLimits(),
+                read.leases());
     }
 
-    /** A member that sees s0 take six times the usual, all the time. */
-    private void seesSlow(String name) throws Exception {
+    /** Starts a member for which attempts at s0 always take 6 s, and attempts at the other servers 2 ms. */
+    private void startMemberReportingSlowServer(String name) throws Exception {
         loop.submit(() -> {
                     SharedStore member = new SharedStore(
-                            loop, settings(name), () -> 0, () -> SERVERS, doubted -> {}, name.hashCode());
+                            loop, settings(name), () -> 0, () -> SERVERS, suspects -> {}, name.hashCode());
                     members.add(member);
                     loop.scheduleAtFixedRate(
                             () -> SERVERS.forEach(
-                                    each -> member.ended(each, 0, true, (each.equals("s0") ? 6_000 : 2) * MS)),
+                                    each -> member.attemptEnded(each, 0, true, (each.equals("s0") ? 6_000 : 2) * MS)),
                             0,
                             5,
                             TimeUnit.MILLISECONDS);
@@ -105,97 +105,97 @@
                 .get();
     }
 
-    private volatile Map<String, Double> doubted = Map.of();
+    private volatile Map<String, Double> suspects = Map.of();
 
-    private SharedStore hears() throws Exception {
+    /** Starts a member without attempts, which records what peers report. */
+    private SharedStore startListener() throws Exception {
         return loop.submit(() -> {
-                    SharedStore member =
-                            new SharedStore(loop, settings("hears"), () -> 0, () -> SERVERS, told -> doubted = told, 7);
+                    SharedStore member = new SharedStore(
+                            loop, settings("hears"), () -> 0, () -> SERVERS, reported -> suspects = reported, 7);
                     members.add(member);
                     return member;
                 })
                 .get();
     }
 
-    private long count(SharedStore member, String what) {
-        return loop.submit(() -> member.counts().getOrDefault(what, 0L))
+    private long count(SharedStore member, String counter) {
+        return loop.submit(() -> member.counts().getOrDefault(counter, 0L))
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /**
-     * Each failure in turn: nobody is doubted while the store can't be heard, and the doubt is there again
-     *  when
-     * it can. One sidecar alone is not enough, at first.
+     * Runs each failure in turn. No server is suspected while the store is unavailable, and the slow server is
+     * suspected again afterwards. The report of a single sidecar is not enough at the start.
      */
     @Test
-    void whateverTheStoreDoesNothingIsMadeUp() throws Exception {
-        seesSlow("one");
-        SharedStore hears = hears();
-        Direct.until(() -> count(hears, "exchanges") > 20, "some exchanges");
-        assertEquals(Map.of(), doubted, "one member is no quorum");
-        seesSlow("two");
+    void noServerIsSuspectedWhileTheStoreIsUnavailable() throws Exception {
+        startMemberReportingSlowServer("one");
+        SharedStore listener = startListener();
+        Direct.until(() -> count(listener, "exchanges") > 20, "some exchanges");
+        assertEquals(Map.of(), suspects, "one member is not a quorum");
+        startMemberReportingSlowServer("two");
         Map<String, Runnable> faults = new LinkedHashMap<>();
         faults.put("stopped", () -> {
             store.stop();
-            awaitNobody();
+            awaitNoSuspects();
             store.restart();
         });
         faults.put("stalled", () -> {
             store.faults().stall(true);
-            awaitNobody();
+            awaitNoSuspects();
             store.faults().stall(false);
         });
         faults.put("slow", () -> {
             store.faults().delay(200);
-            awaitNobody();
+            awaitNoSuspects();
             store.faults().delay(0);
         });
-        faults.put("half replies", () -> {
+        faults.put("partial replies", () -> {
             store.faults().halfReplies(true);
-            awaitNobody();
+            awaitNoSuspects();
             store.faults().halfReplies(false);
         });
         faults.put("loading", () -> {
             store.faults().loading(true);
-            awaitNobody();
+            awaitNoSuspects();
             store.faults().loading(false);
         });
         faults.put("wrong types", () -> {
             store.faults().wrongTypes(true);
-            awaitNobody();
+            awaitNoSuspects();
             store.faults().wrongTypes(false);
         });
         faults.put("refusing", () -> {
             store.faults().refuse(true);
             store.stop();
             store.restart();
-            awaitNobody();
+            awaitNoSuspects();
             store.faults().refuse(false);
         });
-        faults.put("a replica that lags takes over", store::failOver);
+        faults.put("failover to a lagging replica", store::failOver);
         faults.put("all keys lost", store::loseAll);
-        faults.put("its clock an hour ahead", () -> store.faults().clock(3_600_000));
-        faults.put("its clock an hour behind", () -> store.faults().clock(-3_600_000));
+        faults.put("clock an hour ahead", () -> store.faults().clock(3_600_000));
+        faults.put("clock an hour behind", () -> store.faults().clock(-3_600_000));
         for (Map.Entry<String, Runnable> each : faults.entrySet()) {
             Direct.until(
-                    () -> doubted.equals(Map.of("s0", doubted.getOrDefault("s0", 0.0))) && !doubted.isEmpty(),
-                    "s0 is doubted, before: " + each.getKey());
+                    () -> suspects.equals(Map.of("s0", suspects.getOrDefault("s0", 0.0))) && !suspects.isEmpty(),
+                    "s0 is suspected, before: " + each.getKey());
             each.getValue().run();
         }
-        Direct.until(() -> doubted.containsKey("s0"), "s0 is doubted, at the end");
+        Direct.until(() -> suspects.containsKey("s0"), "s0 is suspected, at the end");
     }
 
-    private void awaitNobody() {
+    private void awaitNoSuspects() {
         try {
-            Direct.until(() -> doubted.isEmpty(), "nobody is doubted");
+            Direct.until(() -> suspects.isEmpty(), "no server is suspected");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** What s0 gets of a fleet's requests while it is slow; with others that have seen it, or alone. */
-    private double share(boolean shared, boolean stopped) throws Exception {
+    /** The fraction of a fleet's requests that s0 receives while it is slow, with or without reports of peers. */
+    private double slowServerFraction(boolean shared, boolean stopped) throws Exception {
         try (Fleet fleet = new Fleet(Fleet.options(WAIT_MS))) {
             for (String each : List.of("s0", "s1", "s2", "s3")) {
                 fleet.server(
@@ -204,11 +204,11 @@
                         StandinServer.Protocol.HTTP1,
                         new FaultScript(1, each.equals("s0") ? Map.of(Fault.SLOW, 1.0) : Map.of(), 2 * MS, 6_000 * MS));
             }
-            SharedStore[] its = new SharedStore[1];
-            Set<String> known = ConcurrentHashMap.newKeySet();
+            SharedStore[] started = new SharedStore[1];
+            Set<String> reported = ConcurrentHashMap.newKeySet();
             fleet.start((front, options) -> new Upstreams(front, options, 500), engine -> {
                 if (stopped) {
-                    its[0] = Sharing.begin(
+                    started[0] = Sharing.begin(
                             fleet.loop(),
                             engine,
                             settings("fleet"),
@@ -216,32 +216,32 @@
                             3);
                 } else if (shared) {
                     engine.observe((uid, requestClass, outcome, took) -> {});
-                    its[0] = new SharedStore(
+                    started[0] = new SharedStore(
                             fleet.loop(),
                             settings("fleet"),
                             engine::asked,
                             engine::ready,
-                            told -> {
-                                engine.heard(told);
-                                // What a member finds usual settles first; then s0 is a thousand times slower.
-                                if (told.getOrDefault("s0", 0.0) > 500) {
-                                    known.add("s0");
+                            suspected -> {
+                                engine.heard(suspected);
+                                // The baselines of the peers settle first; then s0 is a thousand times slower.
+                                if (suspected.getOrDefault("s0", 0.0) > 500) {
+                                    reported.add("s0");
                                 }
                             },
                             3);
                 }
             });
-            SharedStore own = its[0];
+            SharedStore member = started[0];
             if (shared && !stopped) {
-                Direct.until(() -> known.contains("s0"), "it has been told of s0");
+                Direct.until(() -> reported.contains("s0"), "s0 is reported as slow");
             } else if (shared) {
                 Direct.until(
                         () -> fleet.loop()
-                                        .submit(() -> own.counts().getOrDefault("exchanges", 0L))
+                                        .submit(() -> member.counts().getOrDefault("exchanges", 0L))
                                         .syncUninterruptibly()
                                         .getNow()
                                 > 10,
-                        "it has asked the store");
+                        "some exchanges");
             }
             CompletableFuture<Void> load = fleet.load(Fleet.mixed(300, 300, WAIT_MS), 1, "share");
             if (stopped) {
@@ -249,34 +249,34 @@
                 store.stop();
                 Direct.until(
                         () -> fleet.loop()
-                                        .submit(() -> own.counts().get("open"))
+                                        .submit(() -> member.counts().get("open"))
                                         .syncUninterruptibly()
                                         .getNow()
                                 > 0,
-                        "it has given the store up");
+                        "the circuit is open");
             }
             Fleet.await(load);
             Verdict verdict = fleet.verdict();
             assertTrue(verdict.clean(), verdict::toString);
             assertTrue(verdict.served() > 250, verdict::toString);
-            if (own != null) {
-                fleet.loop().submit(own::close).get();
+            if (member != null) {
+                fleet.loop().submit(member::close).get();
             }
             return fleet.servers().get(0).runs() / 300.0;
         }
     }
 
     /**
-     * A sidecar that has seen nothing yet avoids a slow server that two others know; a lost store harms
-     * none.
+     * A sidecar without attempts of its own avoids a slow server that two others report. Losing the store must
+     * not harm its requests.
      */
     @Test
-    void aSlowServerIsKnownBeforeItIsMet() throws Exception {
-        double alone = share(false, false);
-        seesSlow("one");
-        seesSlow("two");
-        double shared = share(true, false);
-        double lost = share(true, true);
+    void aReportedSlowServerIsAvoidedFromTheStart() throws Exception {
+        double alone = slowServerFraction(false, false);
+        startMemberReportingSlowServer("one");
+        startMemberReportingSlowServer("two");
+        double shared = slowServerFraction(true, false);
+        double lost = slowServerFraction(true, true);
         System.out.printf(
                 "share of requests to the slow server: alone %.3f, shared %.3f, store lost %.3f%n",
                 alone, shared, lost);
@@ -284,19 +284,20 @@
     }
 
     /**
-     * By TLS from a store that shows the right certificate; from another, or in plain text, nothing is taken.
+     * With TLS only a store that presents the configured name is used. With another certificate, or with a
+     * store without TLS, every exchange must fail and nothing may be written.
      */
     @Test
-    void tlsIsForTheStoreThatIsNamed(@TempDir Path folder) throws Exception {
+    void tlsRequiresTheConfiguredServerName(@TempDir Path folder) throws Exception {
         Certificates certificates = new Certificates(folder);
         certificates.site("store");
         certificates.site("other");
-        for (String shown : List.of("store", "other", "")) {
-            SslContext tls = shown.isEmpty()
+        for (String certificate : List.of("store", "other", "")) {
+            SslContext tls = certificate.isEmpty()
                     ? null
                     : SslContextBuilder.forServer(
-                                    folder.resolve(shown + ".pem").toFile(),
-                                    folder.resolve(shown + ".key").toFile())
+                                    folder.resolve(certificate + ".pem").toFile(),
+                                    folder.resolve(certificate + ".key").toFile())
                             .build();
             try (RedisStandin secured = new RedisStandin(
                     group.next(),
@@ -312,15 +313,17 @@
                                         + "pause = \"20ms\"\nlongest_pause = \"20ms\"\n"),
                         folder);
                 SharedStore member = loop.submit(
-                                () -> new SharedStore(loop, settings, () -> 0, () -> SERVERS, told -> {}, 7))
+                                () -> new SharedStore(loop, settings, () -> 0, () -> SERVERS, reported -> {}, 7))
                         .get();
                 members.add(member);
-                if (shown.equals("store")) {
+                if (certificate.equals("store")) {
                     Direct.until(() -> secured.commands() > 10, "exchanges");
                 } else {
                     Direct.until(() -> count(member, "failures") > 3, "failures");
-                    // A handshake read as plain text may look like some lines; they are no commands of ours.
-                    assertTrue(secured.commands() == 0 || tls == null, "commands to another store");
+                    // A TLS handshake read as plain text may look like some lines, which are not commands.
+                    assertTrue(
+                            secured.commands() == 0 || tls == null,
+                            "commands sent to a store with the wrong certificate");
                     assertEquals(0, secured.used());
                 }
                 loop.submit(member::close).get();
@@ -329,11 +332,10 @@
     }
 
     /**
-     * A password that the store does not want is a mistake, and more of replies than may be ends the
-     * exchange.
+     * A login that the store rejects fails the exchange, and so do replies that exceed the size limit.
      */
     @Test
-    void aStoreThatIsNotWhatWasSetIsNotHeard() throws Exception {
+    void rejectedLoginsAndOversizedRepliesFailTheExchange() throws Exception {
         try (RedisStandin open = new RedisStandin(
                 group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), RedisStandin.Setup.usual())) {
             StoreSettings plain = StoreSettings.of(
@@ -349,22 +351,22 @@
                     null,
                     "",
                     new StoreSettings.Login("app", "x"),
-                    plain.prefix(),
+                    plain.keyPrefix(),
                     "two",
-                    plain.period(),
-                    plain.within(),
-                    plain.read(),
-                    plain.servers(),
-                    plain.replyBytes(),
-                    plain.slow(),
-                    plain.hearsay(),
-                    plain.circuit(),
-                    plain.shares());
+                    plain.periodNanos(),
+                    plain.timeoutNanos(),
+                    plain.reportsPerExchange(),
+                    plain.maxServers(),
+                    plain.maxReplyBytes(),
+                    plain.badSlowdown(),
+                    plain.reportLimits(),
+                    plain.circuitLimits(),
+                    plain.leases());
             assertEquals("Login[app]", secret.login().toString());
-            SharedStore two = member(secret);
-            Direct.until(() -> count(two, "failures") > 3, "it is turned away");
+            SharedStore two = startMember(secret);
+            Direct.until(() -> count(two, "failures") > 3, "the login is rejected");
             assertEquals(0, open.used());
-            SharedStore one = member(plain);
+            SharedStore one = startMember(plain);
             Direct.until(() -> open.used() > 0 && count(one, "exchanges") > 10, "exchanges");
             long before = count(one, "failures");
             try (Jedis other = new Jedis("127.0.0.1", open.address().getPort())) {
@@ -373,61 +375,61 @@
                     other.sadd("bankflow:1:members:" + System.currentTimeMillis() / 10_000, "m" + i);
                 }
             }
-            Direct.until(() -> count(one, "failures") > before + 2, "too much was sent");
+            Direct.until(() -> count(one, "failures") > before + 2, "the replies exceed the limit");
         }
     }
 
-    private SharedStore member(StoreSettings settings) throws Exception {
+    private SharedStore startMember(StoreSettings settings) throws Exception {
         return loop.submit(() -> {
-                    SharedStore member = new SharedStore(loop, settings, () -> 0, () -> SERVERS, told -> {}, 7);
+                    SharedStore member = new SharedStore(loop, settings, () -> 0, () -> SERVERS, reported -> {}, 7);
                     members.add(member);
                     return member;
                 })
                 .get();
     }
 
-    /** A store's trouble: its begin and its end. */
-    private record Trouble(Runnable begin, Runnable end) {}
+    /** A failure of the store, with the actions that begin and end it. */
+    private record StoreFault(Runnable begin, Runnable end) {}
 
-    /** Twenty members that are none: nonsense, and lies that can be read. */
-    private void poison() {
+    /** Writes the reports of twenty members that do not exist: half cannot be parsed, half are false. */
+    private void writeInvalidReports() {
         try (Jedis liar = new Jedis("127.0.0.1", store.address().getPort())) {
             liar.auth("app", "secret");
             long now = System.currentTimeMillis();
             for (int i = 0; i < 20; i++) {
-                String lie = i % 2 == 0
+                String report = i % 2 == 0
                         ? "{\"v\":1,\"at\":" + now + ",\"r\":NaN,\"s\":[[\"s0\",1e9,-1,7]]}"
-                        : new Report(now, 0.001, List.of(new ServerSum("s1", 50, 500_000, 50))).write();
-                liar.set("bankflow:1:report:liar" + i, lie);
+                        : new Report(now, 0.001, List.of(new ServerSum("s1", 50, 500_000, 50))).toJson();
+                liar.set("bankflow:1:report:liar" + i, report);
                 liar.sadd("bankflow:1:members:" + now / 10_000, "liar" + i);
             }
         }
     }
 
-    private Map<String, Trouble> troubles() {
-        Map<String, Trouble> troubles = new LinkedHashMap<>();
-        troubles.put("none", new Trouble(() -> {}, () -> {}));
-        troubles.put("stopped", new Trouble(store::stop, store::restart));
-        troubles.put("stalled", new Trouble(() -> store.faults().stall(true), () -> store.faults()
+    private Map<String, StoreFault> storeFaults() {
+        Map<String, StoreFault> storeFaults = new LinkedHashMap<>();
+        storeFaults.put("none", new StoreFault(() -> {}, () -> {}));
+        storeFaults.put("stopped", new StoreFault(store::stop, store::restart));
+        storeFaults.put("stalled", new StoreFault(() -> store.faults().stall(true), () -> store.faults()
                 .stall(false)));
-        troubles.put("answers in 2 s", new Trouble(() -> store.faults().delay(2_000), () -> store.faults()
+        storeFaults.put("replies after 2 s", new StoreFault(() -> store.faults().delay(2_000), () -> store.faults()
                 .delay(0)));
-        troubles.put("an hour-old picture", new Trouble(() -> store.faults().stale(true), () -> store.faults()
+        storeFaults.put("data an hour old", new StoreFault(() -> store.faults().stale(true), () -> store.faults()
                 .stale(false)));
-        troubles.put("poisoned", new Trouble(this::poison, () -> {}));
-        troubles.put("all keys lost", new Trouble(store::loseAll, () -> {}));
-        troubles.put("a lagging replica took over", new Trouble(store::failOver, () -> {}));
-        return troubles;
+        storeFaults.put("invalid reports", new StoreFault(this::writeInvalidReports, () -> {}));
+        storeFaults.put("all keys lost", new StoreFault(store::loseAll, () -> {}));
+        storeFaults.put("failover to a lagging replica", new StoreFault(store::failOver, () -> {}));
+        return storeFaults;
     }
 
     /**
-     * Three sidecars, one of which never sees the store, and load that doubles; when the store has just
-     * fallen into trouble two servers of six start cold, which can do 20 requests a second: none is pushed
-     * over, and every request has its answer.
+     * Three sidecars, one of them without the store, and load that doubles. Just after the store has failed,
+     * two of six servers start cold, with 20 requests a second each when warm. No server may be overloaded, and
+     * every request must get its response.
      */
     @Test
-    void coldServersAreSparedWhateverTheStoreDoes() throws Exception {
-        for (Map.Entry<String, Trouble> trouble : troubles().entrySet()) {
+    void coldServersAreNotOverloadedWhenTheStoreFails() throws Exception {
+        for (Map.Entry<String, StoreFault> storeFault : storeFaults().entrySet()) {
             try (Fleet fleet = new Fleet(Fleet.options(WAIT_MS))) {
                 for (int i = 0; i < 6; i++) {
                     fleet.server("s" + i, "a", StandinServer.Protocol.HTTP1, new FaultScript(i, Map.of(), 5 * MS, 0));
@@ -449,9 +451,9 @@
                 CompletableFuture<Void> load = fleet.load(Fleet.mixed(200, 200, WAIT_MS), 1, "before");
                 Direct.until(
                         () -> stores.stream().allMatch(each -> count(fleet, each, "exchanges") > 8),
-                        "members that know of each other");
+                        "some exchanges of each member");
                 Fleet.await(load);
-                trouble.getValue().begin.run();
+                storeFault.getValue().begin.run();
                 load = fleet.load(Fleet.mixed(700, 400, WAIT_MS), 2, "after");
                 for (String each : List.of("s4", "s5")) {
                     fleet.servers()
@@ -461,21 +463,21 @@
                 }
                 Fleet.await(load);
                 Verdict verdict = fleet.verdict();
-                long parts = stores.stream()
+                long leases = stores.stream()
                         .mapToLong(each -> count(fleet, each, "parts"))
                         .sum();
-                System.out.println(trouble.getKey() + ": " + parts + " parts, " + verdict);
-                assertTrue(verdict.clean() && verdict.served() > 450, trouble.getKey() + verdict);
-                assertTrue(parts > 0 || !trouble.getKey().equals("none"), "nothing was lent");
+                System.out.println(storeFault.getKey() + ": " + leases + " leases, " + verdict);
+                assertTrue(verdict.clean() && verdict.served() > 450, storeFault.getKey() + verdict);
+                assertTrue(leases > 0 || !storeFault.getKey().equals("none"), "no lease was granted");
                 fleet.loop().submit(() -> stores.forEach(SharedStore::close)).get();
-                trouble.getValue().end.run();
+                storeFault.getValue().end.run();
             }
         }
     }
 
-    private static long count(Fleet fleet, SharedStore of, String what) {
+    private static long count(Fleet fleet, SharedStore member, String counter) {
         return fleet.loop()
-                .submit(() -> of.counts().getOrDefault(what, 0L))
+                .submit(() -> member.counts().getOrDefault(counter, 0L))
                 .syncUninterruptibly()
                 .getNow();
     }
--- a/src/test/java/pondridge/store/StoreModel.java
+++ b/src/test/java/pondridge/store/StoreModel.java
@@ -31,35 +31,36 @@
 import pondridge.standin.ColdStart;
 
 /**
- * Sidecars with the real decision module and the real deciding classes of the store, modelled servers and a
- * modelled store, in virtual time: the same seed plays the same run. A tenth of the servers turn slow after a
- * third of it, two or all start cold at two thirds, when load has risen by half.
+ * Simulates sidecars with the production decision module and the production decision classes of the store,
+ * against modelled servers and a modelled store, in virtual time: a seed determines the run. A tenth of the
+ * servers become slow after one third of a run. Load rises by half at half of it, and two or all servers start
+ * cold at two thirds.
  */
 public final class StoreModel {
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
-    private static final long AIM = 200 * MS;
-    private static final long DEADLINE = 500 * MS;
-    private static final long WORK = 10 * MS;
-    private static final long SLOW = 400 * MS;
-    private static final int THREADS = 8;
-    private static final int READ = 16;
-    private static final double LOAD = 0.4;
-    /** At the month's end. */
-    private static final double RISEN = 1.5;
-    /** Requests a second that a warm server can do. */
-    private static final double WARM = THREADS * 1e9 / WORK;
-
-    private static final long SLOT = 1_500 * MS;
-    private static final long BUCKET = 100 * MS;
-    /** Of what a server can do, together. */
-    private static final double LENT = Double.parseDouble(System.getProperty("lent", "0.9"));
-
-    private static final long RAMP = 7_400 * MS;
-    private static final double COLD = 0.39;
-    private static final Hearsay.Limits HEARSAY = new Hearsay.Limits(4_000, 6, 2, 0.25);
-
-    /** What the store does in the last two thirds of a run. */
+    private static final long SLO_NANOS = 200 * MS;
+    private static final long DEADLINE_NANOS = 500 * MS;
+    private static final long WORK_NANOS = 10 * MS;
+    private static final long SLOW_WORK_NANOS = 400 * MS;
+    private static final int SERVER_THREADS = 8;
+    private static final int REPORTS_PER_EXCHANGE = 16;
+    private static final double LOAD_FRACTION = 0.4;
+    /** Load at the month-end peak relative to normal load. */
+    private static final double LOAD_INCREASE = 1.5;
+    /** Requests a second that a warm server can process. */
+    private static final double WARM_REQUESTS_PER_SECOND = SERVER_THREADS * 1e9 / WORK_NANOS;
+
+    private static final long SLOT_NANOS = 1_500 * MS;
+    private static final long BUCKET_NANOS = 100 * MS;
+    /** Fraction of a warm server's rate that is leased to all sidecars together. */
+    private static final double LEASED_FRACTION = Double.parseDouble(System.getProperty("lent", "0.9"));
+
+    private static final long RAMP_NANOS = 7_400 * MS;
+    private static final double COLD_FRACTION = 0.39;
+    private static final Hearsay.Limits REPORT_LIMITS = new Hearsay.Limits(4_000, 6, 2, 0.25);
+
+    /** The state of the store in the last two thirds of a run. */
     public enum Store {
         NONE,
         GOOD,
@@ -73,11 +74,11 @@
     }
 
     /**
-     * A run.
+     * The parameters of a run.
      *
-     * @param allCold all servers start cold at two thirds, not two
-     * @param leases whether cold budgets are lent, too
-     * @param paused one sidecar stands still for 10 s from just after the cold starts on
+     * @param allCold whether all servers start cold at two thirds of the run instead of two servers
+     * @param leases whether cold-start budgets are leased, too
+     * @param paused whether one sidecar is paused for 10 s, starting shortly after the cold starts
      */
     public record Plan(
             int sidecars,
@@ -89,17 +90,26 @@
             long seconds,
             long seed) {}
 
-    /** What came of a run. */
+    /**
+     * The results of a run.
+     *
+     * @param inTime fraction of requests served within the objective
+     * @param slowSends attempts at slow servers, per sidecar
+     * @param avoidedMs time until the slow servers received less than a quarter of their even share
+     * @param coldUsed requests that a cold server received in its first 1.5 s, relative to the number that crashes
+     *     it; the largest of all servers
+     * @param crashedServers cold servers that failed under too many requests
+     */
     public record Result(
-            long asked,
-            long answered,
-            long twice,
+            long requests,
+            long responses,
+            long duplicateResponses,
             double inTime,
             double slowSends,
             double p99Ms,
             long avoidedMs,
             double coldUsed,
-            long pushedOver,
+            long crashedServers,
             long reportBytes) {
         @Override
         public String toString() {
@@ -107,21 +117,21 @@
                     Locale.ROOT,
                     "asked=%d in_time=%.4f slow_sends_per_sidecar=%.2f p99_ms=%.0f "
                             + "avoided_ms=%d cold_used=%.2f pushed_over=%d report_bytes=%d",
-                    asked,
+                    requests,
                     inTime,
                     slowSends,
                     p99Ms,
                     avoidedMs,
                     coldUsed,
-                    pushedOver,
+                    crashedServers,
                     reportBytes);
         }
     }
 
-    private record Event(long at, long serial, Runnable what) {}
+    private record Event(long at, long sequence, Runnable action) {}
 
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
     private final Random random;
     private final Store store;
     private final long end;
@@ -129,26 +139,26 @@
     private final List<Sidecar> sidecars = new ArrayList<>();
     private final Map<String, Long> counters = new HashMap<>();
     private final Plan plan;
-    private final Histogram took = new Histogram(60_000, 3);
-    private final long[] slowAt = new long[100];
+    private final Histogram responseTimesMillis = new Histogram(60_000, 3);
+    private final long[] slowSendsByBucket = new long[100];
     private double coldUsed;
-    private final double perSidecar;
+    private final double requestsPerSidecar;
     private long now = SECOND;
-    private long serial;
-    private long asked;
-    private long answered;
-    private long twice;
+    private long sequence;
+    private long requests;
+    private long responses;
+    private long duplicateResponses;
     private long inTime;
     private long counted;
     private long slowSends;
-    private long pushedOver;
+    private long crashedServers;
 
     private StoreModel(Plan plan) {
         this.plan = plan;
         this.random = new Random(plan.seed);
         this.store = plan.store;
         this.end = now + plan.seconds * SECOND;
-        this.perSidecar = LOAD * plan.servers * WARM / plan.sidecars;
+        this.requestsPerSidecar = LOAD_FRACTION * plan.servers * WARM_REQUESTS_PER_SECOND / plan.sidecars;
         for (int i = 0; i < plan.servers; i++) {
             servers.add(new Server("s" + i));
         }
@@ -162,11 +172,11 @@
         return new StoreModel(plan).run();
     }
 
-    private void at(long time, Runnable what) {
-        events.add(new Event(time, serial++, what));
+    private void at(long time, Runnable action) {
+        events.add(new Event(time, sequence++, action));
     }
 
-    private boolean later() {
+    private boolean afterFirstThird() {
         return now - SECOND > (end - SECOND) / 3;
     }
 
@@ -178,78 +188,86 @@
             servers.subList(plan.allCold ? 0 : servers.size() - 2, servers.size())
                     .forEach(Server::restart);
             if (plan.paused) {
-                at(now + 2 * SECOND, () -> sidecars.get(0).pausedUntil = now + 10 * SECOND);
+                at(now + 2 * SECOND, () -> sidecars.get(0).pausedUntilNanos = now + 10 * SECOND);
             }
         });
         while (!events.isEmpty()) {
-            Event next = events.poll();
-            now = next.at;
-            next.what.run();
+            Event event = events.poll();
+            now = event.at;
+            event.action.run();
         }
-        int bytes = new Report(now, 1, sidecars.get(0).last).write().length();
+        int bytes = new Report(now, 1, sidecars.get(0).reportedStats).toJson().length();
         return new Result(
-                asked,
-                answered,
-                twice,
+                requests,
+                responses,
+                duplicateResponses,
                 inTime / (double) counted,
                 slowSends / (double) sidecars.size(),
-                took.getValueAtPercentile(99) / 1.0,
+                responseTimesMillis.getValueAtPercentile(99) / 1.0,
                 avoidedMs(),
                 coldUsed,
-                pushedOver,
+                crashedServers,
                 bytes);
     }
 
-    /** How long until the slow servers get less than a quarter of their even share, over half a second. */
+    /** Time until the slow servers receive less than a quarter of their even share, averaged over half a second. */
     private long avoidedMs() {
-        double even = LOAD * WARM * servers.stream().filter(each -> each.slow).count() * BUCKET / 1e9;
-        for (int i = 0; i + 5 <= slowAt.length; i++) {
-            if (Arrays.stream(slowAt, i, i + 5).sum() < 5 * even / 4) {
-                return i * BUCKET / MS;
+        double even = LOAD_FRACTION
+                * WARM_REQUESTS_PER_SECOND
+                * servers.stream().filter(each -> each.slow).count()
+                * BUCKET_NANOS
+                / 1e9;
+        for (int i = 0; i + 5 <= slowSendsByBucket.length; i++) {
+            if (Arrays.stream(slowSendsByBucket, i, i + 5).sum() < 5 * even / 4) {
+                return i * BUCKET_NANOS / MS;
             }
         }
-        return slowAt.length * BUCKET / MS;
+        return slowSendsByBucket.length * BUCKET_NANOS / MS;
     }
 
-    /** Threads and a queue without end; cold after a restart, and down for good once it was pushed over. */
+    /** Has a fixed number of threads and an unbounded queue; cold after a restart; once overloaded it stays down. */
     private final class Server {
         private final String name;
-        private final PriorityQueue<Long> free = new PriorityQueue<>();
+        private final PriorityQueue<Long> threadFreeTimes = new PriorityQueue<>();
         private boolean slow;
         private ColdStart cold;
-        private long startedAt;
+        private long startedAtNanos;
         private long arrivals;
-        private boolean down;
+        private boolean crashed;
 
         Server(String name) {
             this.name = name;
-            for (int i = 0; i < THREADS; i++) {
-                free.add(0L);
+            for (int i = 0; i < SERVER_THREADS; i++) {
+                threadFreeTimes.add(0L);
             }
         }
 
         private void restart() {
-            startedAt = now;
-            cold = new ColdStart(now, RAMP, COLD, WARM, 4, 1_500 * MS);
+            startedAtNanos = now;
+            cold = new ColdStart(now, RAMP_NANOS, COLD_FRACTION, WARM_REQUESTS_PER_SECOND, 4, 1_500 * MS);
             sidecars.forEach(each -> each.rules.listChanged(now, ListKind.DELTA, List.of(each.entry(this))));
         }
 
-        /** When a request that comes now is done; -1 if the server is down. */
-        private long take() {
-            if (cold != null && !down && !cold.admit(now)) {
-                down = true;
-                pushedOver++;
+        /** Adds a request that arrives now; returns when it finishes, or -1 if the server has crashed. */
+        private long enqueue() {
+            if (cold != null && !crashed && !cold.admit(now)) {
+                crashed = true;
+                crashedServers++;
             }
-            if (down) {
+            if (crashed) {
                 return -1;
             }
-            arrivals += cold != null && now - startedAt < 1_500 * MS ? 1 : 0;
-            // Of what it may be sent in its first second and a half before it falls over.
-            coldUsed = Math.max(coldUsed, arrivals / (4 * COLD * WARM * 1.5));
-            double warmth = Math.min(1, COLD + (1 - COLD) * (startedAt == 0 ? 1 : (now - startedAt) / (double) RAMP));
-            long work = (long) ((slow ? SLOW : WORK) * (0.5 + random.nextDouble()) / warmth);
-            long begins = Math.max(now, free.poll());
-            free.add(begins + work);
+            arrivals += cold != null && now - startedAtNanos < 1_500 * MS ? 1 : 0;
+            // Relative to the requests that crash it in its first 1.5 s.
+            coldUsed = Math.max(coldUsed, arrivals / (4 * COLD_FRACTION * WARM_REQUESTS_PER_SECOND * 1.5));
+            double warmth = Math.min(
+                    1,
+                    COLD_FRACTION
+                            + (1 - COLD_FRACTION)
+                                    * (startedAtNanos == 0 ? 1 : (now - startedAtNanos) / (double) RAMP_NANOS));
+            long work = (long) ((slow ? SLOW_WORK_NANOS : WORK_NANOS) * (0.5 + random.nextDouble()) / warmth);
+            long begins = Math.max(now, threadFreeTimes.poll());
+            threadFreeTimes.add(begins + work);
             return begins + work;
         }
     }
@@ -262,10 +280,11 @@
                 MS,
                 Discovery.AUTOMATIC,
                 Weights.SILENT,
-                List.of(new RequestClass(AIM, 0, DEADLINE, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, false)),
+                List.of(new RequestClass(
+                        SLO_NANOS, 0, DEADLINE_NANOS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, false)),
                 List.of(),
                 new Allowed(true, false, false, false, true, 3, 1_000 * MS, 100 * MS),
-                new Limits(20 * MS, 10 * SECOND, 2 * SECOND, COLD, RAMP, 4, 1_500 * MS),
+                new Limits(20 * MS, 10 * SECOND, 2 * SECOND, COLD_FRACTION, RAMP_NANOS, 4, 1_500 * MS),
                 List.of(),
                 Charges.NONE,
                 false,
@@ -275,78 +294,78 @@
     private final class Sidecar implements Actions {
         private final int number;
         private final Rules rules;
-        private final OwnSums sums = new OwnSums(2.5, SECOND, 1_024, 0);
-        private final Hearsay hearsay = new Hearsay(HEARSAY);
-        private final Map<Long, long[]> open = new HashMap<>();
-        private final Set<Long> over = new HashSet<>();
-        private List<ServerSum> last = List.of();
+        private final OwnSums attemptStats = new OwnSums(2.5, SECOND, 1_024, 0);
+        private final Hearsay outlierDetector = new Hearsay(REPORT_LIMITS);
+        private final Map<Long, long[]> openRequests = new HashMap<>();
+        private final Set<Long> finished = new HashSet<>();
+        private List<ServerSum> reportedStats = List.of();
         private final Members members = new Members(30 * SECOND, 4 * SECOND);
         private final Leases leases;
-        private long pausedUntil;
-        private long writtenAt;
-        private double rate;
-        private final Demand demand = new Demand();
+        private long pausedUntilNanos;
+        private long writtenAtNanos;
+        private double requestsPerSecond;
+        private final Demand requestRate = new Demand();
         private long lastId;
 
         Sidecar(int number, long seed) {
             this.number = number;
             this.rules = new Rules(settings(1), seed, this);
-            this.leases = new Leases(SLOT / MS, seed + 1);
+            this.leases = new Leases(SLOT_NANOS / MS, seed + 1);
         }
 
-        /** Like the model's own, but that nothing happens in here while it stands still. */
-        private void at(long time, Runnable what) {
+        /** Schedules an action of this sidecar, which is deferred while the sidecar is paused. */
+        private void at(long time, Runnable action) {
             StoreModel.this.at(time, () -> {
-                if (now < pausedUntil) {
-                    at(pausedUntil, what);
+                if (now < pausedUntilNanos) {
+                    at(pausedUntilNanos, action);
                 } else {
-                    what.run();
+                    action.run();
                 }
             });
         }
 
         private Upstream entry(Server server) {
-            return new Upstream(servers.indexOf(server), 0, 0, 0, State.READY, 1, server.startedAt);
+            return new Upstream(servers.indexOf(server), 0, 0, 0, State.READY, 1, server.startedAtNanos);
         }
 
         private void begin() {
             rules.start(now);
             rules.listChanged(
                     now, ListKind.CACHED, servers.stream().map(this::entry).toList());
-            next();
-            at(now + (long) (random.nextDouble() * SECOND), this::share);
+            scheduleNextRequest();
+            at(now + (long) (random.nextDouble() * SECOND), this::exchangeReports);
         }
 
-        private void next() {
-            double risen = now - SECOND > (end - SECOND) / 2 ? RISEN : 1;
-            long gap = (long) (-Math.log(1 - random.nextDouble()) / perSidecar / risen * 1e9);
+        private void scheduleNextRequest() {
+            double loadFactor = now - SECOND > (end - SECOND) / 2 ? LOAD_INCREASE : 1;
+            long gap = (long) (-Math.log(1 - random.nextDouble()) / requestsPerSidecar / loadFactor * 1e9);
             if (now + gap < end) {
                 StoreModel.this.at(now + gap, () -> {
-                    next();
-                    if (now < pausedUntil) {
-                        // Its client has given up before it wakes.
+                    scheduleNextRequest();
+                    if (now < pausedUntilNanos) {
+                        // The client gives up before the sidecar resumes.
                         return;
                     }
                     long id = ++lastId;
-                    asked++;
-                    counted += later() ? 1 : 0;
-                    open.put(id, new long[] {now, 0});
-                    rules.request(now, new Request(id, 0, 0, 0, DEADLINE, 0, false, false));
+                    requests++;
+                    counted += afterFirstThird() ? 1 : 0;
+                    openRequests.put(id, new long[] {now, 0});
+                    rules.request(now, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
                 });
             }
         }
 
-        private void answer(long id, boolean served) {
-            long[] its = open.get(id);
-            if (!over.add(id)) {
-                twice++;
+        private void respond(long id, boolean served) {
+            long[] startAndAttempts = openRequests.get(id);
+            if (!finished.add(id)) {
+                duplicateResponses++;
                 return;
             }
-            answered++;
-            if (later() && its[0] - SECOND > (end - SECOND) / 3) {
-                inTime += served && now - its[0] <= AIM ? 1 : 0;
+            responses++;
+            if (afterFirstThird() && startAndAttempts[0] - SECOND > (end - SECOND) / 3) {
+                inTime += served && now - startAndAttempts[0] <= SLO_NANOS ? 1 : 0;
                 if (served) {
-                    took.recordValue(Math.min(60_000, (now - its[0]) / MS));
+                    responseTimesMillis.recordValue(Math.min(60_000, (now - startAndAttempts[0]) / MS));
                 }
             }
         }
@@ -354,51 +373,60 @@
         @Override
         public void send(long request, long upstream, long timeout) {
             Server server = servers.get((int) upstream);
-            long[] its = open.get(request);
-            int attempt = (int) its[1]++;
-            long sent = now;
+            long[] startAndAttempts = openRequests.get(request);
+            int attempt = (int) startAndAttempts[1]++;
+            long sentNanos = now;
             if (server.slow) {
                 slowSends++;
-                slowAt[(int) Math.min(slowAt.length - 1, (now - SECOND - (end - SECOND) / 3) / BUCKET)]++;
+                slowSendsByBucket[
+                        (int) Math.min(
+                                slowSendsByBucket.length - 1, (now - SECOND - (end - SECOND) / 3) / BUCKET_NANOS)]++;
             }
-            long done = server.take();
-            long limit = its[0] + DEADLINE;
+            long done = server.enqueue();
+            long limit = startAndAttempts[0] + DEADLINE_NANOS;
             Outcome outcome = done < 0 ? Outcome.CONNECT_FAILED : done <= limit ? Outcome.OK : Outcome.TIMEOUT;
             at(done < 0 ? now + MS : Math.min(done, limit), () -> {
-                boolean ended = over.contains(request);
+                boolean ended = finished.contains(request);
                 if (outcome == Outcome.OK && !ended) {
-                    answer(request, true);
+                    respond(request, true);
                 }
-                sums.ended(server.name, 0, outcome == Outcome.OK, now - sent, now);
+                attemptStats.attemptEnded(server.name, 0, outcome == Outcome.OK, now - sentNanos, now);
                 rules.outcome(
-                        now, request, attempt, upstream, outcome, now - sent, over.contains(request), new float[0]);
+                        now,
+                        request,
+                        attempt,
+                        upstream,
+                        outcome,
+                        now - sentNanos,
+                        finished.contains(request),
+                        new float[0]);
             });
         }
 
-        /** A period: writes, draws some others, reads theirs, and tells the module. */
-        private void share() {
+        /** One period: writes a report, reads some others, and passes the suspects to the decision module. */
+        private void exchangeReports() {
             if (now < end) {
-                at(now + (long) ((0.9 + 0.2 * random.nextDouble()) * SECOND), this::share);
+                at(now + (long) ((0.9 + 0.2 * random.nextDouble()) * SECOND), this::exchangeReports);
             }
-            last = sums.lately(256, now);
-            boolean away = store == Store.NONE
-                    || later() && (store == Store.AWAY || store == Store.HALF_SEE_IT && number % 2 == 0);
-            if (away) {
+            reportedStats = attemptStats.recent(256, now);
+            boolean storeUnavailable = store == Store.NONE
+                    || afterFirstThird() && (store == Store.AWAY || store == Store.HALF_SEE_IT && number % 2 == 0);
+            if (storeUnavailable) {
                 return;
             }
-            writtenAt = now;
-            demand.asked(lastId, now);
-            rate = demand.perSecond();
+            writtenAtNanos = now;
+            requestRate.recordTotal(lastId, now);
+            requestsPerSecond = requestRate.perSecond();
             if (plan.leases) {
-                lend();
+                requestLeases();
             }
-            List<Hearsay.Heard> heard = new ArrayList<>();
-            for (int i = 0; i < READ; i++) {
+            List<Hearsay.ReceivedReport> received = new ArrayList<>();
+            for (int i = 0; i < REPORTS_PER_EXCHANGE; i++) {
                 Sidecar other = sidecars.get(random.nextInt(sidecars.size()));
-                if (other != this && other.writtenAt > 0) {
-                    Report report = new Report(0, other.rate, other.last);
-                    long age = (now - other.writtenAt) / MS;
-                    if (later() && store == Store.POISON) {
+                if (other != this && other.writtenAtNanos > 0) {
+                    Report report = new Report(0, other.requestsPerSecond, other.reportedStats);
+                    long ageMillis = (now - other.writtenAtNanos) / MS;
+                    if (afterFirstThird() && store == Store.POISON) {
                         report = new Report(
                                 0,
                                 1,
@@ -407,18 +435,23 @@
                                                 new ServerSum(each.name, 10, 10_000, random.nextBoolean() ? 10 : 0))
                                         .toList());
                     }
-                    heard.add(new Hearsay.Heard(
-                            "m" + other.number, later() && store == Store.AN_HOUR_OLD ? 3_600_000 : age, report));
+                    received.add(new Hearsay.ReceivedReport(
+                            "m" + other.number,
+                            afterFirstThird() && store == Store.AN_HOUR_OLD ? 3_600_000 : ageMillis,
+                            report));
                 }
             }
-            members.rates(
-                    heard.stream().map(each -> each.report().soundRate(SECOND)).toList(), rate);
+            members.recordRates(
+                    received.stream()
+                            .map(each -> each.report().plausibleRate(SECOND))
+                            .toList(),
+                    requestsPerSecond);
             Set<String> ready = new HashSet<>();
             servers.forEach(each -> ready.add(each.name));
-            Map<String, Double> doubted = hearsay.doubted(heard, ready);
+            Map<String, Double> suspects = outlierDetector.suspects(received, ready);
             at(
                     now + 2 * MS,
-                    () -> doubted.forEach((uid, ratio) -> rules.peerMessage(
+                    () -> suspects.forEach((uid, ratio) -> rules.peerMessage(
                             now,
                             0,
                             ByteBuffer.allocate(12)
@@ -427,50 +460,52 @@
                                     .array())));
         }
 
-        /** Asks for parts of the next slot; the reply takes 2 ms, or comes when it wakes. */
-        private void lend() {
-            long seen = sidecars.stream()
-                    .filter(each -> each.writtenAt > now - 20 * SECOND && each.writtenAt > 0)
+        /** Requests leases of the next slot; the reply takes 2 ms, or until the sidecar resumes. */
+        private void requestLeases() {
+            long activeMembers = sidecars.stream()
+                    .filter(each -> each.writtenAtNanos > now - 20 * SECOND && each.writtenAtNanos > 0)
                     .count();
-            boolean lost = later() && store == Store.LOSES_KEYS;
-            members.seen(lost ? 1 : seen, now);
-            long wrong = later() && store == Store.CLOCK_JUMPS && now / (2 * SECOND) % 2 == 0 ? 3_600_000 : 0;
-            long storeMs = now / MS + wrong;
+            boolean keysLost = afterFirstThird() && store == Store.LOSES_KEYS;
+            members.recordCount(keysLost ? 1 : activeMembers, now);
+            long clockErrorMillis =
+                    afterFirstThird() && store == Store.CLOCK_JUMPS && now / (2 * SECOND) % 2 == 0 ? 3_600_000 : 0;
+            long storeMillis = now / MS + clockErrorMillis;
             List<Budgets.Budget> wanted = new ArrayList<>();
             for (Server each : servers) {
-                if (each.startedAt > 0 && now - each.startedAt < RAMP) {
+                if (each.startedAtNanos > 0 && now - each.startedAtNanos < RAMP_NANOS) {
                     wanted.add(new Budgets.Budget(
                             "cold:" + each.name,
-                            ColdBudgets.most(
+                            ColdStartBudgets.capacity(
                                     settings(1).limits(),
-                                    LENT * WARM,
-                                    now - each.startedAt + leases.ahead(storeMs) + SLOT / 2,
-                                    SLOT)));
+                                    LEASED_FRACTION * WARM_REQUESTS_PER_SECOND,
+                                    now - each.startedAtNanos + leases.nanosUntilNextSlot(storeMillis) + SLOT_NANOS / 2,
+                                    SLOT_NANOS)));
                 }
             }
-            if (!members.settled(now)) {
+            if (!members.isSettled(now)) {
                 return;
             }
-            long asked = now;
-            for (Leases.Ask ask : leases.asks(wanted, members.most(now), members.weight(rate), storeMs)) {
-                String key = ask.name() + ask.slot();
-                if (lost || later() && store == Store.LAGS && random.nextInt(10) == 0) {
+            long sentNanos = now;
+            for (Leases.LeaseRequest request :
+                    leases.requests(wanted, members.size(now), members.trafficWeight(requestsPerSecond), storeMillis)) {
+                String key = request.name() + request.slot();
+                if (keysLost || afterFirstThird() && store == Store.LAGS && random.nextInt(10) == 0) {
                     counters.remove(key);
                 }
-                long counter = counters.merge(key, ask.want(), Long::sum);
+                long counter = counters.merge(key, request.amount(), Long::sum);
                 at(now + 2 * MS, () -> {
-                    Leases.Grant grant = leases.told(ask, counter, storeMs, asked, now);
+                    Leases.Grant grant = leases.grantFor(request, counter, storeMillis, sentNanos, now);
                     if (grant != null) {
-                        at(grant.from(), () -> {
-                            if (grant.until() > now) {
+                        at(grant.fromNanos(), () -> {
+                            if (grant.untilNanos() > now) {
                                 rules.peerMessage(
                                         now,
                                         Rules.LEASES,
                                         ByteBuffer.allocate(16)
                                                 .putLong(Long.parseLong(
-                                                        ask.name().substring(6)))
+                                                        request.name().substring(6)))
                                                 .putFloat(grant.count())
-                                                .putInt((int) ((grant.until() - now) / MS))
+                                                .putInt((int) ((grant.untilNanos() - now) / MS))
                                                 .array());
                             }
                         });
@@ -481,12 +516,12 @@
 
         @Override
         public void refuse(long request, long wait) {
-            answer(request, false);
+            respond(request, false);
         }
 
         @Override
         public void fail(long request) {
-            answer(request, false);
+            respond(request, false);
         }
 
         @Override
--- a/src/test/java/pondridge/store/StoreProbe.java
+++ b/src/test/java/pondridge/store/StoreProbe.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** A member for measurements: sees each of so many servers answer five times a second, and shares that. */
+/** A member for measurements: records five attempts a second at each of its servers, and reports them. */
 public final class StoreProbe {
     private static final long MS = 1_000_000;
     private final EventLoop loop;
@@ -18,15 +18,15 @@
         this.store = store;
     }
 
-    /** Begins; not on the loop. */
+    /** Starts a member. Not to be called on the event loop. */
     public static StoreProbe begin(EventLoop loop, StoreSettings settings, int servers, long seed) {
         Set<String> names =
                 IntStream.range(0, servers).mapToObj(each -> "server-" + each).collect(Collectors.toSet());
-        List<String> order = List.copyOf(names);
+        List<String> sequence = List.copyOf(names);
         return loop.submit(() -> {
-                    SharedStore store = new SharedStore(loop, settings, () -> 0, () -> names, doubted -> {}, seed);
+                    SharedStore store = new SharedStore(loop, settings, () -> 0, () -> names, suspects -> {}, seed);
                     loop.scheduleAtFixedRate(
-                            () -> order.forEach(each -> store.ended(each, 0, true, 5 * MS)),
+                            () -> sequence.forEach(each -> store.attemptEnded(each, 0, true, 5 * MS)),
                             0,
                             200,
                             TimeUnit.MILLISECONDS);
@@ -36,12 +36,12 @@
                 .getNow();
     }
 
-    /** On the loop. */
+    /** The number of exchanges started. To be called on the event loop. */
     public long exchanges() {
         return store.counts().getOrDefault("exchanges", 0L);
     }
 
-    /** Ends it; on any thread. */
+    /** Stops the member. May be called on any thread. */
     public void close() {
         loop.execute(store::close);
     }
