--- a/src/main/java/pondridge/store/SharedStore.java
+++ b/src/main/java/pondridge/store/SharedStore.java
@@ -47,7 +47,7 @@
     private final Random random;
     private final Map<String, Long> counters = new LinkedHashMap<>();
     private Future<?> timer;
-    private boolean exchangeOpen;
+    private boolean exchangeInProgress;
     /** The store's clock at its last reply; 0 while unknown. */
     private long storeMillis;
 
@@ -114,10 +114,10 @@
         timer = loop.schedule(
                 this::tick, (long) (settings.periodNanos() * (0.9 + 0.2 * random.nextDouble())), TimeUnit.NANOSECONDS);
         long now = System.nanoTime();
-        if (exchangeOpen || !circuitBreaker.allowsExchange(now)) {
+        if (exchangeInProgress || !circuitBreaker.allowsExchange(now)) {
             return;
         }
-        exchangeOpen = true;
+        exchangeInProgress = true;
         requestRate.recordTotal(requestCount.getAsLong(), now);
         count("exchanges");
         if (storeMillis == 0) {
@@ -302,12 +302,12 @@
     }
 
     private void exchangeCompleted(long tookNanos, long now) {
-        exchangeOpen = false;
+        exchangeInProgress = false;
         circuitBreaker.recordCompletion(tookNanos, now);
     }
 
     private void exchangeFailed(long now) {
-        exchangeOpen = false;
+        exchangeInProgress = false;
         count("failures");
         circuitBreaker.recordFailure(now);
         storeMillis = 0;
--- a/src/test/java/pondridge/store/LeasesTest.java
+++ b/src/test/java/pondridge/store/LeasesTest.java
@@ -19,7 +19,7 @@
 /** Leases of a budget that many members take from one counter, each with a clock that differs from true time. */
 class LeasesTest {
     private static final long MS = 1_000_000;
-    private static final long SLOT = 1_500;
+    private static final long SLOT_MILLIS = 1_500;
     private static final long SECOND = 1_000 * MS;
 
     /** A member whose clock is off by an arbitrary amount. */
@@ -29,14 +29,14 @@
         private final double weight;
 
         Member(long seed, long clockOffset, double weight) {
-            this.leases = new Leases(SLOT, seed);
+            this.leases = new Leases(SLOT_MILLIS, seed);
             this.clockOffset = clockOffset;
             this.weight = weight;
         }
     }
 
     /** A grant, with its validity in milliseconds of true time. */
-    private record ValidGrant(long count, double from, double until) {}
+    private record ValidGrant(long count, double fromMillis, double untilMillis) {}
 
     /**
      * Up to 64 members, messages that take up to 400 ms each way, and counters that are lost in one run of
@@ -92,10 +92,12 @@
             for (ValidGrant each : grants) {
                 // The sum of the leases that are valid when this one begins, each counted in full.
                 long sum = grants.stream()
-                        .filter(other -> other.from <= each.from && each.from < other.until)
+                        .filter(other -> other.fromMillis <= each.fromMillis && each.fromMillis < other.untilMillis)
                         .mapToLong(ValidGrant::count)
                         .sum();
-                assertTrue(each.from >= each.until || sum <= bound, "seed " + seed + ": " + sum + " of " + bound);
+                assertTrue(
+                        each.fromMillis >= each.untilMillis || sum <= bound,
+                        "seed " + seed + ": " + sum + " of " + bound);
                 totalGranted += each.count;
             }
         }
@@ -109,12 +111,12 @@
     /** A member gets one lease per slot, and none if the store's clock is set back or forward in between. */
     @Test
     void oneLeasePerSlotAndNoneAfterAClockChange() {
-        Leases leases = new Leases(SLOT, 1);
+        Leases leases = new Leases(SLOT_MILLIS, 1);
         Set<Long> slots = new HashSet<>();
         for (long ms = 0; ms < 60_000; ms += 300) {
             for (LeaseRequest request : leases.requests(List.of(new Budget("b", 10)), 1, 1, ms)) {
                 assertTrue(slots.add(request.slot()));
-                assertTrue(request.slot() * SLOT > ms && request.slot() * SLOT <= ms + SLOT);
+                assertTrue(request.slot() * SLOT_MILLIS > ms && request.slot() * SLOT_MILLIS <= ms + SLOT_MILLIS);
                 assertEquals(
                         10, leases.grantFor(request, request.amount(), ms, 0, 0).count());
                 assertNull(leases.grantFor(request, request.amount(), ms - 3_600_000, 0, 0));
--- a/src/test/java/pondridge/store/SharedStoreTest.java
+++ b/src/test/java/pondridge/store/SharedStoreTest.java
@@ -393,15 +393,15 @@
 
     /** Writes the reports of twenty members that do not exist: half cannot be parsed, half are false. */
     private void writeInvalidReports() {
-        try (Jedis liar = new Jedis("127.0.0.1", store.address().getPort())) {
-            liar.auth("app", "secret");
+        try (Jedis client = new Jedis("127.0.0.1", store.address().getPort())) {
+            client.auth("app", "secret");
             long now = System.currentTimeMillis();
             for (int i = 0; i < 20; i++) {
                 String report = i % 2 == 0
                         ? "{\"v\":1,\"at\":" + now + ",\"r\":NaN,\"s\":[[\"s0\",1e9,-1,7]]}"
                         : new Report(now, 0.001, List.of(new ServerSum("s1", 50, 500_000, 50))).toJson();
-                liar.set("bankflow:1:report:liar" + i, report);
-                liar.sadd("bankflow:1:members:" + now / 10_000, "liar" + i);
+                client.set("bankflow:1:report:liar" + i, report);
+                client.sadd("bankflow:1:members:" + now / 10_000, "liar" + i);
             }
         }
     }
--- a/src/test/java/pondridge/store/StoreModel.java
+++ b/src/test/java/pondridge/store/StoreModel.java
@@ -62,14 +62,22 @@
 
     /** The state of the store in the last two thirds of a run. */
     public enum Store {
+        /** No store in the whole run. */
         NONE,
         GOOD,
+        /** Unreachable. */
         AWAY,
+        /** All reports are an hour old. */
         AN_HOUR_OLD,
+        /** All reports are false. */
         POISON,
+        /** Half of the sidecars cannot reach it. */
         HALF_SEE_IT,
+        /** It loses counters and members. */
         LOSES_KEYS,
+        /** Its clock jumps an hour ahead and back every 2 s. */
         CLOCK_JUMPS,
+        /** One in ten lease requests finds its counter lost, as after a failover to a lagging replica. */
         LAGS
     }
 
@@ -134,7 +142,7 @@
             (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
     private final Random random;
     private final Store store;
-    private final long end;
+    private final long endNanos;
     private final List<Server> servers = new ArrayList<>();
     private final List<Sidecar> sidecars = new ArrayList<>();
     private final Map<String, Long> counters = new HashMap<>();
@@ -149,7 +157,7 @@
     private long responses;
     private long duplicateResponses;
     private long inTime;
-    private long counted;
+    private long countedRequests;
     private long slowSends;
     private long crashedServers;
 
@@ -157,7 +165,7 @@
         this.plan = plan;
         this.random = new Random(plan.seed);
         this.store = plan.store;
-        this.end = now + plan.seconds * SECOND;
+        this.endNanos = now + plan.seconds * SECOND;
         this.requestsPerSidecar = LOAD_FRACTION * plan.servers * WARM_REQUESTS_PER_SECOND / plan.sidecars;
         for (int i = 0; i < plan.servers; i++) {
             servers.add(new Server("s" + i));
@@ -167,7 +175,7 @@
         }
     }
 
-    /** Plays one run. */
+    /** Simulates one run. */
     public static Result play(Plan plan) {
         return new StoreModel(plan).run();
     }
@@ -177,14 +185,14 @@
     }
 
     private boolean afterFirstThird() {
-        return now - SECOND > (end - SECOND) / 3;
+        return now - SECOND > (endNanos - SECOND) / 3;
     }
 
     private Result run() {
         sidecars.forEach(Sidecar::begin);
-        at(SECOND + (end - SECOND) / 3, () -> servers.subList(0, Math.max(1, servers.size() / 10))
+        at(SECOND + (endNanos - SECOND) / 3, () -> servers.subList(0, Math.max(1, servers.size() / 10))
                 .forEach(each -> each.slow = true));
-        at(SECOND + 2 * (end - SECOND) / 3, () -> {
+        at(SECOND + 2 * (endNanos - SECOND) / 3, () -> {
             servers.subList(plan.allCold ? 0 : servers.size() - 2, servers.size())
                     .forEach(Server::restart);
             if (plan.paused) {
@@ -201,7 +209,7 @@
                 requests,
                 responses,
                 duplicateResponses,
-                inTime / (double) counted,
+                inTime / (double) countedRequests,
                 slowSends / (double) sidecars.size(),
                 responseTimesMillis.getValueAtPercentile(99) / 1.0,
                 avoidedMs(),
@@ -212,13 +220,13 @@
 
     /** Time until the slow servers receive less than a quarter of their even share, averaged over half a second. */
     private long avoidedMs() {
-        double even = LOAD_FRACTION
+        double evenShare = LOAD_FRACTION
                 * WARM_REQUESTS_PER_SECOND
                 * servers.stream().filter(each -> each.slow).count()
                 * BUCKET_NANOS
                 / 1e9;
         for (int i = 0; i + 5 <= slowSendsByBucket.length; i++) {
-            if (Arrays.stream(slowSendsByBucket, i, i + 5).sum() < 5 * even / 4) {
+            if (Arrays.stream(slowSendsByBucket, i, i + 5).sum() < 5 * evenShare / 4) {
                 return i * BUCKET_NANOS / MS;
             }
         }
@@ -337,9 +345,9 @@
         }
 
         private void scheduleNextRequest() {
-            double loadFactor = now - SECOND > (end - SECOND) / 2 ? LOAD_INCREASE : 1;
+            double loadFactor = now - SECOND > (endNanos - SECOND) / 2 ? LOAD_INCREASE : 1;
             long gap = (long) (-Math.log(1 - random.nextDouble()) / requestsPerSidecar / loadFactor * 1e9);
-            if (now + gap < end) {
+            if (now + gap < endNanos) {
                 StoreModel.this.at(now + gap, () -> {
                     scheduleNextRequest();
                     if (now < pausedUntilNanos) {
@@ -348,7 +356,7 @@
                     }
                     long id = ++lastId;
                     requests++;
-                    counted += afterFirstThird() ? 1 : 0;
+                    countedRequests += afterFirstThird() ? 1 : 0;
                     openRequests.put(id, new long[] {now, 0});
                     rules.request(now, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
                 });
@@ -362,7 +370,7 @@
                 return;
             }
             responses++;
-            if (afterFirstThird() && startAndAttempts[0] - SECOND > (end - SECOND) / 3) {
+            if (afterFirstThird() && startAndAttempts[0] - SECOND > (endNanos - SECOND) / 3) {
                 inTime += served && now - startAndAttempts[0] <= SLO_NANOS ? 1 : 0;
                 if (served) {
                     responseTimesMillis.recordValue(Math.min(60_000, (now - startAndAttempts[0]) / MS));
@@ -380,12 +388,15 @@
                 slowSends++;
                 slowSendsByBucket[
                         (int) Math.min(
-                                slowSendsByBucket.length - 1, (now - SECOND - (end - SECOND) / 3) / BUCKET_NANOS)]++;
+                                slowSendsByBucket.length - 1,
+                                (now - SECOND - (endNanos - SECOND) / 3) / BUCKET_NANOS)]++;
             }
-            long done = server.enqueue();
-            long limit = startAndAttempts[0] + DEADLINE_NANOS;
-            Outcome outcome = done < 0 ? Outcome.CONNECT_FAILED : done <= limit ? Outcome.OK : Outcome.TIMEOUT;
-            at(done < 0 ? now + MS : Math.min(done, limit), () -> {
+            long finishNanos = server.enqueue();
+            long deadlineNanos = startAndAttempts[0] + DEADLINE_NANOS;
+            Outcome outcome = finishNanos < 0
+                    ? Outcome.CONNECT_FAILED
+                    : finishNanos <= deadlineNanos ? Outcome.OK : Outcome.TIMEOUT;
+            at(finishNanos < 0 ? now + MS : Math.min(finishNanos, deadlineNanos), () -> {
                 boolean ended = finished.contains(request);
                 if (outcome == Outcome.OK && !ended) {
                     respond(request, true);
@@ -405,7 +416,7 @@
 
         /** One period: writes a report, reads some others, and passes the suspects to the decision module. */
         private void exchangeReports() {
-            if (now < end) {
+            if (now < endNanos) {
                 at(now + (long) ((0.9 + 0.2 * random.nextDouble()) * SECOND), this::exchangeReports);
             }
             reportedStats = attemptStats.recent(256, now);
@@ -526,7 +537,7 @@
 
         @Override
         public void timer(long token, long at) {
-            if (now < end + 2 * SECOND) {
+            if (now < endNanos + 2 * SECOND) {
                 at(Math.max(now + 1, at), () -> rules.timer(now, token));
             }
         }
--- a/src/test/java/pondridge/store/StoreModelTest.java
+++ b/src/test/java/pondridge/store/StoreModelTest.java
@@ -14,7 +14,7 @@
 class StoreModelTest {
     private static final int SEEDS = 24;
 
-    private static Result simup99ByStore(Store store, long seed) {
+    private static Result simulate(Store store, long seed) {
         int sidecars = 3 + (int) (seed * 61 / (SEEDS - 1));
         return StoreModel.play(new StoreModel.Plan(sidecars, 8, store, seed % 3 == 0, true, seed % 2 == 0, 15, seed));
     }
@@ -31,7 +31,7 @@
         LongStream.range(0, (long) SEEDS * Store.values().length).parallel().forEach(run -> {
             Store store = Store.values()[(int) (run % Store.values().length)];
             long seed = run / Store.values().length;
-            Result result = simup99ByStore(store, seed);
+            Result result = simulate(store, seed);
             String details = "seed " + seed + " " + store + " " + result;
             assertEquals(result.requests(), result.responses(), details);
             assertEquals(0, result.duplicateResponses() + result.crashedServers(), details);
--- a/src/test/java/pondridge/store/StoreProbe.java
+++ b/src/test/java/pondridge/store/StoreProbe.java
@@ -22,11 +22,11 @@
     public static StoreProbe begin(EventLoop loop, StoreSettings settings, int servers, long seed) {
         Set<String> names =
                 IntStream.range(0, servers).mapToObj(each -> "server-" + each).collect(Collectors.toSet());
-        List<String> sequence = List.copyOf(names);
+        List<String> orderedNames = List.copyOf(names);
         return loop.submit(() -> {
                     SharedStore store = new SharedStore(loop, settings, () -> 0, () -> names, suspects -> {}, seed);
                     loop.scheduleAtFixedRate(
-                            () -> sequence.forEach(each -> store.attemptEnded(each, 0, true, 5 * MS)),
+                            () -> orderedNames.forEach(each -> store.attemptEnded(each, 0, true, 5 * MS)),
                             0,
                             200,
                             TimeUnit.MILLISECONDS);
