--- a/src/main/java/pondridge/grpc/FinalCode.java
+++ b/src/main/java/pondridge/grpc/FinalCode.java
@@ -1,37 +1,43 @@
 package pondridge.grpc;
 
 /**
- * The code of a final answer that is not the server's own. What may have run must never be told by a code
- * that client libraries try again by themselves; by the usual retry policies that is UNAVAILABLE. No I/O.
+ * Status codes of final responses that are generated here and not by a server. A call that may have been
+ * executed must never end with a code that client libraries retry automatically; common retry policies name
+ * UNAVAILABLE. No I/O.
  */
 final class FinalCode {
-    /** The core answers so long before the client's time is over, so that its answer comes in time. */
-    private static final long ROOM = 20_000_000;
+    /** The core responds this long before the client's deadline, so that the response arrives in time. */
+    private static final long RESPONSE_MARGIN_NANOS = 20_000_000;
 
     private FinalCode() {}
 
-    /** Refused: trying again is harmless. */
+    /** For a refused call: a retry is safe. */
     static GrpcCode refused() {
         return GrpcCode.UNAVAILABLE;
     }
 
-    /** Failed, with no promise about effects; {@code left} of the client's time, in nanoseconds. */
-    static GrpcCode failed(long left) {
-        return left <= ROOM ? GrpcCode.DEADLINE_EXCEEDED : GrpcCode.UNKNOWN;
+    /**
+     * For a failed call, which may have had effects.
+     *
+     * @param timeLeftNanos time until the client's deadline
+     */
+    static GrpcCode failed(long timeLeftNanos) {
+        return timeLeftNanos <= RESPONSE_MARGIN_NANOS ? GrpcCode.DEADLINE_EXCEEDED : GrpcCode.UNKNOWN;
     }
 
     /**
-     * The text of {@code grpc-message}: printable ASCII but the per cent sign, all else as per cent and hex.
+     * Percent-encodes a text for {@code grpc-message}: printable ASCII other than the percent sign stays as
+     * it is.
      */
-    static String message(String text) {
-        StringBuilder coded = new StringBuilder();
-        for (byte each : text.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
-            if (each >= ' ' && each <= '~' && each != '%') {
-                coded.append((char) each);
+    static String percentEncode(String text) {
+        StringBuilder encoded = new StringBuilder();
+        for (byte octet : text.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
+            if (octet >= ' ' && octet <= '~' && octet != '%') {
+                encoded.append((char) octet);
             } else {
-                coded.append(String.format("%%%02X", each & 0xff));
+                encoded.append(String.format("%%%02X", octet & 0xff));
             }
         }
-        return coded.toString();
+        return encoded.toString();
     }
 }
--- a/src/main/java/pondridge/grpc/GrpcCode.java
+++ b/src/main/java/pondridge/grpc/GrpcCode.java
@@ -1,6 +1,6 @@
 package pondridge.grpc;
 
-/** Status codes of gRPC (gRPC core documentation, "Status codes and their use in gRPC"), by their numbers. */
+/** Status codes of gRPC in numeric order (gRPC core documentation, "Status codes and their use in gRPC"). */
 public enum GrpcCode {
     OK,
     CANCELLED,
@@ -22,13 +22,13 @@
 
     private static final GrpcCode[] ALL = values();
 
-    /** The number as it stands in {@code grpc-status}. */
+    /** The numeric code as written in {@code grpc-status}. */
     String number() {
         return Integer.toString(ordinal());
     }
 
-    /** The code that a {@code grpc-status} tells; null where it tells none. */
-    static GrpcCode of(CharSequence text) {
+    /** Parses a {@code grpc-status}; null where it is absent or not a known code. */
+    static GrpcCode parse(CharSequence text) {
         if (text == null || text.isEmpty() || text.length() > 2) {
             return null;
         }
--- a/src/main/java/pondridge/grpc/GrpcFront.java
+++ b/src/main/java/pondridge/grpc/GrpcFront.java
@@ -43,12 +43,12 @@
 import pondridge.http2.HeldBytes;
 
 /**
- * gRPC's clients: unary calls of the methods that the settings name, each one request like any other. A
- * method that is not named is UNIMPLEMENTED, since nobody knows whether it may run twice. On the event loop
- * only.
+ * Front end for gRPC clients. It accepts unary calls of the configured methods; each call becomes one request.
+ * Other methods are UNIMPLEMENTED, since it is unknown whether they may be executed twice. Used on the event
+ * loop only.
  */
 public final class GrpcFront {
-    /** HTTP/2 and nothing else is spoken above TLS. */
+    /** ALPN over TLS: HTTP/2 is the only protocol. */
     static final ApplicationProtocolConfig ALPN = new ApplicationProtocolConfig(
             Protocol.ALPN,
             SelectorFailureBehavior.NO_ADVERTISE,
@@ -58,51 +58,51 @@
     private static final AsciiString STATUS = AsciiString.cached("grpc-status");
     private static final AsciiString MESSAGE = AsciiString.cached("grpc-message");
     private static final AsciiString PUSHBACK = AsciiString.cached("grpc-retry-pushback-ms");
-    private static final AsciiString TYPE = AsciiString.cached("application/grpc");
-    private static final String CHECK = "/grpc.health.v1.Health/Check";
+    private static final AsciiString GRPC_CONTENT_TYPE = AsciiString.cached("application/grpc");
+    private static final String HEALTH_CHECK_PATH = "/grpc.health.v1.Health/Check";
     private static final byte[] SERVING = {8, 1};
     private static final byte[] NOT_SERVING = {8, 2};
-    private static final int PREFIX = 5;
+    private static final int PREFIX_BYTES = 5;
 
     private final GrpcSettings settings;
     private final MethodTable methods;
     private final JobReader reader;
     private final Requests requests;
-    private final Door door;
-    private final Set<String> ids = new HashSet<>();
-    private final String made;
-    private long lastId;
+    private final Door listener;
+    private final Set<String> activeRequestIds = new HashSet<>();
+    private final String runId;
+    private long lastGeneratedId;
     private boolean ready;
 
     /**
-     * A front that does not listen yet.
+     * Creates a front end that does not listen yet.
      *
-     * @param run names this run of the program in the ids that it makes
+     * @param runId identifies this run of the program in generated request IDs
      */
     public GrpcFront(
             EventLoop loop,
             GrpcSettings settings,
             Options platform,
             Requests requests,
-            String run,
+            String runId,
             Door.Events events) {
         this.settings = settings;
-        this.methods = settings.methods(platform);
+        this.methods = settings.methodTable(platform);
         this.reader = new JobReader(platform);
         this.requests = requests;
-        this.made = run;
-        this.door = new Door(
+        this.runId = runId;
+        this.listener = new Door(
                 loop,
                 new Door.Limits(
                         settings.listen(),
-                        settings.connections(),
-                        settings.streams(),
-                        settings.idle(),
-                        settings.headerBytes(),
-                        settings.controlFrames(),
-                        settings.heldBytes(),
-                        settings.age(),
-                        settings.grace()),
+                        settings.maxConnections(),
+                        settings.maxStreams(),
+                        settings.idleTimeoutNanos(),
+                        settings.maxHeaderBytes(),
+                        settings.maxControlFramesPerSecond(),
+                        settings.maxBufferedBytes(),
+                        settings.maxAgeNanos(),
+                        settings.drainGraceNanos()),
                 "grpc",
                 settings.tls() == null ? null : channel -> settings.tls().newHandler(channel.alloc()),
                 events,
@@ -110,53 +110,51 @@
                 (stream, share) -> stream.pipeline().addLast(new Call(stream, share)));
     }
 
-    /** Listens; health says no until {@link #ready}. */
+    /** Starts to listen; health checks report NOT_SERVING until {@link #ready}. */
     public ChannelFuture listen() {
-        return door.listen();
+        return listener.listen();
     }
 
-    /** From now on health says yes, or no; calls are taken either way, as over HTTP/1.1. */
-    public void ready(boolean on) {
-        ready = on;
+    /** Sets what health checks report; calls are accepted in either state, as over HTTP/1.1. */
+    public void ready(boolean ready) {
+        this.ready = ready;
     }
 
-    /**
-     * Asks all clients to leave, and says in health that it is not ready; calls that come are still taken.
-     */
+    /** Asks all clients to close their connections and reports NOT_SERVING; new calls are still accepted. */
     public void drain() {
         ready = false;
-        door.leave();
+        listener.leave();
     }
 
-    /** Connections that are in. */
-    public int connections() {
-        return door.connections();
+    /** The number of open client connections. */
+    public int connectionCount() {
+        return listener.connections();
     }
 
-    /** Whether no call is open. */
+    /** Whether no call is in flight. */
     public boolean idle() {
-        return ids.isEmpty();
+        return activeRequestIds.isEmpty();
     }
 
-    /** Takes no more connections. */
+    /** Accepts no more connections. */
     public void close() {
-        door.close();
+        listener.close();
     }
 
-    /** One stream: one unary call. */
+    /** A stream, which carries one unary call. */
     private final class Call extends ChannelInboundHandlerAdapter implements Client {
         private final Channel stream;
         private final HeldBytes.Share share;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-        private Future<?> timer;
-        private Http2Headers head;
-        private Method method;
-        private String id;
-        private long held;
-        private long endsAt;
-        private long journey;
-        private boolean whole;
-        private boolean over;
+        private Future<?> timeout;
+        private Http2Headers requestHeaders;
+        private GrpcMethod method;
+        private String requestId;
+        private long reservedBytes;
+        private long deadlineNanos;
+        private long submissionId;
+        private boolean complete;
+        private boolean ended;
 
         Call(Channel stream, HeldBytes.Share share) {
             this.stream = stream;
@@ -165,133 +163,141 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            timer = stream.eventLoop()
+            timeout = stream.eventLoop()
                     .schedule(
                             () -> end(GrpcCode.CANCELLED, "the call did not come whole in time", 0),
-                            settings.transfer(),
+                            settings.transferTimeoutNanos(),
                             TimeUnit.NANOSECONDS);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object frame) {
             try {
-                if (!over && frame instanceof Http2HeadersFrame headers) {
-                    if (head != null) {
+                if (!ended && frame instanceof Http2HeadersFrame headers) {
+                    if (requestHeaders != null) {
                         end(GrpcCode.INTERNAL, "trailers in a request", 0);
                         return;
                     }
-                    head = headers.headers();
-                    if (begin() && headers.isEndStream()) {
-                        whole();
+                    requestHeaders = headers.headers();
+                    if (acceptHeaders() && headers.isEndStream()) {
+                        onRequestComplete();
                     }
-                } else if (!over && frame instanceof Http2DataFrame data) {
-                    take(data);
+                } else if (!ended && frame instanceof Http2DataFrame data) {
+                    receive(data);
                 }
             } finally {
                 ReferenceCountUtil.release(frame);
             }
         }
 
-        private boolean begin() {
-            if (!Verdict.isGrpc(head.get(HttpHeaderNames.CONTENT_TYPE)) || !"POST".contentEquals(head.method())) {
+        /** Validates the request headers; false where the call has been ended. */
+        private boolean acceptHeaders() {
+            if (!ClassifiedResponse.isGrpc(requestHeaders.get(HttpHeaderNames.CONTENT_TYPE))
+                    || !"POST".contentEquals(requestHeaders.method())) {
                 finish(() -> stream.writeAndFlush(
                         new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().status("415"), true)));
                 return false;
             }
-            method = methods.byPath(head.path());
-            if (method == null && !CHECK.contentEquals(head.path())) {
-                end(GrpcCode.UNIMPLEMENTED, "no such method: " + head.path(), 0);
+            method = methods.forGrpcPath(requestHeaders.path());
+            if (method == null && !HEALTH_CHECK_PATH.contentEquals(requestHeaders.path())) {
+                end(GrpcCode.UNIMPLEMENTED, "no such method: " + requestHeaders.path(), 0);
                 return false;
             }
             return true;
         }
 
-        private void take(Http2DataFrame data) {
-            int more = data.content().readableBytes();
-            if (body.size() + more > settings.rules().most() + PREFIX) {
+        private void receive(Http2DataFrame data) {
+            int length = data.content().readableBytes();
+            if (body.size() + length > settings.classificationRules().maxMessageBytes() + PREFIX_BYTES) {
                 end(
                         GrpcCode.RESOURCE_EXHAUSTED,
-                        "message larger than " + settings.rules().most() + " bytes",
+                        "message larger than " + settings.classificationRules().maxMessageBytes() + " bytes",
                         0);
                 return;
             }
-            if (more > 0 && !share.take(more)) {
+            if (length > 0 && !share.take(length)) {
                 end(FinalCode.refused(), "no room for the message", 0);
                 return;
             }
-            held += more;
+            reservedBytes += length;
             body.writeBytes(ByteBufUtil.getBytes(data.content()));
             if (data.isEndStream()) {
-                whole();
+                onRequestComplete();
             }
         }
 
-        /** All of it has come. */
-        private void whole() {
-            whole = true;
-            timer.cancel(false);
-            UnaryMessage.Read read = UnaryMessage.read(
+        /** Submits the call once its request has been received completely. */
+        private void onRequestComplete() {
+            complete = true;
+            timeout.cancel(false);
+            UnaryMessage.Decoded decoded = UnaryMessage.decode(
                     body.toByteArray(),
-                    head.get("grpc-encoding"),
-                    settings.rules().most());
-            if (read.message() == null) {
-                end(read.code(), read.problem(), 0);
+                    requestHeaders.get("grpc-encoding"),
+                    settings.classificationRules().maxMessageBytes());
+            if (decoded.message() == null) {
+                end(decoded.code(), decoded.problem(), 0);
                 return;
             }
             if (method == null) {
-                answer(ready ? SERVING : NOT_SERVING, new DefaultHttpHeaders());
+                respond(ready ? SERVING : NOT_SERVING, new DefaultHttpHeaders());
                 return;
             }
             Job job;
             try {
-                job = job(read.message());
+                job = toJob(decoded.message());
             } catch (IllegalArgumentException e) {
                 end(GrpcCode.INVALID_ARGUMENT, e.getMessage(), 0);
                 return;
             }
-            id = job.headers().get("Req-Id");
-            if (!ids.add(id)) {
-                id = null;
+            requestId = job.headers().get("Req-Id");
+            if (!activeRequestIds.add(requestId)) {
+                requestId = null;
                 end(GrpcCode.ALREADY_EXISTS, "the request's id is in use", 0);
                 return;
             }
-            endsAt = System.nanoTime() + job.waitMs() * 1_000_000;
-            journey = requests.submit(job, this);
+            deadlineNanos = System.nanoTime() + job.waitMs() * 1_000_000;
+            submissionId = requests.submit(job, this);
         }
 
-        /** What came, as the platform's request of that class; throws {@link IllegalArgumentException}. */
-        private Job job(byte[] message) {
+        /**
+         * Converts the call to a request of the method's class.
+         *
+         * @throws IllegalArgumentException where the metadata is not valid for such a request
+         */
+        private Job toJob(byte[] message) {
             HttpHeaders headers = new DefaultHttpHeaders();
-            for (Map.Entry<CharSequence, CharSequence> each : head) {
-                String name = each.getKey().toString();
+            for (Map.Entry<CharSequence, CharSequence> header : requestHeaders) {
+                String name = header.getKey().toString();
                 if (!name.startsWith(":")
                         && !name.startsWith("grpc-")
                         && !Headers.ofOneHop(name)
                         && !HttpHeaderNames.CONTENT_TYPE.contentEquals(name)
                         && !HttpHeaderNames.CONTENT_LENGTH.contentEquals(name)
                         && !name.startsWith("req-")) {
-                    headers.add(name, each.getValue());
+                    headers.add(name, header.getValue());
                 }
             }
-            move(headers, settings.tenant(), "Req-Owner");
-            move(headers, settings.key(), JobReader.KEY);
-            move(headers, settings.id(), "Req-Id");
+            moveMetadata(headers, settings.tenantMetadata(), "Req-Owner");
+            moveMetadata(headers, settings.idempotencyKeyMetadata(), JobReader.KEY);
+            moveMetadata(headers, settings.requestIdMetadata(), "Req-Id");
             if (!headers.contains("Req-Id")) {
-                headers.set("Req-Id", "grpc-" + made + '-' + ++lastId);
+                headers.set("Req-Id", "grpc-" + runId + '-' + ++lastGeneratedId);
             }
             headers.set("Req-Kind", method.className()).set(HttpHeaderNames.HOST, "app.svc");
-            CharSequence timeout = head.get("grpc-timeout");
-            long left = timeout == null ? Long.MAX_VALUE : GrpcTimeout.read(timeout);
-            if (left < 0) {
-                throw new IllegalArgumentException("not a grpc-timeout: " + timeout);
+            CharSequence grpcTimeout = requestHeaders.get("grpc-timeout");
+            long timeLeftNanos = grpcTimeout == null ? Long.MAX_VALUE : GrpcTimeout.parse(grpcTimeout);
+            if (timeLeftNanos < 0) {
+                throw new IllegalArgumentException("not a grpc-timeout: " + grpcTimeout);
             }
-            headers.set("Req-Deadline-Ms", Long.toString(Math.min(999_999_999, Math.max(1, left / 1_000_000))));
-            return reader.read(method.http(), method.target(message), headers)
-                    .with(method.get() ? new byte[0] : message);
+            headers.set(
+                    "Req-Deadline-Ms", Long.toString(Math.min(999_999_999, Math.max(1, timeLeftNanos / 1_000_000))));
+            return reader.read(method.httpMethod(), method.requestTarget(message), headers)
+                    .with(method.usesGet() ? new byte[0] : message);
         }
 
-        private void move(HttpHeaders headers, String metadata, String name) {
-            CharSequence value = head.get(metadata);
+        /** Moves a metadata value to the header of the request that has the same meaning. */
+        private void moveMetadata(HttpHeaders headers, String metadata, String name) {
+            CharSequence value = requestHeaders.get(metadata);
             headers.remove(metadata);
             if (value != null) {
                 headers.set(name, value);
@@ -299,122 +305,126 @@
         }
 
         @Override
-        public boolean here(boolean late) {
-            return Unread.open(stream.parent(), late) && stream.isActive();
+        public boolean here(boolean loopMayHaveStalled) {
+            return Unread.open(stream.parent(), loopMayHaveStalled) && stream.isActive();
         }
 
         @Override
-        public void served(Answer answer) {
-            String status = answer.headers().get(GrpcWording.STATUS);
+        public void served(Answer response) {
+            String status = response.headers().get(GrpcWording.STATUS_HEADER);
             if (status != null) {
-                Http2Headers trailers =
-                        trailers(answer.headers()).status("200").set(HttpHeaderNames.CONTENT_TYPE, TYPE);
-                trailers.set(STATUS, status);
-                if (answer.headers().contains(GrpcWording.MESSAGE)) {
-                    trailers.set(MESSAGE, answer.headers().get(GrpcWording.MESSAGE));
+                Http2Headers trailersOnly = toHttp2Headers(response.headers())
+                        .status("200")
+                        .set(HttpHeaderNames.CONTENT_TYPE, GRPC_CONTENT_TYPE);
+                trailersOnly.set(STATUS, status);
+                if (response.headers().contains(GrpcWording.MESSAGE_HEADER)) {
+                    trailersOnly.set(MESSAGE, response.headers().get(GrpcWording.MESSAGE_HEADER));
                 }
-                finish(() -> stream.writeAndFlush(new DefaultHttp2HeadersFrame(trailers, true)));
+                finish(() -> stream.writeAndFlush(new DefaultHttp2HeadersFrame(trailersOnly, true)));
                 return;
             }
-            answer(answer.body(), answer.headers());
+            respond(response.body(), response.headers());
         }
 
         @Override
-        public void refused(long wait) {
-            end(FinalCode.refused(), "refused: nothing that a repeat would do twice", wait);
+        public void refused(long retryAfterNanos) {
+            end(FinalCode.refused(), "refused: nothing that a repeat would do twice", retryAfterNanos);
         }
 
         @Override
         public void failed() {
-            end(FinalCode.failed(endsAt - System.nanoTime()), "failed: it may have run", 0);
+            end(FinalCode.failed(deadlineNanos - System.nanoTime()), "failed: it may have run", 0);
         }
 
-        private static Http2Headers trailers(HttpHeaders from) {
+        /** Copies the headers that are neither of one hop nor set by this front end. */
+        private static Http2Headers toHttp2Headers(HttpHeaders from) {
             Http2Headers headers = new DefaultHttp2Headers();
-            for (Map.Entry<String, String> each : from) {
-                AsciiString name = AsciiString.of(each.getKey()).toLowerCase();
+            for (Map.Entry<String, String> header : from) {
+                AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
                 if (!name.startsWith("grpc-")
                         && !Headers.ofOneHop(name)
                         && !name.contentEquals(HttpHeaderNames.CONTENT_LENGTH)
                         && !name.contentEquals(HttpHeaderNames.CONTENT_TYPE)) {
-                    headers.add(name, each.getValue());
+                    headers.add(name, header.getValue());
                 }
             }
             return headers;
         }
 
-        private void answer(byte[] message, HttpHeaders headers) {
-            Http2Headers first = trailers(headers)
+        /** Ends the call with a message and status OK. */
+        private void respond(byte[] message, HttpHeaders headers) {
+            Http2Headers responseHeaders = toHttp2Headers(headers)
                     .status("200")
-                    .set(HttpHeaderNames.CONTENT_TYPE, TYPE)
-                    .set("grpc-accept-encoding", UnaryMessage.ACCEPTED);
+                    .set(HttpHeaderNames.CONTENT_TYPE, GRPC_CONTENT_TYPE)
+                    .set("grpc-accept-encoding", UnaryMessage.ACCEPTED_ENCODINGS);
             finish(() -> {
-                stream.write(new DefaultHttp2HeadersFrame(first));
+                stream.write(new DefaultHttp2HeadersFrame(responseHeaders));
                 stream.write(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(MessageReader.frame(message))));
                 return stream.writeAndFlush(new DefaultHttp2HeadersFrame(
                         new DefaultHttp2Headers().set(STATUS, GrpcCode.OK.number()), true));
             });
             share.add(message.length);
-            held += message.length;
+            reservedBytes += message.length;
         }
 
-        /** Ends the call with nothing but a status. */
-        private void end(GrpcCode code, String text, long wait) {
-            Http2Headers all = new DefaultHttp2Headers()
+        /** Ends the call with a Trailers-Only response. */
+        private void end(GrpcCode code, String text, long retryAfterNanos) {
+            Http2Headers headers = new DefaultHttp2Headers()
                     .status("200")
-                    .set(HttpHeaderNames.CONTENT_TYPE, TYPE)
+                    .set(HttpHeaderNames.CONTENT_TYPE, GRPC_CONTENT_TYPE)
                     .set(STATUS, code.number())
-                    .set(MESSAGE, FinalCode.message(text));
-            if (wait > 0) {
-                all.set(PUSHBACK, Long.toString(Math.max(1, wait / 1_000_000)));
+                    .set(MESSAGE, FinalCode.percentEncode(text));
+            if (retryAfterNanos > 0) {
+                headers.set(PUSHBACK, Long.toString(Math.max(1, retryAfterNanos / 1_000_000)));
             }
-            finish(() -> stream.writeAndFlush(new DefaultHttp2HeadersFrame(all, true)));
+            finish(() -> stream.writeAndFlush(new DefaultHttp2HeadersFrame(headers, true)));
         }
 
+        /** Ends the call, once, by writing its response. */
         private void finish(java.util.function.Supplier<ChannelFuture> write) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
-            timer.cancel(false);
+            ended = true;
+            timeout.cancel(false);
             ChannelFuture written = write.get();
-            // An answer that waits for the client's window for too long.
-            timer = stream.eventLoop()
+            // Resets a response that the client's flow-control window blocks for too long.
+            timeout = stream.eventLoop()
                     .schedule(
                             () -> stream.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL)),
-                            settings.transfer(),
+                            settings.transferTimeoutNanos(),
                             TimeUnit.NANOSECONDS);
             written.addListener(done -> {
-                timer.cancel(false);
-                if (!whole) {
-                    // The rest of the call is not wanted (RFC 9113, section 8.1).
+                timeout.cancel(false);
+                if (!complete) {
+                    // The rest of the request is not needed (RFC 9113, section 8.1).
                     stream.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.NO_ERROR));
                 }
             });
-            forget();
+            releaseRequestId();
         }
 
-        private void forget() {
-            if (id != null) {
-                ids.remove(id);
-                id = null;
+        private void releaseRequestId() {
+            if (requestId != null) {
+                activeRequestIds.remove(requestId);
+                requestId = null;
             }
         }
 
-        private void gone() {
-            if (!over && journey != 0) {
-                requests.hangup(journey);
+        private void streamClosed() {
+            if (!ended && submissionId != 0) {
+                requests.hangup(submissionId);
             }
-            over = true;
-            forget();
+            ended = true;
+            releaseRequestId();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            gone();
-            timer.cancel(false);
-            share.give(held);
-            held = 0;
+            streamClosed();
+            timeout.cancel(false);
+            share.give(reservedBytes);
+            reservedBytes = 0;
         }
 
         @Override
--- a/src/main/java/pondridge/grpc/GrpcSettings.java
+++ b/src/main/java/pondridge/grpc/GrpcSettings.java
@@ -22,72 +22,76 @@
 import pondridge.settings.SettingsFile;
 
 /**
- * What gRPC is set to; times in nanoseconds, sizes in bytes.
+ * Settings of gRPC clients and servers.
  *
- * @param file as messages name it
- * @param listen where gRPC clients come in; null for nowhere
- * @param tls of that; null for plain text, on loopback only
- * @param tenant metadata that names the tenant
- * @param key metadata that brings a keyed request's key
- * @param id metadata that brings a request's id; one is made where there is none
- * @param rules what servers' answers are taken for
- * @param methods by their names in the settings
- * @param connections that may be in
- * @param streams at a time on one of them
- * @param idle how long one may say nothing
- * @param transfer how long a request may take to come whole, and an answer to go
- * @param heldBytes of requests and answers that are held, one connection a quarter of it
- * @param headerBytes of one request's metadata
- * @param controlFrames frames a second that bring nothing, from one connection
- * @param age of a connection, after which it is asked to leave
- * @param grace how long it may stay then, for what is open on it
+ * @param fileName name of the settings file in error messages
+ * @param listen address for gRPC clients; null where none are accepted
+ * @param tls TLS context of that address; null for plain text, which is allowed on loopback only
+ * @param tenantMetadata metadata that names the tenant
+ * @param idempotencyKeyMetadata metadata that carries the idempotency key of a keyed request
+ * @param requestIdMetadata metadata that carries the request ID; an ID is generated where it is absent
+ * @param classificationRules how server responses are classified
+ * @param methods the methods by their names in the settings
+ * @param maxConnections limit on client connections
+ * @param maxStreams limit on concurrent streams of one connection
+ * @param idleTimeoutNanos how long a connection may be idle
+ * @param transferTimeoutNanos time limit for receiving a request and for sending a response
+ * @param maxBufferedBytes limit on buffered requests and responses; a quarter of it for one connection
+ * @param maxHeaderBytes limit on the metadata of one request
+ * @param maxControlFramesPerSecond limit on frames per second from one connection that carry no data
+ * @param maxAgeNanos age after which a connection is asked to close
+ * @param drainGraceNanos how long such a connection may stay open for its calls in flight
  */
 public record GrpcSettings(
-        String file,
+        String fileName,
         InetSocketAddress listen,
         SslContext tls,
-        String tenant,
-        String key,
-        String id,
-        Verdict.Rules rules,
-        Map<String, Named> methods,
-        int connections,
-        int streams,
-        long idle,
-        long transfer,
-        int heldBytes,
-        int headerBytes,
-        int controlFrames,
-        long age,
-        long grace) {
-    /** A method as it stands in the settings. */
-    record Named(String path, String className, String uri) {}
+        String tenantMetadata,
+        String idempotencyKeyMetadata,
+        String requestIdMetadata,
+        ClassifiedResponse.Rules classificationRules,
+        Map<String, MethodSettings> methods,
+        int maxConnections,
+        int maxStreams,
+        long idleTimeoutNanos,
+        long transferTimeoutNanos,
+        int maxBufferedBytes,
+        int maxHeaderBytes,
+        int maxControlFramesPerSecond,
+        long maxAgeNanos,
+        long drainGraceNanos) {
+    /** A method as configured. */
+    record MethodSettings(String path, String className, String httpPath) {}
 
-    private static final String PATH = "/[A-Za-z_][A-Za-z0-9_.]*/[A-Za-z_][A-Za-z0-9_]*";
-    private static final String METADATA = "[a-z0-9_.-]{1,64}";
+    private static final String METHOD_PATH = "/[A-Za-z_][A-Za-z0-9_.]*/[A-Za-z_][A-Za-z0-9_]*";
+    private static final String METADATA_NAME = "[a-z0-9_.-]{1,64}";
 
     /** Reads {@code [grpc]} and {@code [grpc_methods.NAME]}; null where the file has no {@code [grpc]}. */
-    public static GrpcSettings of(SettingsFile file, Path folder) {
+    public static GrpcSettings of(SettingsFile file, Path directory) {
         if (!file.has("grpc")) {
             return null;
         }
         Section section = file.section("grpc");
         String listen = section.text("listen", "none");
         InetSocketAddress address = listen.equals("none") ? null : address(section, listen);
-        Map<String, Named> methods = new LinkedHashMap<>();
+        Map<String, MethodSettings> methods = new LinkedHashMap<>();
         Set<String> seen = new HashSet<>();
-        file.section("grpc_methods").sections().forEach((name, each) -> {
-            Named named = new Named(each.text("path", null), each.text("class", null), each.text("uri", null));
-            if (!named.path.matches(PATH) || !seen.add(named.path)) {
-                throw each.contradiction("path", "expected /package.Service/Method, each once, found " + named.path);
+        file.section("grpc_methods").sections().forEach((name, methodSection) -> {
+            MethodSettings method = new MethodSettings(
+                    methodSection.text("path", null),
+                    methodSection.text("class", null),
+                    methodSection.text("uri", null));
+            if (!method.path.matches(METHOD_PATH) || !seen.add(method.path)) {
+                throw methodSection.contradiction(
+                        "path", "expected a unique path /package.Service/Method, found " + method.path);
             }
-            if (!named.uri.matches("/api(/[A-Za-z0-9_.~-]+)*") || !seen.add(named.className + named.uri)) {
-                throw each.contradiction(
-                        "uri", "expected a path under /api, each once for a class, found " + named.uri);
+            if (!method.httpPath.matches("/api(/[A-Za-z0-9_.~-]+)*") || !seen.add(method.className + method.httpPath)) {
+                throw methodSection.contradiction(
+                        "uri", "expected a path under /api that is unique within its class, found " + method.httpPath);
             }
-            methods.put(name, named);
+            methods.put(name, method);
         });
-        Verdict.Rules rules = new Verdict.Rules(
+        ClassifiedResponse.Rules classificationRules = new ClassifiedResponse.Rules(
                 codes(section, "declines", List.of("UNAVAILABLE")),
                 metadata(section, "decline_mark", "srv-declined"),
                 codes(section, "passed_on", List.of()),
@@ -95,11 +99,11 @@
         return new GrpcSettings(
                 file.name(),
                 address,
-                tls(section, folder, address),
+                tls(section, directory, address),
                 metadata(section, "tenant", "req-owner"),
                 metadata(section, "key", "idempotency-key"),
                 metadata(section, "id", "req-id"),
-                rules,
+                classificationRules,
                 methods,
                 section.number("connections", 256, 1, 100_000),
                 section.number("streams", 100, 1, 10_000),
@@ -112,19 +116,19 @@
                 section.time("grace", "10s", "100ms", "10min"));
     }
 
-    private static String metadata(Section section, String key, String absent) {
-        String name = section.text(key, absent);
-        boolean none = name.equals("none") && key.equals("decline_mark");
-        if (!none && (!name.matches(METADATA) || name.startsWith("grpc-") || name.endsWith("-bin"))) {
-            throw section.contradiction(key, "expected a name of text metadata in small letters, found " + name);
+    private static String metadata(Section section, String key, String defaultName) {
+        String name = section.text(key, defaultName);
+        boolean disabled = name.equals("none") && key.equals("decline_mark");
+        if (!disabled && (!name.matches(METADATA_NAME) || name.startsWith("grpc-") || name.endsWith("-bin"))) {
+            throw section.contradiction(key, "expected a name of text metadata in lower case, found " + name);
         }
-        return none ? "" : name;
+        return disabled ? "" : name;
     }
 
-    private static Set<GrpcCode> codes(Section section, String key, List<String> absent) {
+    private static Set<GrpcCode> codes(Section section, String key, List<String> defaultNames) {
         List<String> names = section.texts(key);
         Set<GrpcCode> codes = EnumSet.noneOf(GrpcCode.class);
-        for (String name : names.isEmpty() ? absent : names) {
+        for (String name : names.isEmpty() ? defaultNames : names) {
             try {
                 codes.add(GrpcCode.valueOf(name));
             } catch (IllegalArgumentException e) {
@@ -132,24 +136,24 @@
             }
         }
         if (codes.contains(GrpcCode.OK)) {
-            throw section.contradiction(key, "OK is always the answer");
+            throw section.contradiction(key, "OK can't be listed: it is always the application's response");
         }
         return codes;
     }
 
-    private static SslContext tls(Section section, Path folder, InetSocketAddress address) {
-        boolean plain = "plain".equals(section.word("security", "tls", List.of("plain", "tls")));
+    private static SslContext tls(Section section, Path directory, InetSocketAddress address) {
+        boolean plaintext = "plain".equals(section.word("security", "tls", List.of("plain", "tls")));
         if (address == null) {
             return null;
         }
-        if (plain) {
+        if (plaintext) {
             if (!address.getAddress().isLoopbackAddress()) {
-                throw section.contradiction("security", "plain text is for loopback addresses only");
+                throw section.contradiction("security", "plain text is allowed on loopback addresses only");
             }
             return null;
         }
-        Path certificate = folder.resolve(section.text("certificate", null));
-        Path key = folder.resolve(section.text("key_file", null));
+        Path certificate = directory.resolve(section.text("certificate", null));
+        Path key = directory.resolve(section.text("key_file", null));
         try {
             return SslContextBuilder.forServer(certificate.toFile(), key.toFile())
                     .sslProvider(SslProvider.JDK)
@@ -168,30 +172,30 @@
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // Told below.
+            // Reported below.
         }
         throw section.contradiction("listen", "expected an address and a port, found \"" + text + '"');
     }
 
     /**
-     * The methods with what the platform says of their classes; a class it lacks is a {@link
+     * The methods with their request classes from the platform configuration; an unknown class is a {@link
      * SettingsException}.
      */
-    public MethodTable methods(Options platform) {
+    public MethodTable methodTable(Options platform) {
         List<String> classes = platform.names("profiles");
-        List<Method> all = new ArrayList<>();
-        methods.forEach((name, named) -> {
-            int number = classes.indexOf(named.className);
-            if (number < 0) {
+        List<GrpcMethod> resolved = new ArrayList<>();
+        methods.forEach((name, method) -> {
+            int requestClass = classes.indexOf(method.className);
+            if (requestClass < 0) {
                 throw new SettingsException(
-                        file,
+                        fileName,
                         "grpc_methods." + name + ".class",
-                        "the platform's file has no class " + named.className + "; it has "
+                        "the platform's file has no class " + method.className + "; it has "
                                 + String.join(", ", classes));
             }
-            boolean get = platform.settings().classes().get(number).semantics() == Semantics.REPEATABLE;
-            all.add(new Method(named.path, number, named.className, named.uri, get));
+            boolean usesGet = platform.settings().classes().get(requestClass).semantics() == Semantics.REPEATABLE;
+            resolved.add(new GrpcMethod(method.path, requestClass, method.className, method.httpPath, usesGet));
         });
-        return new MethodTable(all);
+        return new MethodTable(resolved);
     }
 }
--- a/src/main/java/pondridge/grpc/GrpcTimeout.java
+++ b/src/main/java/pondridge/grpc/GrpcTimeout.java
@@ -1,20 +1,22 @@
 package pondridge.grpc;
 
 /**
- * The text of {@code grpc-timeout} (gRPC over HTTP/2, "Requests"): at most eight digits and a unit. Time
- * left, never clock time.
+ * Parses and formats {@code grpc-timeout} (gRPC over HTTP/2, "Requests"): at most eight digits and a unit. The
+ * value is the remaining time and not a point in time.
  */
 final class GrpcTimeout {
-    private static final int MOST_DIGITS = 8;
+    private static final int MAX_DIGITS = 8;
     private static final String UNITS = "HMSmun";
-    private static final long[] NANOS = {3_600_000_000_000L, 60_000_000_000L, 1_000_000_000L, 1_000_000L, 1_000L, 1L};
+    private static final long[] UNIT_NANOS = {
+        3_600_000_000_000L, 60_000_000_000L, 1_000_000_000L, 1_000_000L, 1_000L, 1L
+    };
 
     private GrpcTimeout() {}
 
-    /** Nanoseconds; -1 for what is none. */
-    static long read(CharSequence text) {
+    /** The timeout in nanoseconds; -1 where the text is not a valid timeout. */
+    static long parse(CharSequence text) {
         int digits = text.length() - 1;
-        int unit = digits < 1 || digits > MOST_DIGITS ? -1 : UNITS.indexOf(text.charAt(digits));
+        int unit = digits < 1 || digits > MAX_DIGITS ? -1 : UNITS.indexOf(text.charAt(digits));
         if (unit < 0) {
             return -1;
         }
@@ -26,16 +28,16 @@
             }
             number = 10 * number + digit;
         }
-        return number > Long.MAX_VALUE / NANOS[unit] ? Long.MAX_VALUE : number * NANOS[unit];
+        return number > Long.MAX_VALUE / UNIT_NANOS[unit] ? Long.MAX_VALUE : number * UNIT_NANOS[unit];
     }
 
-    /** In the finest unit that eight digits hold, never more than there is; at least one nanosecond. */
-    static String write(long nanos) {
-        long left = Math.max(1, nanos);
-        int unit = NANOS.length - 1;
-        while (unit > 0 && left / NANOS[unit] > 99_999_999) {
+    /** Formats in the finest unit that fits into eight digits, rounded down; at least one nanosecond. */
+    static String format(long timeLeftNanos) {
+        long nanos = Math.max(1, timeLeftNanos);
+        int unit = UNIT_NANOS.length - 1;
+        while (unit > 0 && nanos / UNIT_NANOS[unit] > 99_999_999) {
             unit--;
         }
-        return Math.min(99_999_999, left / NANOS[unit]) + UNITS.substring(unit, unit + 1);
+        return Math.min(99_999_999, nanos / UNIT_NANOS[unit]) + UNITS.substring(unit, unit + 1);
     }
 }
--- a/src/main/java/pondridge/grpc/GrpcWording.java
+++ b/src/main/java/pondridge/grpc/GrpcWording.java
@@ -15,71 +15,76 @@
 import pondridge.core.JobReader;
 import pondridge.http2.Wording;
 
-/** Unary calls and their answers on HTTP/2's streams (gRPC over HTTP/2). */
+/** Encodes unary calls to servers and decodes their responses on HTTP/2 streams (gRPC over HTTP/2). */
 public final class GrpcWording implements Wording {
-    /** Carries a status that is the application's answer, and no failure, to the front. */
-    static final String STATUS = "Grpc-Status";
+    /** Tells the front end the status of an application response that is neither OK nor a failure. */
+    static final String STATUS_HEADER = "Grpc-Status";
+
+    /** Tells the front end the message that belongs to {@link #STATUS_HEADER}. */
+    static final String MESSAGE_HEADER = "Grpc-Message";
 
-    static final String MESSAGE = "Grpc-Message";
     private static final AsciiString STATUS_NAME = AsciiString.cached("grpc-status");
     private static final AsciiString MESSAGE_NAME = AsciiString.cached("grpc-message");
-    private static final AsciiString ENCODING = AsciiString.cached("grpc-encoding");
-    private static final AsciiString ACCEPT_ENCODING = AsciiString.cached("grpc-accept-encoding");
-    private static final AsciiString TIMEOUT = AsciiString.cached("grpc-timeout");
-    private static final AsciiString CONTENT_TYPE = AsciiString.cached("application/grpc");
-    private static final String HEALTH = "/grpc.health.v1.Health/Check";
-    private static final byte[] SERVING = {8, 1};
+    private static final AsciiString ENCODING_NAME = AsciiString.cached("grpc-encoding");
+    private static final AsciiString ACCEPT_ENCODING_NAME = AsciiString.cached("grpc-accept-encoding");
+    private static final AsciiString TIMEOUT_NAME = AsciiString.cached("grpc-timeout");
+    private static final AsciiString GRPC_CONTENT_TYPE = AsciiString.cached("application/grpc");
+    private static final String HEALTH_CHECK_PATH = "/grpc.health.v1.Health/Check";
+    private static final byte[] SERVING_RESPONSE = {8, 1};
 
     private final GrpcSettings settings;
     private final MethodTable methods;
 
-    /** With the methods' classes as the platform has them. */
+    /** Creates a codec for the configured methods with the request classes of the platform. */
     public GrpcWording(GrpcSettings settings, Options platform) {
         this.settings = settings;
-        this.methods = settings.methods(platform);
+        this.methods = settings.methodTable(platform);
     }
 
-    private Method method(Job job) {
-        return methods.byTarget(job.requestClass(), JobReader.path(job.uri()));
+    private GrpcMethod method(Job job) {
+        return methods.forHttpPath(job.requestClass(), JobReader.path(job.uri()));
     }
 
-    private static boolean probe(Job job) {
+    private static boolean isHealthProbe(Job job) {
         return job.method().equals(HttpMethod.GET) && !job.uri().startsWith("/api");
     }
 
     @Override
     public boolean fits(Job job) {
-        Method method = method(job);
-        return probe(job) || method != null && method.message(job.uri(), job.body()) != null;
+        GrpcMethod method = method(job);
+        return isHealthProbe(job) || method != null && method.messageOf(job.uri(), job.body()) != null;
     }
 
     @Override
     public byte[] body(Job job) {
-        return MessageReader.frame(probe(job) ? new byte[0] : method(job).message(job.uri(), job.body()));
+        return MessageReader.frame(
+                isHealthProbe(job) ? new byte[0] : method(job).messageOf(job.uri(), job.body()));
     }
 
     @Override
-    public Http2Headers head(Job job, long left) {
-        Http2Headers head = new DefaultHttp2Headers(false, 16);
-        head.method(HttpMethod.POST.asciiName())
+    public Http2Headers head(Job job, long timeLeftNanos) {
+        Http2Headers requestHeaders = new DefaultHttp2Headers(false, 16);
+        requestHeaders
+                .method(HttpMethod.POST.asciiName())
                 .scheme("http")
-                .path(probe(job) ? HEALTH : method(job).path())
+                .path(isHealthProbe(job) ? HEALTH_CHECK_PATH : method(job).path())
                 .authority(job.headers().get(HttpHeaderNames.HOST, "app.svc"));
-        head.set(HttpHeaderNames.CONTENT_TYPE, CONTENT_TYPE)
+        requestHeaders
+                .set(HttpHeaderNames.CONTENT_TYPE, GRPC_CONTENT_TYPE)
                 .set(HttpHeaderNames.TE, "trailers")
-                .set(TIMEOUT, GrpcTimeout.write(left))
-                .set(ACCEPT_ENCODING, UnaryMessage.ACCEPTED);
-        for (Map.Entry<String, String> each : job.headers()) {
-            AsciiString name = AsciiString.of(each.getKey()).toLowerCase();
-            if (!Headers.ofOneHop(name) && !reserved(name)) {
-                head.add(named(name), each.getValue());
+                .set(TIMEOUT_NAME, GrpcTimeout.format(timeLeftNanos))
+                .set(ACCEPT_ENCODING_NAME, UnaryMessage.ACCEPTED_ENCODINGS);
+        for (Map.Entry<String, String> header : job.headers()) {
+            AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
+            if (!Headers.ofOneHop(name) && !isReserved(name)) {
+                requestHeaders.add(metadataName(name), header.getValue());
             }
         }
-        return head;
+        return requestHeaders;
     }
 
-    /** Of the transport or of HTTP, and no metadata. */
-    private static boolean reserved(AsciiString name) {
+    /** Whether a header belongs to the transport or to HTTP and is not metadata. */
+    private static boolean isReserved(AsciiString name) {
         return name.startsWith("grpc-")
                 || name.contentEquals(HttpHeaderNames.HOST)
                 || name.contentEquals(HttpHeaderNames.CONTENT_TYPE)
@@ -88,49 +93,52 @@
                 || name.contentEquals("req-kind");
     }
 
-    private CharSequence named(AsciiString name) {
+    /** The configured metadata name for a request header. */
+    private CharSequence metadataName(AsciiString name) {
         if (name.contentEquals("req-owner")) {
-            return settings.tenant();
+            return settings.tenantMetadata();
         }
         if (name.contentEquals("req-id")) {
-            return settings.id();
+            return settings.requestIdMetadata();
         }
-        return name.contentEquals("idempotency-key") ? settings.key() : name;
+        return name.contentEquals("idempotency-key") ? settings.idempotencyKeyMetadata() : name;
     }
 
     @Override
-    public Ended answer(Job job, Http2Headers head, HttpHeaders through, byte[] body, Http2Headers trailers) {
-        Http2Headers last = trailers == null ? head : trailers;
-        String mark = settings.rules().mark();
-        Verdict verdict = Verdict.of(
-                new Verdict.Came(
-                        head.get(HttpHeaderNames.CONTENT_TYPE),
-                        head.get(ENCODING),
-                        last.get(STATUS_NAME),
+    public Ended answer(
+            Job job, Http2Headers responseHeaders, HttpHeaders forwardedHeaders, byte[] body, Http2Headers trailers) {
+        Http2Headers statusHeaders = trailers == null ? responseHeaders : trailers;
+        String declineMarker = settings.classificationRules().declineMarker();
+        ClassifiedResponse response = ClassifiedResponse.classify(
+                new ClassifiedResponse.RawResponse(
+                        responseHeaders.get(HttpHeaderNames.CONTENT_TYPE),
+                        responseHeaders.get(ENCODING_NAME),
+                        statusHeaders.get(STATUS_NAME),
                         trailers == null && body.length == 0,
-                        !mark.isEmpty() && "1".contentEquals(String.valueOf(last.get(mark))),
+                        !declineMarker.isEmpty() && "1".contentEquals(String.valueOf(statusHeaders.get(declineMarker))),
                         body),
-                settings.rules());
-        if (verdict.outcome() != Outcome.OK) {
-            return new Ended(verdict.outcome(), null);
+                settings.classificationRules());
+        if (response.outcome() != Outcome.OK) {
+            return new Ended(response.outcome(), null);
         }
-        if (probe(job)) {
-            boolean serving = java.util.Arrays.equals(SERVING, verdict.message());
+        if (isHealthProbe(job)) {
+            boolean serving = java.util.Arrays.equals(SERVING_RESPONSE, response.message());
             return serving
-                    ? new Ended(Outcome.OK, new Answer(through, verdict.message()))
+                    ? new Ended(Outcome.OK, new Answer(forwardedHeaders, response.message()))
                     : new Ended(Outcome.ERROR, null);
         }
-        through.remove(HttpHeaderNames.CONTENT_TYPE)
-                .remove(ENCODING)
-                .remove(ACCEPT_ENCODING)
+        forwardedHeaders
+                .remove(HttpHeaderNames.CONTENT_TYPE)
+                .remove(ENCODING_NAME)
+                .remove(ACCEPT_ENCODING_NAME)
                 .remove(STATUS_NAME)
                 .remove(MESSAGE_NAME);
-        if (verdict.code() != GrpcCode.OK) {
-            through.set(STATUS, verdict.code().number());
-            if (last.get(MESSAGE_NAME) != null) {
-                through.set(MESSAGE, last.get(MESSAGE_NAME));
+        if (response.code() != GrpcCode.OK) {
+            forwardedHeaders.set(STATUS_HEADER, response.code().number());
+            if (statusHeaders.get(MESSAGE_NAME) != null) {
+                forwardedHeaders.set(MESSAGE_HEADER, statusHeaders.get(MESSAGE_NAME));
             }
         }
-        return new Ended(Outcome.OK, new Answer(through, verdict.message()));
+        return new Ended(Outcome.OK, new Answer(forwardedHeaders, response.message()));
     }
 }
--- a/src/main/java/pondridge/grpc/MessageReader.java
+++ b/src/main/java/pondridge/grpc/MessageReader.java
@@ -3,100 +3,107 @@
 import java.util.Arrays;
 
 /**
- * Puts messages together from pieces of any size (gRPC over HTTP/2, "Length-Prefixed-Message"): a flag, four
- * bytes of length, the message. Holds one message at a time, and no more of it than it may have; takes room
- * as bytes come and not as a prefix says. No I/O.
+ * Reassembles messages from fragments of any size (gRPC over HTTP/2, "Length-Prefixed-Message"): a flag, four
+ * bytes of length, the message. Buffers one message at a time up to the size limit. The buffer grows with the
+ * bytes received and not with the length that the prefix announces. No I/O.
  */
 final class MessageReader {
-    /** What was read, or why nothing can be read any more. */
+    /** Progress of the current message, or the error that ended reading. */
     enum State {
-        MORE,
-        MESSAGE,
+        INCOMPLETE,
+        COMPLETE,
         TOO_LARGE,
         BAD_FLAG
     }
 
-    private static final int PREFIX = 5;
-    private static final int FIRST = 256;
-    private final int most;
-    private final byte[] prefix = new byte[PREFIX];
-    private int prefixed;
+    private static final int PREFIX_BYTES = 5;
+    private static final int INITIAL_CAPACITY_BYTES = 256;
+    private final int maxMessageBytes;
+    private final byte[] prefix = new byte[PREFIX_BYTES];
+    private int prefixBytesRead;
     private int length;
     private byte[] body = {};
-    private int got;
-    private State failed;
+    private int bodyBytesRead;
+    private State error;
 
-    /** Messages of at most so many bytes. */
-    MessageReader(int most) {
-        this.most = most;
+    /** Creates a reader for messages up to a maximum size. */
+    MessageReader(int maxMessageBytes) {
+        this.maxMessageBytes = maxMessageBytes;
     }
 
     /**
-     * Reads on from {@code from}; stops after a whole message.
+     * Reads bytes from {@code from} up to {@code to}; stops after a complete message.
      *
-     * @return how many bytes were taken; ask {@link #state} then
+     * @return the number of bytes consumed; {@link #state} then tells the result
      */
     int read(byte[] bytes, int from, int to) {
-        int at = from;
-        if (failed != null || state() == State.MESSAGE) {
+        int position = from;
+        if (error != null || state() == State.COMPLETE) {
             return 0;
         }
-        while (at < to && prefixed < PREFIX) {
-            prefix[prefixed++] = bytes[at++];
+        while (position < to && prefixBytesRead < PREFIX_BYTES) {
+            prefix[prefixBytesRead++] = bytes[position++];
         }
-        if (prefixed < PREFIX) {
-            return at - from;
+        if (prefixBytesRead < PREFIX_BYTES) {
+            return position - from;
         }
-        long wanted = (prefix[1] & 0xffL) << 24 | (prefix[2] & 0xff) << 16 | (prefix[3] & 0xff) << 8 | prefix[4] & 0xff;
+        long announcedLength =
+                (prefix[1] & 0xffL) << 24 | (prefix[2] & 0xff) << 16 | (prefix[3] & 0xff) << 8 | prefix[4] & 0xff;
         if ((prefix[0] & 0xff) > 1) {
-            failed = State.BAD_FLAG;
-        } else if (wanted > most) {
-            failed = State.TOO_LARGE;
+            error = State.BAD_FLAG;
+        } else if (announcedLength > maxMessageBytes) {
+            error = State.TOO_LARGE;
         } else {
-            length = (int) wanted;
-            int taken = Math.min(length - got, to - at);
-            if (got + taken > body.length) {
-                body = Arrays.copyOf(body, Math.min(length, Math.max(FIRST, Math.max(2 * body.length, got + taken))));
+            length = (int) announcedLength;
+            int copied = Math.min(length - bodyBytesRead, to - position);
+            if (bodyBytesRead + copied > body.length) {
+                body = Arrays.copyOf(
+                        body,
+                        Math.min(
+                                length,
+                                Math.max(INITIAL_CAPACITY_BYTES, Math.max(2 * body.length, bodyBytesRead + copied))));
             }
-            System.arraycopy(bytes, at, body, got, taken);
-            got += taken;
-            at += taken;
+            System.arraycopy(bytes, position, body, bodyBytesRead, copied);
+            bodyBytesRead += copied;
+            position += copied;
         }
-        return at - from;
+        return position - from;
     }
 
     State state() {
-        return failed != null ? failed : prefixed == PREFIX && got == length ? State.MESSAGE : State.MORE;
+        return error != null
+                ? error
+                : prefixBytesRead == PREFIX_BYTES && bodyBytesRead == length ? State.COMPLETE : State.INCOMPLETE;
     }
 
-    /** Whether a message has begun and is not whole. */
-    boolean within() {
-        return prefixed > 0 && state() == State.MORE;
+    /** Whether a message has begun and is not complete. */
+    boolean inMessage() {
+        return prefixBytesRead > 0 && state() == State.INCOMPLETE;
     }
 
-    /** Whether the message that has come is compressed. */
-    boolean compressed() {
+    /** Whether the complete message is compressed. */
+    boolean isCompressed() {
         return prefix[0] == 1;
     }
 
-    /** Takes the message that has come, and goes on with the next. */
-    byte[] take() {
-        byte[] message = body.length == got ? body : Arrays.copyOf(body, got);
-        prefixed = 0;
+    /** Removes and returns the complete message; the next read begins a new one. */
+    byte[] takeMessage() {
+        byte[] message = body.length == bodyBytesRead ? body : Arrays.copyOf(body, bodyBytesRead);
+        prefixBytesRead = 0;
         length = 0;
-        got = 0;
+        bodyBytesRead = 0;
         body = new byte[0];
         return message;
     }
 
-    /** A message with its prefix, not compressed. */
+    /** Prepends the length prefix to an uncompressed message. */
     static byte[] frame(byte[] message) {
-        byte[] framed = new byte[PREFIX + message.length];
+        byte[] framed = new byte[PREFIX_BYTES + message.length];
         framed[1] = (byte) (message.length >>> 24);
         framed[2] = (byte) (message.length >>> 16);
         framed[3] = (byte) (message.length >>> 8);
         framed[4] = (byte) message.length;
-        System.arraycopy(message, 0, framed, PREFIX, message.length);
+        System.arraycopy(message, 0, framed, PREFIX_BYTES, message.length);
         return framed;
     }
 }
--- a/src/main/java/pondridge/grpc/MethodTable.java
+++ b/src/main/java/pondridge/grpc/MethodTable.java
@@ -4,31 +4,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** Methods by their gRPC path, and by what an HTTP/1.1 request for the same is called. */
+/** The configured methods, by their gRPC path and by their HTTP/1.1 path. */
 public final class MethodTable {
-    private final Map<String, Method> byPath = new HashMap<>();
-    private final List<Method> all;
+    private final Map<String, GrpcMethod> byGrpcPath = new HashMap<>();
+    private final List<GrpcMethod> methods;
 
-    MethodTable(List<Method> all) {
-        this.all = List.copyOf(all);
-        all.forEach(each -> byPath.put(each.path(), each));
+    MethodTable(List<GrpcMethod> methods) {
+        this.methods = List.copyOf(methods);
+        methods.forEach(method -> byGrpcPath.put(method.path(), method));
     }
 
-    /** Null for one that is not named: what it does is not known, so it is not sent. */
-    Method byPath(CharSequence path) {
-        return path == null ? null : byPath.get(path.toString());
+    /**
+     * The method with a gRPC path; null where none is configured. The retry semantics of such a method are
+     * unknown, so calls of it are not sent.
+     */
+    GrpcMethod forGrpcPath(CharSequence path) {
+        return path == null ? null : byGrpcPath.get(path.toString());
     }
 
-    /** The method of a class with the longest fitting target; null where none is named. */
-    Method byTarget(int requestClass, String path) {
-        Method best = null;
-        for (Method each : all) {
-            if (each.requestClass() == requestClass
-                    && each.fits(path)
-                    && (best == null || each.uri().length() > best.uri().length())) {
-                best = each;
+    /** The method of a class with the longest matching HTTP/1.1 path; null where none matches. */
+    GrpcMethod forHttpPath(int requestClass, String httpPath) {
+        GrpcMethod longest = null;
+        for (GrpcMethod method : methods) {
+            if (method.requestClass() == requestClass
+                    && method.matchesHttpPath(httpPath)
+                    && (longest == null
+                            || method.httpPath().length() > longest.httpPath().length())) {
+                longest = method;
             }
         }
-        return best;
+        return longest;
     }
 }
--- a/src/main/java/pondridge/grpc/UnaryMessage.java
+++ b/src/main/java/pondridge/grpc/UnaryMessage.java
@@ -4,59 +4,58 @@
 import java.io.IOException;
 import java.util.zip.GZIPInputStream;
 
-/**
- * The one message of a unary call, out of all the bytes that came for it; inflated where it was compressed.
- */
+/** Decodes the single message of a unary call from the complete body and decompresses it if needed. */
 final class UnaryMessage {
-    /** What advertises the codings that {@link #read} understands. */
-    static final String ACCEPTED = "identity,gzip";
+    /** The {@code grpc-accept-encoding} value: the encodings that {@link #decode} supports. */
+    static final String ACCEPTED_ENCODINGS = "identity,gzip";
 
-    /** The message, or the code for why there is none and a word on it. */
-    record Read(byte[] message, GrpcCode code, String problem) {
-        private static Read failed(GrpcCode code, String problem) {
-            return new Read(null, code, problem);
+    /** The message, or a status code and a description of the problem where the message is null. */
+    record Decoded(byte[] message, GrpcCode code, String problem) {
+        private static Decoded failed(GrpcCode code, String problem) {
+            return new Decoded(null, code, problem);
         }
     }
 
     private UnaryMessage() {}
 
     /**
-     * Reads exactly one message.
+     * Decodes a body that must hold exactly one message.
      *
-     * @param coding of {@code grpc-encoding}; null for none
-     * @param most bytes of a message, inflated or not
+     * @param encoding value of {@code grpc-encoding}; null if absent
+     * @param maxMessageBytes limit on the size of the message, compressed and decompressed
      */
-    static Read read(byte[] bytes, CharSequence coding, int most) {
-        MessageReader reader = new MessageReader(most);
-        int taken = reader.read(bytes, 0, bytes.length);
+    static Decoded decode(byte[] bytes, CharSequence encoding, int maxMessageBytes) {
+        MessageReader reader = new MessageReader(maxMessageBytes);
+        int consumed = reader.read(bytes, 0, bytes.length);
         switch (reader.state()) {
             case TOO_LARGE -> {
-                return Read.failed(GrpcCode.RESOURCE_EXHAUSTED, "message larger than " + most + " bytes");
+                return Decoded.failed(GrpcCode.RESOURCE_EXHAUSTED, "message larger than " + maxMessageBytes + " bytes");
             }
             case BAD_FLAG -> {
-                return Read.failed(GrpcCode.INTERNAL, "neither compressed nor not");
+                return Decoded.failed(GrpcCode.INTERNAL, "neither compressed nor not");
             }
-            case MORE -> {
-                return Read.failed(GrpcCode.INTERNAL, reader.within() ? "message cut short" : "no message");
+            case INCOMPLETE -> {
+                return Decoded.failed(GrpcCode.INTERNAL, reader.inMessage() ? "message cut short" : "no message");
             }
             default -> {}
         }
-        if (taken < bytes.length) {
-            return Read.failed(GrpcCode.INTERNAL, "more than one message");
+        if (consumed < bytes.length) {
+            return Decoded.failed(GrpcCode.INTERNAL, "more than one message");
         }
-        if (!reader.compressed()) {
-            return new Read(reader.take(), GrpcCode.OK, "");
+        if (!reader.isCompressed()) {
+            return new Decoded(reader.takeMessage(), GrpcCode.OK, "");
         }
-        if (coding == null || !"gzip".contentEquals(coding)) {
-            return Read.failed(GrpcCode.UNIMPLEMENTED, "compressed by what is not understood: " + coding);
+        if (encoding == null || !"gzip".contentEquals(encoding)) {
+            return Decoded.failed(GrpcCode.UNIMPLEMENTED, "compressed by what is not understood: " + encoding);
         }
-        try (GZIPInputStream in = new GZIPInputStream(new ByteArrayInputStream(reader.take()))) {
-            byte[] message = in.readNBytes(most + 1);
-            return message.length > most
-                    ? Read.failed(GrpcCode.RESOURCE_EXHAUSTED, "message larger than " + most + " bytes inflated")
-                    : new Read(message, GrpcCode.OK, "");
+        try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(reader.takeMessage()))) {
+            byte[] message = gzip.readNBytes(maxMessageBytes + 1);
+            return message.length > maxMessageBytes
+                    ? Decoded.failed(
+                            GrpcCode.RESOURCE_EXHAUSTED, "message larger than " + maxMessageBytes + " bytes inflated")
+                    : new Decoded(message, GrpcCode.OK, "");
         } catch (IOException e) {
-            return Read.failed(GrpcCode.INTERNAL, "can't be inflated");
+            return Decoded.failed(GrpcCode.INTERNAL, "can't be inflated");
         }
     }
 }
--- a/src/main/java/pondridge/grpc/package-info.java
+++ b/src/main/java/pondridge/grpc/package-info.java
@@ -1,2 +1,2 @@
-/** gRPC over HTTP/2: its front, and its words on the way to servers. */
+/** Unary gRPC calls over HTTP/2: the front end for clients and the codec for servers. */
 package pondridge.grpc;
--- a/src/main/java/pondridge/settings/Section.java
+++ b/src/main/java/pondridge/settings/Section.java
@@ -12,19 +12,19 @@
 import java.util.regex.Pattern;
 
 /**
- * A section's values, each with its default and its bounds. Times and sizes carry their unit as text
- * ({@code "50ms"}, {@code "64KiB"}), so that none can be taken for another.
+ * Reads the values of one section, each with its default and its bounds. Durations and sizes are texts with
+ * a unit ({@code "50ms"}, {@code "64KiB"}), so that units cannot be confused.
  */
 public final class Section {
-    private static final Pattern WITH_UNIT = Pattern.compile("([0-9]{1,9})\\s?([a-zA-Z]+)");
-    private static final Map<String, Long> TIMES =
+    private static final Pattern QUANTITY = Pattern.compile("([0-9]{1,9})\\s?([a-zA-Z]+)");
+    private static final Map<String, Long> NANOS_PER_UNIT =
             Map.of("us", 1_000L, "ms", 1_000_000L, "s", 1_000_000_000L, "min", 60_000_000_000L);
-    private static final Map<String, Long> SIZES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20);
+    private static final Map<String, Long> BYTES_PER_UNIT = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20);
     private final String file;
     private final String name;
     private final JsonNode node;
-    private final Set<String> known = new HashSet<>();
-    private final List<Section> children = new ArrayList<>();
+    private final Set<String> requestedKeys = new HashSet<>();
+    private final List<Section> subsections = new ArrayList<>();
 
     Section(String file, String name, JsonNode node) {
         this.file = file;
@@ -32,163 +32,168 @@
         this.node = node;
     }
 
-    /** A whole number. */
-    public int number(String key, int absent, int least, int most) {
+    /** Returns an integer. */
+    public int number(String key, int defaultValue, int min, int max) {
         JsonNode value = value(key);
         if (value.isMissingNode()) {
-            return absent;
+            return defaultValue;
         }
-        if (!value.isIntegralNumber() || value.asLong() < least || value.asLong() > most) {
-            throw wrong(key, "a whole number from " + least + " to " + most, value);
+        if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
+            throw unexpected(key, "a whole number from " + min + " to " + max, value);
         }
         return value.asInt();
     }
 
-    /** Whole numbers, at least one; {@code absent} where the key is missing. */
-    public List<Integer> numbers(String key, List<Integer> absent, int least, int most) {
+    /** Returns a non-empty list of integers. */
+    public List<Integer> numbers(String key, List<Integer> defaultValue, int min, int max) {
         JsonNode value = value(key);
         if (value.isMissingNode()) {
-            return absent;
+            return defaultValue;
         }
         List<Integer> numbers = new ArrayList<>();
-        for (JsonNode each : value) {
+        for (JsonNode element : value) {
             numbers.add(
-                    each.isIntegralNumber() && each.asLong() >= least && each.asLong() <= most ? each.asInt() : null);
+                    element.isIntegralNumber() && element.asLong() >= min && element.asLong() <= max
+                            ? element.asInt()
+                            : null);
         }
         if (!value.isArray() || numbers.isEmpty() || numbers.contains(null)) {
-            throw wrong(key, "a list of whole numbers from " + least + " to " + most, value);
+            throw unexpected(key, "a list of whole numbers from " + min + " to " + max, value);
         }
         return numbers;
     }
 
-    /** A duration in nanoseconds. */
-    public long time(String key, String absent, String least, String most) {
-        return measure(key, absent, least, most, TIMES, "a time with its unit (us, ms, s, min)");
+    /** Returns a duration in nanoseconds. */
+    public long time(String key, String defaultValue, String min, String max) {
+        return quantity(key, defaultValue, min, max, NANOS_PER_UNIT, "a time with its unit (us, ms, s, min)");
     }
 
-    /** A size in bytes. */
-    public int size(String key, String absent, String least, String most) {
-        return (int) measure(key, absent, least, most, SIZES, "a size with its unit (B, KiB, MiB)");
+    /** Returns a size in bytes. */
+    public int size(String key, String defaultValue, String min, String max) {
+        return (int) quantity(key, defaultValue, min, max, BYTES_PER_UNIT, "a size with its unit (B, KiB, MiB)");
     }
 
-    /** One of some words. */
-    public String word(String key, String absent, List<String> allowed) {
+    /** Returns one of the allowed words. */
+    public String word(String key, String defaultValue, List<String> allowed) {
         JsonNode value = value(key);
         if (value.isMissingNode()) {
-            return absent;
+            return defaultValue;
         }
         if (!value.isTextual() || !allowed.contains(value.asText())) {
-            throw wrong(key, "one of " + String.join(", ", allowed), value);
+            throw unexpected(key, "one of " + String.join(", ", allowed), value);
         }
         return value.asText();
     }
 
-    /** A number with or without a fraction. */
-    public double fraction(String key, double absent, double least, double most) {
+    /** Returns a number with or without a fractional part. */
+    public double fraction(String key, double defaultValue, double min, double max) {
         JsonNode value = value(key);
         if (value.isMissingNode()) {
-            return absent;
+            return defaultValue;
         }
-        if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
-            throw wrong(key, "a number from " + least + " to " + most, value);
+        if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
+            throw unexpected(key, "a number from " + min + " to " + max, value);
         }
         return value.asDouble();
     }
 
-    /** A text that is not empty; {@code absent} null makes it required. */
-    public String text(String key, String absent) {
+    /** Returns a non-empty text; the key is required where {@code defaultValue} is null. */
+    public String text(String key, String defaultValue) {
         JsonNode value = value(key);
-        if (value.isMissingNode() && absent != null) {
-            return absent;
+        if (value.isMissingNode() && defaultValue != null) {
+            return defaultValue;
         }
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw wrong(key, "a text", value);
+            throw unexpected(key, "a text", value);
         }
         return value.asText();
     }
 
-    /** Texts, none of them empty; an empty list where the key is missing. */
+    /** Returns a list of non-empty texts; the list is empty where the key is missing. */
     public List<String> texts(String key) {
         JsonNode value = value(key);
         List<String> texts = new ArrayList<>();
         if (value.isMissingNode()) {
             return texts;
         }
-        for (JsonNode each : value) {
-            if (!each.isTextual() || each.asText().isEmpty()) {
-                throw wrong(key, "a list of texts", value);
+        for (JsonNode element : value) {
+            if (!element.isTextual() || element.asText().isEmpty()) {
+                throw unexpected(key, "a list of texts", value);
             }
-            texts.add(each.asText());
+            texts.add(element.asText());
         }
         if (!value.isArray()) {
-            throw wrong(key, "a list of texts", value);
+            throw unexpected(key, "a list of texts", value);
         }
         return texts;
     }
 
-    /** The sections within this one, by name; nothing else may stand in it. */
+    /** Returns the subsections by name; this section must not hold anything else. */
     public Map<String, Section> sections() {
-        Map<String, Section> inner = new LinkedHashMap<>();
+        Map<String, Section> byName = new LinkedHashMap<>();
         node.properties().forEach(field -> {
-            known.add(field.getKey());
+            requestedKeys.add(field.getKey());
             if (!field.getValue().isObject()) {
-                throw wrong(field.getKey(), "a section", field.getValue());
+                throw unexpected(field.getKey(), "a section", field.getValue());
             }
-            inner.put(field.getKey(), new Section(file, name + '.' + field.getKey(), field.getValue()));
+            byName.put(field.getKey(), new Section(file, name + '.' + field.getKey(), field.getValue()));
         });
-        children.addAll(inner.values());
-        return inner;
+        subsections.addAll(byName.values());
+        return byName;
     }
 
-    /** One section within this one, empty where it is missing. */
+    /** Returns a subsection; an empty one where the key is missing. */
     public Section section(String key) {
         JsonNode value = value(key);
         if (!value.isMissingNode() && !value.isObject()) {
-            throw wrong(key, "a section", value);
+            throw unexpected(key, "a section", value);
         }
-        Section inner = new Section(
+        Section subsection = new Section(
                 file, name + '.' + key, value.isMissingNode() ? JsonNodeFactory.instance.objectNode() : value);
-        children.add(inner);
-        return inner;
+        subsections.add(subsection);
+        return subsection;
     }
 
-    /** A mistake that only several values together show. */
+    /** Returns an error for a key whose value fails a check of the caller, such as one over several keys. */
     public SettingsException contradiction(String key, String problem) {
         return new SettingsException(file, name + "." + key, problem);
     }
 
-    private long measure(String key, String absent, String least, String most, Map<String, Long> units, String what) {
+    private long quantity(
+            String key, String defaultValue, String min, String max, Map<String, Long> units, String expected) {
         JsonNode value = value(key);
-        long lower = parse(least, units);
-        long upper = parse(most, units);
-        long given =
-                value.isMissingNode() ? parse(absent, units) : value.isTextual() ? parse(value.asText(), units) : -1;
-        if (given < lower || given > upper) {
-            throw wrong(key, what + ", from " + least + " to " + most, value);
+        long minQuantity = parse(min, units);
+        long maxQuantity = parse(max, units);
+        long quantity = value.isMissingNode()
+                ? parse(defaultValue, units)
+                : value.isTextual() ? parse(value.asText(), units) : -1;
+        if (quantity < minQuantity || quantity > maxQuantity) {
+            throw unexpected(key, expected + ", from " + min + " to " + max, value);
         }
-        return given;
+        return quantity;
     }
 
-    /** The value in the smallest unit, -1 where it is none. */
+    /** Parses a quantity to the smallest unit; -1 where the text is not valid. */
     private static long parse(String text, Map<String, Long> units) {
-        Matcher matcher = WITH_UNIT.matcher(text);
+        Matcher matcher = QUANTITY.matcher(text);
         Long unit = matcher.matches() ? units.get(matcher.group(2)) : null;
         return unit == null ? -1 : Long.parseLong(matcher.group(1)) * unit;
     }
 
     private JsonNode value(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         return node.path(key);
     }
 
-    private SettingsException wrong(String key, String expected, JsonNode found) {
+    private SettingsException unexpected(String key, String expected, JsonNode found) {
         return contradiction(key, "expected " + expected + ", found " + found);
     }
 
-    void finish() {
-        children.forEach(Section::finish);
+    /** Reports keys of this section and its subsections that no reader has requested. */
+    void rejectUnknownKeys() {
+        subsections.forEach(Section::rejectUnknownKeys);
         for (String key : (Iterable<String>) node::fieldNames) {
-            if (!known.contains(key)) {
+            if (!requestedKeys.contains(key)) {
                 throw contradiction(key, "unknown key");
             }
         }
--- a/src/main/java/pondridge/settings/SettingsFile.java
+++ b/src/main/java/pondridge/settings/SettingsFile.java
@@ -14,25 +14,26 @@
 import java.util.Set;
 
 /**
- * One TOML file, a section per subsystem. Its readers take the sections they know; {@link #finish} then
- * complains of what nobody knows, so that a misspelt name is not silently a default.
+ * A TOML file with one section per subsystem. Each reader requests the sections it needs; {@link #finish} then
+ * rejects sections and keys that no reader has requested, so that a misspelled name does not silently leave a
+ * default in place.
  */
 public final class SettingsFile {
-    private static final long LARGEST = 1 << 20;
+    private static final long MAX_FILE_BYTES = 1 << 20;
     private final String name;
     private final JsonNode root;
-    private final Set<String> known = new HashSet<>();
-    private final List<Section> taken = new ArrayList<>();
+    private final Set<String> requestedKeys = new HashSet<>();
+    private final List<Section> requestedSections = new ArrayList<>();
 
     private SettingsFile(String name, JsonNode root) {
         this.name = name;
         this.root = root;
     }
 
-    /** Reads a file of at most 1 MiB; what is not TOML is a {@link SettingsException} naming the line. */
+    /** Reads a file of at most 1 MiB; invalid TOML is a {@link SettingsException} that names the line. */
     public static SettingsFile read(Path file) {
         try {
-            if (Files.size(file) > LARGEST) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new SettingsException(file.toString(), "", "larger than 1 MiB");
             }
             return parse(file.toString(), Files.readString(file));
@@ -41,7 +42,7 @@
         }
     }
 
-    /** Reads a text; {@code name} stands for the file in what is said of it. */
+    /** Parses a text; {@code name} is the file name in error messages. */
     public static SettingsFile parse(String name, String text) {
         try {
             return new SettingsFile(name, new TomlMapper().readTree(text));
@@ -53,12 +54,12 @@
     }
 
     /**
-     * The same with all that another file has besides: what stands in both is this one's, value by value, but
-     * that a section named in {@code whole} is taken from this one alone.
+     * Merges this file over a base file. Where both have a value, this file takes precedence. A section in
+     * {@code replacedSections} that this file has is not merged but replaces that of the base file.
      */
-    public SettingsFile over(SettingsFile base, Set<String> whole) {
+    public SettingsFile over(SettingsFile base, Set<String> replacedSections) {
         ObjectNode merged = base.root.deepCopy();
-        whole.stream().filter(root::has).forEach(merged::remove);
+        replacedSections.stream().filter(root::has).forEach(merged::remove);
         merge(merged, root);
         return new SettingsFile(name, merged);
     }
@@ -73,7 +74,7 @@
         });
     }
 
-    /** As messages name it. */
+    /** The file name in error messages. */
     public String name() {
         return name;
     }
@@ -83,28 +84,28 @@
         return root.has(section);
     }
 
-    /** A section, empty where the file has none. */
-    public Section section(String section) {
-        known.add(section);
-        JsonNode node = root.path(section);
+    /** Returns a section; an empty one where the file does not have it. */
+    public Section section(String key) {
+        requestedKeys.add(key);
+        JsonNode node = root.path(key);
         if (node.isMissingNode()) {
             node = JsonNodeFactory.instance.objectNode();
         }
         if (!node.isObject()) {
-            throw new SettingsException(name, section, "expected a section: [" + section + "]");
+            throw new SettingsException(name, key, "expected a section: [" + key + "]");
         }
-        Section made = new Section(name, section, node);
-        taken.add(made);
-        return made;
+        Section section = new Section(name, key, node);
+        requestedSections.add(section);
+        return section;
     }
 
-    /** All readers are done: what none of them asked for is a mistake. */
+    /** Rejects sections and keys that no reader has requested; called after all readers. */
     public void finish() {
-        for (String each : (Iterable<String>) root::fieldNames) {
-            if (!known.contains(each)) {
-                throw new SettingsException(name, each, "unknown section");
+        for (String key : (Iterable<String>) root::fieldNames) {
+            if (!requestedKeys.contains(key)) {
+                throw new SettingsException(name, key, "unknown section");
             }
         }
-        taken.forEach(Section::finish);
+        requestedSections.forEach(Section::rejectUnknownKeys);
     }
 }
--- a/src/main/java/pondridge/settings/package-info.java
+++ b/src/main/java/pondridge/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of bankflow's own in TOML files: read and checked whole, each mistake named by file and key. */
+/** Reads and validates the TOML settings files of bankflow; each error names the file and the key. */
 package pondridge.settings;
--- a/src/test/java/pondridge/grpc/GrpcDifferentialTest.java
+++ b/src/test/java/pondridge/grpc/GrpcDifferentialTest.java
@@ -30,30 +30,31 @@
 import pondridge.standin.StandinServer.Protocol;
 
 /**
- * The same request to the same fault by either front gets the same verdict, over servers of each protocol.
+ * The same request against the same server fault has the same result through the HTTP/1.1 and the gRPC front
+ * end, for servers of each protocol.
  */
 class GrpcDifferentialTest {
-    private static final long MS = 1_000_000;
-    private static final int WAIT_MS = 1_500;
-    private static final Set<Fault> LIES = EnumSet.of(Fault.LIE, Fault.GOAWAY_LIE);
-    private static final Set<Fault> OF_GRPC =
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int TIMEOUT_MILLIS = 1_500;
+    private static final Set<Fault> FALSE_DECLINES = EnumSet.of(Fault.LIE, Fault.GOAWAY_LIE);
+    private static final Set<Fault> GRPC_FAULTS =
             EnumSet.of(Fault.NO_STATUS, Fault.CUT_MESSAGE, Fault.TWO_MESSAGES, Fault.WRONG_TYPE);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
 
-    /** A server with one fault and an engine for each front, and one request by it. */
+    /** For each front end, a server with one fault, an engine and one request. */
     private final class Pair implements AutoCloseable {
         private final Protocol protocol;
-        private final String kind;
-        private final List<GrpcBed> beds = new ArrayList<>();
+        private final String className;
+        private final List<GrpcTestFixture> fixtures = new ArrayList<>();
         private final List<StandinServer> servers = new ArrayList<>();
         private final List<EffectLedger> ledgers = new ArrayList<>();
-        private final List<CompletableFuture<Void>> over = new ArrayList<>();
+        private final List<CompletableFuture<Void>> ends = new ArrayList<>();
 
-        Pair(Protocol protocol, Fault fault, String kind) throws Exception {
+        Pair(Protocol protocol, Fault fault, String className) throws Exception {
             this.protocol = protocol;
-            this.kind = kind;
-            for (int front = 0; front < 2; front++) {
-                EffectLedger ledger = new EffectLedger(5_000 * MS, 2_000 * MS);
+            this.className = className;
+            for (int frontEnd = 0; frontEnd < 2; frontEnd++) {
+                EffectLedger ledger = new EffectLedger(5_000 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
                 ledgers.add(ledger);
                 StandinServer server = new StandinServer(
                         group.next(),
@@ -62,65 +63,66 @@
                                 "s",
                                 "a",
                                 protocol,
-                                new FaultScript(1, Map.of(fault, 1.0), MS, MS),
+                                new FaultScript(1, Map.of(fault, 1.0), NANOS_PER_MILLI, NANOS_PER_MILLI),
                                 ledger,
                                 new KeyMemory()));
                 servers.add(server);
-                GrpcBed bed = new GrpcBed(
+                GrpcTestFixture fixture = new GrpcTestFixture(
                         group.next(),
-                        Usual.options(WAIT_MS),
+                        Usual.options(TIMEOUT_MILLIS),
                         protocol,
                         List.of(new Target("s", server.address(), "a", "m", 0, State.READY, 1, 0)),
                         false);
-                beds.add(bed);
-                if (front == 0) {
-                    over.add(new OpenLoad(group.next(), List.of(bed.door()), ledger, 1, "h")
-                            .start(Fleet.plan(1, 1_000, WAIT_MS, Map.of(kind, 1.0))));
+                fixtures.add(fixture);
+                if (frontEnd == 0) {
+                    ends.add(new OpenLoad(group.next(), List.of(fixture.httpAddress()), ledger, 1, "h")
+                            .start(Fleet.plan(1, 1_000, TIMEOUT_MILLIS, Map.of(className, 1.0))));
                 } else {
                     CompletableFuture<Void> ended = new CompletableFuture<>();
-                    over.add(ended);
-                    bed.call("g", kind, CallOptions.DEFAULT, ledger, WAIT_MS, () -> ended.complete(null));
+                    ends.add(ended);
+                    fixture.call(
+                            "g", className, CallOptions.DEFAULT, ledger, TIMEOUT_MILLIS, () -> ended.complete(null));
                 }
             }
         }
 
-        private String end(int front) throws Exception {
-            over.get(front).get(Fleet.LIMIT_S, TimeUnit.SECONDS);
-            Verdict verdict = ledgers.get(front).verdict();
+        private String result(int frontEnd) throws Exception {
+            ends.get(frontEnd).get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+            Verdict verdict = ledgers.get(frontEnd).verdict();
             assertEquals(1, verdict.served() + verdict.refused() + verdict.failed(), verdict::toString);
             return verdict.served() > 0 ? "served" : verdict.refused() > 0 ? "refused" : "failed";
         }
 
         @Override
         public void close() {
-            beds.forEach(GrpcBed::close);
+            fixtures.forEach(GrpcTestFixture::close);
             servers.forEach(StandinServer::close);
         }
     }
 
     @Test
-    void theSameRequestHasTheSameVerdictByEitherFront() throws Exception {
+    void theSameRequestHasTheSameResultThroughEitherFrontEnd() throws Exception {
         int failed = 0;
         try {
             for (Fault fault : Fault.values()) {
                 List<Pair> pairs = new ArrayList<>();
                 for (Protocol protocol : Protocol.values()) {
-                    for (String kind : GrpcBed.CLASSES) {
-                        pairs.add(new Pair(protocol, fault, kind));
+                    for (String className : GrpcTestFixture.CLASSES) {
+                        pairs.add(new Pair(protocol, fault, className));
                     }
                 }
                 for (Pair pair : pairs) {
-                    String what = fault + " " + pair.protocol + " " + pair.kind;
-                    String end = pair.end(0);
-                    assertEquals(end, pair.end(1), what);
-                    failed += end.equals("failed") ? 1 : 0;
-                    boolean ran = pair.servers.get(0).runs() > 0;
-                    boolean again = !pair.kind.equals("stock-hold") && !pair.kind.equals("order-book");
+                    String description = fault + " " + pair.protocol + " " + pair.className;
+                    String result = pair.result(0);
+                    assertEquals(result, pair.result(1), description);
+                    failed += result.equals("failed") ? 1 : 0;
+                    boolean executed = pair.servers.get(0).runs() > 0;
+                    boolean repeatable = !pair.className.equals("stock-hold") && !pair.className.equals("order-book");
                     assertTrue(
-                            !ran || again || LIES.contains(fault) || !end.equals("refused"),
-                            what + " ran and was refused");
-                    if (OF_GRPC.contains(fault) && pair.protocol == Protocol.GRPC) {
-                        assertEquals(again ? "refused" : "failed", end, what);
+                            !executed || repeatable || FALSE_DECLINES.contains(fault) || !result.equals("refused"),
+                            description + " was executed and refused");
+                    if (GRPC_FAULTS.contains(fault) && pair.protocol == Protocol.GRPC) {
+                        assertEquals(repeatable ? "refused" : "failed", result, description);
                     }
                 }
                 pairs.forEach(Pair::close);
@@ -128,6 +130,6 @@
         } finally {
             group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
         }
-        assertTrue(failed > 20, "faults did their work: " + failed);
+        assertTrue(failed > 20, "too few requests failed: " + failed);
     }
 }
--- a/src/test/java/pondridge/grpc/GrpcFramesTest.java
+++ b/src/test/java/pondridge/grpc/GrpcFramesTest.java
@@ -46,22 +46,22 @@
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
-/** What comes to the front frame by frame, as no library would send it. */
+/** Frame sequences at the gRPC front end that no client library would send. */
 class GrpcFramesTest {
-    private static final long MS = 1_000_000;
-    private static final byte[] ONE = MessageReader.frame(new byte[] {1});
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final byte[] ONE_MESSAGE = MessageReader.frame(new byte[] {1});
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
-    private final EffectLedger ledger = new EffectLedger(5_000 * MS, 2_000 * MS);
+    private final EffectLedger ledger = new EffectLedger(5_000 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
     private StandinServer server;
-    private GrpcBed bed;
+    private GrpcTestFixture fixture;
     private Channel connection;
 
-    private void start(long work) throws Exception {
+    private void start(long workNanos) throws Exception {
         server = new StandinServer(
                 group.next(),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                StandinServer.Setup.of("s", "a", Protocol.GRPC, FaultScript.none(work), ledger, new KeyMemory()));
-        bed = new GrpcBed(
+                StandinServer.Setup.of("s", "a", Protocol.GRPC, FaultScript.none(workNanos), ledger, new KeyMemory()));
+        fixture = new GrpcTestFixture(
                 group.next(),
                 Usual.options(5_000),
                 Protocol.GRPC,
@@ -72,57 +72,57 @@
                 .channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        made.pipeline()
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         Http2FrameCodecBuilder.forClient().build(),
                                         new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()));
                     }
                 })
-                .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), bed.port()))
+                .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), fixture.grpcPort()))
                 .sync()
                 .channel();
     }
 
     @BeforeEach
-    void usual() throws Exception {
-        start(MS);
+    void setUp() throws Exception {
+        start(NANOS_PER_MILLI);
     }
 
     @AfterEach
-    void end() {
+    void tearDown() {
         stop();
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** One call: its stream, and how it ended ("http 415", or the status). */
-    private record Call(Http2StreamChannel stream, CompletableFuture<String> end) {
-        private String ended() throws Exception {
-            return end.get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+    /** A call with its stream and its result: "http 415", the gRPC status or "gone". */
+    private record Call(Http2StreamChannel stream, CompletableFuture<String> result) {
+        private String await() throws Exception {
+            return result.get(Fleet.LIMIT_S, TimeUnit.SECONDS);
         }
     }
 
-    private static Http2Headers head(String kind, String id) {
+    private static Http2Headers headers(String className, String id) {
         return new DefaultHttp2Headers()
                 .method("POST")
                 .scheme("http")
                 .authority("x")
-                .path("/" + GrpcBed.method(kind).getFullMethodName())
+                .path("/" + GrpcTestFixture.method(className).getFullMethodName())
                 .set("content-type", "application/grpc")
                 .set("te", "trailers")
                 .set("req-owner", "acme")
                 .set("req-id", id);
     }
 
-    private Call call(Http2Headers head, boolean whole, byte[]... pieces) throws Exception {
-        CompletableFuture<String> end = new CompletableFuture<>();
+    private Call call(Http2Headers requestHeaders, boolean endStream, byte[]... fragments) throws Exception {
+        CompletableFuture<String> result = new CompletableFuture<>();
         Http2StreamChannel stream = new Http2StreamChannelBootstrap(connection)
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object frame) {
                         if (frame instanceof Http2HeadersFrame headers && headers.isEndStream()) {
                             CharSequence status = headers.headers().get("grpc-status");
-                            end.complete(
+                            result.complete(
                                     status == null ? "http " + headers.headers().status() : status.toString());
                         }
                         ReferenceCountUtil.release(frame);
@@ -130,145 +130,149 @@
 
                     @Override
                     public void channelInactive(ChannelHandlerContext context) {
-                        end.complete("gone");
+                        result.complete("gone");
                     }
                 })
                 .open()
                 .sync()
                 .getNow();
-        CharSequence id = head.get("req-id");
+        CharSequence id = requestHeaders.get("req-id");
         if (id != null && ledger.verdict().asked() < 1_000) {
-            ask(id.toString());
+            recordRequest(id.toString());
         }
-        stream.write(new DefaultHttp2HeadersFrame(head, whole && pieces.length == 0));
-        for (int i = 0; i < pieces.length; i++) {
-            stream.write(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(pieces[i]), whole && i == pieces.length - 1));
+        stream.write(new DefaultHttp2HeadersFrame(requestHeaders, endStream && fragments.length == 0));
+        for (int i = 0; i < fragments.length; i++) {
+            stream.write(new DefaultHttp2DataFrame(
+                    Unpooled.wrappedBuffer(fragments[i]), endStream && i == fragments.length - 1));
         }
         stream.flush();
-        return new Call(stream, end);
+        return new Call(stream, result);
     }
 
-    private void ask(String id) {
+    private void recordRequest(String id) {
         try {
-            ledger.asked(id, OrderClass.named("order-book"), "", 5_000 * MS);
+            ledger.asked(id, OrderClass.named("order-book"), "", 5_000 * NANOS_PER_MILLI);
         } catch (IllegalArgumentException e) {
-            // The same id once more is what is wanted there.
+            // The test reuses the ID of an open call on purpose.
         }
     }
 
     @Test
-    void messagesInOddPieces() throws Exception {
+    void fragmentedAndMalformedMessages() throws Exception {
         byte[] large = MessageReader.frame(new byte[60_000]);
-        byte[][] single = new byte[large.length][];
+        byte[][] singleBytes = new byte[large.length][];
         for (int i = 0; i < large.length; i++) {
-            single[i] = new byte[] {large[i]};
+            singleBytes[i] = new byte[] {large[i]};
         }
-        assertEquals("0", call(head("order-book", "r1"), true, single).ended(), "a byte a frame");
+        assertEquals("0", call(headers("order-book", "r1"), true, singleBytes).await(), "one byte per frame");
         assertEquals(
                 "0",
-                call(head("order-book", "r2"), true, MessageReader.frame(new byte[0]))
-                        .ended(),
+                call(headers("order-book", "r2"), true, MessageReader.frame(new byte[0]))
+                        .await(),
                 "empty");
-        assertEquals("0", call(head("stock-check", "r3"), true, ONE).ended());
+        assertEquals("0", call(headers("stock-check", "r3"), true, ONE_MESSAGE).await());
         assertEquals(3, server.runs());
-        byte[] two = Arrays.copyOf(ONE, 2 * ONE.length);
-        System.arraycopy(ONE, 0, two, ONE.length, ONE.length);
-        Map<String, byte[][]> bad = Map.of(
-                "two",
-                new byte[][] {two},
-                "half",
-                new byte[][] {Arrays.copyOf(ONE, 5)},
-                "half a prefix",
-                new byte[][] {Arrays.copyOf(ONE, 2)},
-                "none",
+        byte[] twoMessages = Arrays.copyOf(ONE_MESSAGE, 2 * ONE_MESSAGE.length);
+        System.arraycopy(ONE_MESSAGE, 0, twoMessages, ONE_MESSAGE.length, ONE_MESSAGE.length);
+        Map<String, byte[][]> malformed = Map.of(
+                "two messages",
+                new byte[][] {twoMessages},
+                "truncated message",
+                new byte[][] {Arrays.copyOf(ONE_MESSAGE, 5)},
+                "truncated prefix",
+                new byte[][] {Arrays.copyOf(ONE_MESSAGE, 2)},
+                "no message",
                 new byte[0][],
-                "a flag that is none",
+                "invalid flag",
                 new byte[][] {{7, 0, 0, 0, 0}});
         int number = 10;
-        for (Map.Entry<String, byte[][]> each : bad.entrySet()) {
+        for (Map.Entry<String, byte[][]> entry : malformed.entrySet()) {
             assertEquals(
                     "13",
-                    call(head("order-book", "r" + number++), true, each.getValue())
-                            .ended(),
-                    each.getKey());
+                    call(headers("order-book", "r" + number++), true, entry.getValue())
+                            .await(),
+                    entry.getKey());
         }
-        Call endless = call(head("order-book", "r30"), false, new byte[] {0, 0, 2, 0, 0}, new byte[70_000]);
-        assertEquals("8", endless.ended(), "too large, told before all has come");
-        Direct.until(() -> !endless.stream().isOpen(), "the rest of it is not waited for");
-        assertEquals(3, server.runs(), "nothing of it ran");
+        Call oversized = call(headers("order-book", "r30"), false, new byte[] {0, 0, 2, 0, 0}, new byte[70_000]);
+        assertEquals("8", oversized.await(), "too large, reported before the message is complete");
+        Direct.until(() -> !oversized.stream().isOpen(), "the rest of the message is not awaited");
+        assertEquals(3, server.runs(), "no malformed call was executed");
     }
 
     @Test
-    void headsThatCantBe() throws Exception {
-        assertEquals("12", call(head("no-such", "r1"), true, ONE).ended());
+    void invalidRequestHeaders() throws Exception {
+        assertEquals("12", call(headers("no-such", "r1"), true, ONE_MESSAGE).await());
         assertEquals(
                 "http 415",
-                call(head("order-book", "r2").set("content-type", "text/plain"), true, ONE)
-                        .ended());
+                call(headers("order-book", "r2").set("content-type", "text/plain"), true, ONE_MESSAGE)
+                        .await());
         assertEquals(
                 "http 415",
-                call(head("order-book", "r3").method("GET"), true, ONE).ended());
+                call(headers("order-book", "r3").method("GET"), true, ONE_MESSAGE)
+                        .await());
         assertEquals(
                 "3",
-                call(head("order-book", "r4").set("grpc-timeout", "soon"), true, ONE)
-                        .ended());
-        assertEquals("3", call(head("order-confirm", "r5"), true, ONE).ended(), "no key");
-        Http2Headers stranger = head("order-book", "r6").set("req-owner", "nobody");
-        assertEquals("3", call(stranger, true, ONE).ended(), "no such tenant");
+                call(headers("order-book", "r4").set("grpc-timeout", "soon"), true, ONE_MESSAGE)
+                        .await());
+        assertEquals(
+                "3", call(headers("order-confirm", "r5"), true, ONE_MESSAGE).await(), "no key");
+        Http2Headers unknownTenant = headers("order-book", "r6").set("req-owner", "nobody");
+        assertEquals("3", call(unknownTenant, true, ONE_MESSAGE).await(), "unknown tenant");
         assertEquals(0, server.runs());
     }
 
-    /** A client that cancels while its call is out hears nothing more, and its id is free again. */
+    /** A client that cancels a call in flight receives nothing more, and the request ID can be used again. */
     @Test
-    void whoCancelsIsForgotten() throws Exception {
+    void cancelledCallReleasesItsRequestId() throws Exception {
         stop();
-        start(400 * MS);
-        Call first = call(head("order-book", "r1"), true, ONE);
-        Direct.until(() -> server.runs() == 1, "it runs");
-        assertEquals("6", call(head("order-book", "r1"), true, ONE).ended(), "its id is in use");
+        start(400 * NANOS_PER_MILLI);
+        Call first = call(headers("order-book", "r1"), true, ONE_MESSAGE);
+        Direct.until(() -> server.runs() == 1, "the call is executed");
+        assertEquals("6", call(headers("order-book", "r1"), true, ONE_MESSAGE).await(), "the request ID is in use");
         first.stream().writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL));
-        assertEquals("gone", first.ended());
-        Direct.until(() -> bed.idle(), "nothing is open");
-        // The module has seen one call come to nothing and may turn some away; that ends.
+        assertEquals("gone", first.await());
+        Direct.until(() -> fixture.isIdle(), "no request is in flight");
+        // The balancer has seen a call without a response and may refuse some calls for a while.
         int number = 2;
-        String end = "14";
-        for (; end.equals("14") && number < 200; number++) {
-            end = call(head("stock-check", "r" + number), true, ONE).ended();
+        String status = "14";
+        for (; status.equals("14") && number < 200; number++) {
+            status = call(headers("stock-check", "r" + number), true, ONE_MESSAGE)
+                    .await();
             Thread.sleep(20);
         }
-        assertEquals("0", end, "others go on");
-        assertEquals(2, server.runs(), "the cancelled one was not sent again");
+        assertEquals("0", status, "other calls are served");
+        assertEquals(2, server.runs(), "the cancelled call was not repeated");
     }
 
-    /** A call and its cancel lie unread together while the loop stands still: it is not sent on at all. */
+    /** A call and its cancellation both arrive while the event loop is blocked: the call is not forwarded. */
     @Test
-    void whoHasCancelledWhileTheLoopStoodStillIsNotServed() throws Exception {
-        assertEquals("0", call(head("order-book", "r1"), true, ONE).ended());
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        bed.loop().execute(() -> {
-            stands.countDown();
+    void callCancelledWhileTheLoopIsBlockedIsNotForwarded() throws Exception {
+        assertEquals("0", call(headers("order-book", "r1"), true, ONE_MESSAGE).await());
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        fixture.loop().execute(() -> {
+            blocked.countDown();
             try {
-                go.await(Fleet.LIMIT_S, TimeUnit.SECONDS);
+                release.await(Fleet.LIMIT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        stands.await();
-        call(head("order-book", "r2"), true, ONE).stream()
+        blocked.await();
+        call(headers("order-book", "r2"), true, ONE_MESSAGE).stream()
                 .writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL))
                 .sync();
-        // Longer than a leave may go unseen.
+        // Longer than a disconnect may go unnoticed.
         Thread.sleep(150);
-        go.countDown();
-        Direct.until(() -> bed.engine().asked() == 2 && bed.idle(), "it is over");
-        assertEquals("0", call(head("order-book", "r3"), true, ONE).ended());
-        assertEquals(2, server.runs(), "not the one between");
+        release.countDown();
+        Direct.until(() -> fixture.engine().asked() == 2 && fixture.isIdle(), "the call has ended");
+        assertEquals("0", call(headers("order-book", "r3"), true, ONE_MESSAGE).await());
+        assertEquals(2, server.runs(), "the cancelled call was not executed");
     }
 
     private void stop() {
         connection.close();
-        bed.close();
+        fixture.close();
         server.close();
     }
 }
--- a/src/test/java/pondridge/grpc/GrpcProbe.java
+++ b/src/test/java/pondridge/grpc/GrpcProbe.java
@@ -14,51 +14,53 @@
 import pondridge.demo.Usual;
 import pondridge.standin.StandinServer.Protocol;
 
-/** A bed for measurements. */
+/** Test fixture of the gRPC front end for the tests and benchmarks of other packages. */
 public final class GrpcProbe implements AutoCloseable {
-    private final GrpcBed bed;
+    private final GrpcTestFixture fixture;
 
-    private GrpcProbe(GrpcBed bed) {
-        this.bed = bed;
+    private GrpcProbe(GrpcTestFixture fixture) {
+        this.fixture = fixture;
     }
 
-    /** Over servers at these addresses, on a loop where the caller is not. */
-    public static GrpcProbe over(EventLoop loop, Protocol spoken, List<InetSocketAddress> servers) throws Exception {
+    /** Starts a fixture over the servers at these addresses; must not be called on the event loop. */
+    public static GrpcProbe over(EventLoop loop, Protocol serverProtocol, List<InetSocketAddress> servers)
+            throws Exception {
         List<Target> targets = new ArrayList<>();
-        for (InetSocketAddress each : servers) {
-            targets.add(new Target("s" + targets.size(), each, "a", "m", 0, State.READY, 1, 0));
+        for (InetSocketAddress server : servers) {
+            targets.add(new Target("s" + targets.size(), server, "a", "m", 0, State.READY, 1, 0));
         }
-        return new GrpcProbe(new GrpcBed(loop, Usual.options(2_000), spoken, targets, false));
+        return new GrpcProbe(new GrpcTestFixture(loop, Usual.options(2_000), serverProtocol, targets, false));
     }
 
-    /** A confirmation's method. */
+    /** The method of the class order-confirm. */
     public static MethodDescriptor<byte[], byte[]> confirm() {
-        return GrpcBed.method("order-confirm");
+        return GrpcTestFixture.method("order-confirm");
     }
 
-    /** Whether a gRPC front at an address says that it is ready. */
-    public static boolean healthy(InetSocketAddress at) {
+    /** Whether the health check of the gRPC front end at an address reports SERVING. */
+    public static boolean healthy(InetSocketAddress address) {
         ManagedChannel channel =
-                NettyChannelBuilder.forAddress(at).usePlaintext().build();
+                NettyChannelBuilder.forAddress(address).usePlaintext().build();
         try {
-            return ClientCalls.blockingUnaryCall(channel, GrpcBed.HEALTH, CallOptions.DEFAULT, new byte[0])[1] == 1;
+            return ClientCalls.blockingUnaryCall(channel, GrpcTestFixture.HEALTH, CallOptions.DEFAULT, new byte[0])[1]
+                    == 1;
         } finally {
             channel.shutdownNow();
         }
     }
 
-    /** Where HTTP/1.1 clients come in. */
+    /** The address for HTTP/1.1 clients. */
     public InetSocketAddress door() {
-        return bed.door();
+        return fixture.httpAddress();
     }
 
-    /** Where gRPC clients come in. */
+    /** The port for gRPC clients. */
     public int port() {
-        return bed.port();
+        return fixture.grpcPort();
     }
 
     @Override
     public void close() {
-        bed.close();
+        fixture.close();
     }
 }
--- a/src/test/java/pondridge/grpc/GrpcTest.java
+++ b/src/test/java/pondridge/grpc/GrpcTest.java
@@ -46,70 +46,75 @@
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
-/** All four ways between clients and servers of HTTP/1.1 and gRPC; the gRPC ones are grpc-java's. */
+/** HTTP/1.1 and gRPC clients over HTTP/1.1 and gRPC servers; gRPC clients and servers are those of grpc-java. */
 class GrpcTest {
-    private static final long MS = 1_000_000;
-    private static final int WAIT_MS = 1_500;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int TIMEOUT_MILLIS = 1_500;
     private static final long SEED = Long.getLong("seed", 20261201);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final EventLoop serving = group.next();
-    private final EventLoop asking = group.next();
-    private final Options options = Usual.options(WAIT_MS);
-    private final EffectLedger ledger = new EffectLedger(500 * MS, 2_000 * MS);
+    private final EventLoop serverLoop = group.next();
+    private final EventLoop clientLoop = group.next();
+    private final Options options = Usual.options(TIMEOUT_MILLIS);
+    private final EffectLedger ledger = new EffectLedger(500 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
     private final KeyMemory memory = new KeyMemory();
     private final Random random = new Random(SEED);
-    private final List<Runnable> ends = new ArrayList<>();
-    private GrpcBed bed;
-
-    /**
-     * What a server of grpc-java does with a call, by lot: runs it, runs it and fails, or turns it away
-     * unseen.
-     */
-    private Target server(String name, double failing, double declining) throws IOException {
+    private final List<Runnable> closers = new ArrayList<>();
+    private GrpcTestFixture fixture;
+
+    /** A grpc-java server that at random executes a call, executes it and fails, or declines it unexecuted. */
+    private Target server(String name, double failureRate, double declineRate) throws IOException {
         ServerServiceDefinition.Builder service = ServerServiceDefinition.builder("orders.v1.Orders");
-        for (String kind : GrpcBed.CLASSES) {
+        for (String className : GrpcTestFixture.CLASSES) {
             service.addMethod(
-                    GrpcBed.method(kind), ServerCalls.asyncUnaryCall((byte[] asked, StreamObserver<byte[]> answer) -> {
-                        Metadata came = METADATA.get();
-                        double lot = draw();
-                        if (lot < declining) {
-                            Metadata mark = new Metadata();
-                            mark.put(GrpcBed.DECLINED, "1");
-                            answer.onError(Status.UNAVAILABLE.asRuntimeException(mark));
+                    GrpcTestFixture.method(className),
+                    ServerCalls.asyncUnaryCall((byte[] request, StreamObserver<byte[]> response) -> {
+                        Metadata metadata = METADATA.get();
+                        double sample = nextSample();
+                        if (sample < declineRate) {
+                            Metadata marker = new Metadata();
+                            marker.put(GrpcTestFixture.DECLINE_MARKER, "1");
+                            response.onError(Status.UNAVAILABLE.asRuntimeException(marker));
                             return;
                         }
-                        ledger.arrived(name, came.get(GrpcBed.ID));
-                        OrderClass order = OrderClass.named(kind);
-                        if (order.effect() != OrderClass.Effect.KEYED
-                                || memory.first(order, "a", came.get(GrpcBed.KEY), System.nanoTime())) {
-                            ledger.ran(name, came.get(GrpcBed.ID), came.get(GrpcBed.KEY));
+                        ledger.arrived(name, metadata.get(GrpcTestFixture.REQUEST_ID));
+                        OrderClass orderClass = OrderClass.named(className);
+                        if (orderClass.effect() != OrderClass.Effect.KEYED
+                                || memory.first(
+                                        orderClass,
+                                        "a",
+                                        metadata.get(GrpcTestFixture.IDEMPOTENCY_KEY),
+                                        System.nanoTime())) {
+                            ledger.ran(
+                                    name,
+                                    metadata.get(GrpcTestFixture.REQUEST_ID),
+                                    metadata.get(GrpcTestFixture.IDEMPOTENCY_KEY));
                         } else {
                             ledger.dropped();
                         }
-                        if (lot < declining + failing) {
-                            answer.onError(Status.UNAVAILABLE.asRuntimeException());
+                        if (sample < declineRate + failureRate) {
+                            response.onError(Status.UNAVAILABLE.asRuntimeException());
                             return;
                         }
-                        answer.onNext(came.get(GrpcBed.ID).getBytes(StandardCharsets.US_ASCII));
-                        answer.onCompleted();
+                        response.onNext(metadata.get(GrpcTestFixture.REQUEST_ID).getBytes(StandardCharsets.US_ASCII));
+                        response.onCompleted();
                     }));
         }
         Server server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .directExecutor()
-                .addService(ServerInterceptors.intercept(service.build(), KEEPS_METADATA))
+                .addService(ServerInterceptors.intercept(service.build(), METADATA_INTERCEPTOR))
                 .build()
                 .start();
-        ends.add(server::shutdownNow);
+        closers.add(server::shutdownNow);
         return target(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getPort()));
     }
 
-    private synchronized double draw() {
+    private synchronized double nextSample() {
         return random.nextDouble();
     }
 
     private static final ThreadLocal<Metadata> METADATA = new ThreadLocal<>();
-    private static final ServerInterceptor KEEPS_METADATA = new ServerInterceptor() {
+    private static final ServerInterceptor METADATA_INTERCEPTOR = new ServerInterceptor() {
         @Override
         public <Q, A> io.grpc.ServerCall.Listener<Q> interceptCall(
                 io.grpc.ServerCall<Q, A> call, Metadata headers, ServerCallHandler<Q, A> next) {
@@ -124,62 +129,61 @@
         }
     };
 
-    private static Target target(String name, InetSocketAddress at) {
-        return new Target(name, at, "a", "m", 0, State.READY, 1, 0);
+    private static Target target(String name, InetSocketAddress address) {
+        return new Target(name, address, "a", "m", 0, State.READY, 1, 0);
     }
 
-    private void start(Protocol spoken, List<Target> servers) throws Exception {
-        bed = new GrpcBed(loop, options, spoken, servers, true);
+    private void start(Protocol serverProtocol, List<Target> servers) throws Exception {
+        fixture = new GrpcTestFixture(loop, options, serverProtocol, servers, true);
     }
 
     @AfterEach
-    void end() {
-        ends.forEach(Runnable::run);
-        bed.close();
+    void tearDown() {
+        closers.forEach(Runnable::run);
+        fixture.close();
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /**
-     * Calls of all classes by grpc-java's stub, which repeats UNAVAILABLE by itself; the ledger sees each
-     * end.
-     */
-    private void calls(int count) throws InterruptedException {
-        CountDownLatch over = new CountDownLatch(count);
+    /** Makes calls of all classes with the grpc-java stub, which retries UNAVAILABLE; the ledger records the ends. */
+    private void makeCalls(int count) throws InterruptedException {
+        CountDownLatch ends = new CountDownLatch(count);
         for (int i = 0; i < count; i++) {
-            String kind = GrpcBed.CLASSES.get(i % GrpcBed.CLASSES.size());
-            bed.call(
+            String className = GrpcTestFixture.CLASSES.get(i % GrpcTestFixture.CLASSES.size());
+            fixture.call(
                     "g" + i,
-                    kind,
-                    CallOptions.DEFAULT.withDeadlineAfter(WAIT_MS, TimeUnit.MILLISECONDS),
+                    className,
+                    CallOptions.DEFAULT.withDeadlineAfter(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
                     ledger,
-                    WAIT_MS,
-                    over::countDown);
+                    TIMEOUT_MILLIS,
+                    ends::countDown);
             Thread.sleep(2);
         }
-        assertTrue(over.await(Fleet.LIMIT_S, TimeUnit.SECONDS), "every call ends");
+        assertTrue(ends.await(Fleet.LIMIT_S, TimeUnit.SECONDS), "every call ends");
     }
 
-    private Verdict verdict(int served) throws Exception {
-        Direct.until(() -> loop.submit(bed.engine()::idle).syncUninterruptibly().getNow(), "nothing is open");
+    private Verdict awaitCleanVerdict(int minServed) throws Exception {
+        Direct.until(
+                () -> loop.submit(fixture.engine()::idle).syncUninterruptibly().getNow(), "no request is in flight");
         Verdict verdict = ledger.verdict();
         System.out.println("seed " + SEED + " " + verdict);
-        assertTrue(verdict.clean() && verdict.served() > served, verdict::toString);
+        assertTrue(verdict.clean() && verdict.served() > minServed, verdict::toString);
         return verdict;
     }
 
-    private CompletableFuture<Void> http(int count) {
-        return new OpenLoad(asking, List.of(bed.door()), ledger, SEED, "h").start(Fleet.mixed(count, 300, WAIT_MS));
+    private CompletableFuture<Void> startHttpLoad(int count) {
+        return new OpenLoad(clientLoop, List.of(fixture.httpAddress()), ledger, SEED, "h")
+                .start(Fleet.mixed(count, 300, TIMEOUT_MILLIS));
     }
 
-    /** Clients of both kinds at once over servers that fail after they ran and turn away unseen. */
+    /** Clients of both protocols at once over servers that fail after execution or decline unexecuted. */
     @Test
-    void bothKindsOfClientsOverGrpcServersThatFailAndDecline() throws Exception {
+    void clientsOfBothProtocolsOverGrpcServersThatFailAndDecline() throws Exception {
         start(Protocol.GRPC, List.of(server("s0", 0.03, 0.05), server("s1", 0.03, 0.05), server("s2", 0.03, 0.05)));
-        CompletableFuture<Void> http = http(400);
-        calls(400);
+        CompletableFuture<Void> http = startHttpLoad(400);
+        makeCalls(400);
         Fleet.await(http);
-        Verdict verdict = verdict(400);
-        assertTrue(verdict.dropped() > 0, "keyed ones ran, failed and were repeated: " + verdict);
+        Verdict verdict = awaitCleanVerdict(400);
+        assertTrue(verdict.dropped() > 0, "no keyed request was repeated after execution: " + verdict);
     }
 
     @Test
@@ -187,51 +191,56 @@
         List<Target> servers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             StandinServer server = new StandinServer(
-                    serving,
+                    serverLoop,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                     StandinServer.Setup.of(
                             "s" + i,
                             "a",
                             Protocol.HTTP1,
-                            new FaultScript(SEED + i, FaultScript.parse("error=0.02,reset=0.02,decline=0.03"), MS, MS),
+                            new FaultScript(
+                                    SEED + i,
+                                    FaultScript.parse("error=0.02,reset=0.02,decline=0.03"),
+                                    NANOS_PER_MILLI,
+                                    NANOS_PER_MILLI),
                             ledger,
                             memory));
-            ends.add(server::close);
+            closers.add(server::close);
             servers.add(target("s" + i, server.address()));
         }
         start(Protocol.HTTP1, servers);
-        CompletableFuture<Void> http = http(300);
-        calls(400);
+        CompletableFuture<Void> http = startHttpLoad(300);
+        makeCalls(400);
         Fleet.await(http);
-        verdict(350);
+        awaitCleanVerdict(350);
     }
 
     @Test
     void healthFollowsReadiness() throws Exception {
         start(Protocol.GRPC, List.of(server("s0", 0, 0)));
         for (boolean ready : new boolean[] {false, true}) {
-            loop.submit(() -> bed.front().ready(ready)).get();
+            loop.submit(() -> fixture.frontEnd().ready(ready)).get();
             assertEquals(
                     ready ? 1 : 2,
-                    ClientCalls.blockingUnaryCall(bed.channel(), GrpcBed.HEALTH, CallOptions.DEFAULT, new byte[0])[1]);
+                    ClientCalls.blockingUnaryCall(
+                            fixture.channel(), GrpcTestFixture.HEALTH, CallOptions.DEFAULT, new byte[0])[1]);
         }
     }
 
-    /** Asked to leave under load, grpc-java goes to a new connection, and nothing is lost or done twice. */
+    /** After GOAWAY under load, grpc-java opens a new connection, and no call is lost or executed twice. */
     @Test
-    void clientsThatAreAskedToLeaveLoseNothing() throws Exception {
+    void clientsLoseNothingAfterGoaway() throws Exception {
         start(Protocol.GRPC, List.of(server("s0", 0, 0), server("s1", 0, 0)));
-        CompletableFuture<Void> leaving = CompletableFuture.runAsync(() -> {
+        CompletableFuture<Void> drains = CompletableFuture.runAsync(() -> {
             for (int i = 0; i < 5; i++) {
-                loop.submit(() -> bed.front().drain()).syncUninterruptibly();
-                LockSupport.parkNanos(200 * MS);
+                loop.submit(() -> fixture.frontEnd().drain()).syncUninterruptibly();
+                LockSupport.parkNanos(200 * NANOS_PER_MILLI);
             }
         });
-        calls(600);
-        leaving.get(Fleet.LIMIT_S, TimeUnit.SECONDS);
-        verdict(300);
+        makeCalls(600);
+        drains.get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+        awaitCleanVerdict(300);
         Direct.until(
-                () -> loop.submit(bed.front()::connections)
+                () -> loop.submit(fixture.frontEnd()::connectionCount)
                                 .syncUninterruptibly()
                                 .getNow()
                         <= 1,
--- a/src/test/java/pondridge/grpc/GrpcBed.java
+++ b/src/test/java/pondridge/grpc/GrpcTestFixture.java
@@ -36,59 +36,64 @@
 import pondridge.standin.OrderClass;
 import pondridge.standin.StandinServer.Protocol;
 
-/** An engine over servers of one protocol, a front for HTTP/1.1 and one for gRPC, and grpc-java's client. */
-final class GrpcBed implements AutoCloseable {
+/** An engine over servers of one protocol, front ends for HTTP/1.1 and gRPC, and a grpc-java client. */
+final class GrpcTestFixture implements AutoCloseable {
     static final List<String> CLASSES = List.of("stock-check", "stock-hold", "order-confirm", "order-book");
-    static final Metadata.Key<String> ID = text("req-id");
-    static final Metadata.Key<String> KIND = text("kind");
-    static final Metadata.Key<String> OWNER = text("req-owner");
-    static final Metadata.Key<String> KEY = text("idempotency-key");
-    static final Metadata.Key<String> DECLINED = text("srv-declined");
+    static final Metadata.Key<String> REQUEST_ID = metadataKey("req-id");
+    static final Metadata.Key<String> KIND = metadataKey("kind");
+    static final Metadata.Key<String> TENANT = metadataKey("req-owner");
+    static final Metadata.Key<String> IDEMPOTENCY_KEY = metadataKey("idempotency-key");
+    static final Metadata.Key<String> DECLINE_MARKER = metadataKey("srv-declined");
     private final Engine engine;
-    private final GrpcFront front;
-    private final InetSocketAddress door;
+    private final GrpcFront frontEnd;
+    private final InetSocketAddress httpAddress;
     private final ManagedChannel channel;
     private final EventLoop loop;
-    private final int port;
-
-    /** {@code retries}: grpc-java repeats UNAVAILABLE by itself. */
-    GrpcBed(EventLoop loop, Options options, Protocol spoken, List<Target> servers, boolean retries) throws Exception {
+    private final int grpcPort;
+
+    /**
+     * Starts the fixture.
+     *
+     * @param retries whether the grpc-java client retries UNAVAILABLE
+     */
+    GrpcTestFixture(EventLoop loop, Options options, Protocol serverProtocol, List<Target> servers, boolean retries)
+            throws Exception {
         this.loop = loop;
         GrpcSettings settings = settings("");
         Http2Options http2 =
                 Http2Options.of(SettingsFile.parse("x", "[http2]\nquiet = \"50ms\"\n" + "ping_wait = \"50ms\"")
                         .section("http2"));
         engine = loop.submit(() -> {
-                    Transport way =
-                            switch (spoken) {
+                    Transport transport =
+                            switch (serverProtocol) {
                                 case HTTP1 -> new Upstreams(loop, options, 500);
                                 case HTTP2 -> new Http2Upstreams(loop, options, http2);
                                 default -> new Http2Upstreams(loop, options, http2, new GrpcWording(settings, options));
                             };
-                    Engine made = new Engine(loop, options, 7, 4_096, way);
-                    made.start(
+                    Engine started = new Engine(loop, options, 7, 4_096, transport);
+                    started.start(
                             new Directory() {
                                 @Override
-                                public void watch(boolean on) {}
+                                public void watch(boolean enabled) {}
 
                                 @Override
                                 public void fetch() {}
                             },
                             servers);
-                    return made;
+                    return started;
                 })
                 .get();
-        front = new GrpcFront(loop, settings, options, engine, "test", (event, peer, detail) -> {});
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        door = (InetSocketAddress) new Frontend(engine, options, 4_096)
-                .listen(loop, any)
+        frontEnd = new GrpcFront(loop, settings, options, engine, "test", (event, peer, detail) -> {});
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        httpAddress = (InetSocketAddress) new Frontend(engine, options, 4_096)
+                .listen(loop, anyPort)
                 .sync()
                 .channel()
                 .localAddress();
-        port = ((InetSocketAddress) front.listen().sync().channel().localAddress()).getPort();
+        grpcPort = ((InetSocketAddress) frontEnd.listen().sync().channel().localAddress()).getPort();
         NettyChannelBuilder builder =
-                NettyChannelBuilder.forAddress("127.0.0.1", port).usePlaintext();
-        Map<String, ?> policy = Map.of(
+                NettyChannelBuilder.forAddress("127.0.0.1", grpcPort).usePlaintext();
+        Map<String, ?> retryPolicy = Map.of(
                 "maxAttempts",
                 3.0,
                 "initialBackoff",
@@ -103,7 +108,7 @@
                         ? builder.enableRetry()
                                 .defaultServiceConfig(Map.of(
                                         "methodConfig",
-                                        List.of(Map.of("name", List.of(Map.of()), "retryPolicy", policy))))
+                                        List.of(Map.of("name", List.of(Map.of()), "retryPolicy", retryPolicy))))
                         : builder.disableRetry())
                 .build();
     }
@@ -116,22 +121,22 @@
         return loop;
     }
 
-    GrpcFront front() {
-        return front;
+    GrpcFront frontEnd() {
+        return frontEnd;
     }
 
-    InetSocketAddress door() {
-        return door;
+    InetSocketAddress httpAddress() {
+        return httpAddress;
     }
 
-    /** Where gRPC clients come in. */
-    int port() {
-        return port;
+    /** The port for gRPC clients. */
+    int grpcPort() {
+        return grpcPort;
     }
 
-    /** Whether nothing is open. */
-    boolean idle() {
-        return loop.submit(() -> engine.idle() && front.idle())
+    /** Whether no request is in flight. */
+    boolean isIdle() {
+        return loop.submit(() -> engine.idle() && frontEnd.idle())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -140,35 +145,38 @@
         return channel;
     }
 
-    /** One call by grpc-java's stub; the ledger sees its end. */
-    void call(String id, String kind, CallOptions options, EffectLedger ledger, long waitMs, Runnable over) {
-        OrderClass order = OrderClass.named(kind);
-        String key = order.effect() == OrderClass.Effect.KEYED ? "key-" + id : "";
+    /** Makes one call with the grpc-java stub and records its end in the ledger. */
+    void call(
+            String id, String className, CallOptions options, EffectLedger ledger, long timeoutMillis, Runnable onEnd) {
+        OrderClass orderClass = OrderClass.named(className);
+        String key = orderClass.effect() == OrderClass.Effect.KEYED ? "key-" + id : "";
         Metadata headers = new Metadata();
-        headers.put(ID, id);
-        headers.put(OWNER, "acme");
+        headers.put(REQUEST_ID, id);
+        headers.put(TENANT, "acme");
         if (!key.isEmpty()) {
-            headers.put(KEY, key);
+            headers.put(IDEMPOTENCY_KEY, key);
         }
-        ledger.asked(id, order, key, waitMs * 1_000_000);
-        Channel with = ClientInterceptors.intercept(channel, MetadataUtils.newAttachHeadersInterceptor(headers));
+        ledger.asked(id, orderClass, key, timeoutMillis * 1_000_000);
+        Channel withHeaders = ClientInterceptors.intercept(channel, MetadataUtils.newAttachHeadersInterceptor(headers));
         ClientCalls.asyncUnaryCall(
-                with.newCall(method(kind), options), id.getBytes(StandardCharsets.US_ASCII), new StreamObserver<>() {
+                withHeaders.newCall(method(className), options),
+                id.getBytes(StandardCharsets.US_ASCII),
+                new StreamObserver<>() {
                     @Override
-                    public void onNext(byte[] answer) {
-                        ledger.answered(id, 200, new String(answer, StandardCharsets.US_ASCII).strip());
+                    public void onNext(byte[] response) {
+                        ledger.answered(id, 200, new String(response, StandardCharsets.US_ASCII).strip());
                     }
 
                     @Override
-                    public void onError(Throwable problem) {
-                        Status.Code code = Status.fromThrowable(problem).getCode();
+                    public void onError(Throwable error) {
+                        Status.Code code = Status.fromThrowable(error).getCode();
                         ledger.answered(id, code == Status.Code.UNAVAILABLE ? 503 : 502, "");
-                        over.run();
+                        onEnd.run();
                     }
 
                     @Override
                     public void onCompleted() {
-                        over.run();
+                        onEnd.run();
                     }
                 });
     }
@@ -176,10 +184,10 @@
     @Override
     public void close() {
         channel.shutdownNow();
-        front.close();
+        frontEnd.close();
     }
 
-    private static Metadata.Key<String> text(String name) {
+    private static Metadata.Key<String> metadataKey(String name) {
         return Metadata.Key.of(name, Metadata.ASCII_STRING_MARSHALLER);
     }
 
@@ -204,27 +212,27 @@
             .setFullMethodName("grpc.health.v1.Health/Check")
             .build();
 
-    static MethodDescriptor<byte[], byte[]> method(String kind) {
+    static MethodDescriptor<byte[], byte[]> method(String className) {
         return MethodDescriptor.newBuilder(BYTES, BYTES)
                 .setType(MethodDescriptor.MethodType.UNARY)
-                .setFullMethodName("orders.v1.Orders/" + kind.replace("-", ""))
+                .setFullMethodName("orders.v1.Orders/" + className.replace("-", ""))
                 .build();
     }
 
-    static GrpcSettings settings(String more) {
-        StringBuilder text = new StringBuilder("[grpc]\nlisten = \"127.0.0.1:0\"\nsecurity = \"plain\"\n" + more);
-        for (String kind : CLASSES) {
+    static GrpcSettings settings(String grpcLines) {
+        StringBuilder text = new StringBuilder("[grpc]\nlisten = \"127.0.0.1:0\"\nsecurity = \"plain\"\n" + grpcLines);
+        for (String className : CLASSES) {
             text.append("\n[grpc_methods.")
-                    .append(kind)
+                    .append(className)
                     .append("]\npath = \"/")
-                    .append(method(kind).getFullMethodName())
+                    .append(method(className).getFullMethodName())
                     .append("\"\nclass = \"")
-                    .append(kind)
+                    .append(className)
                     .append("\"\nuri = \"/api\"\n");
         }
         SettingsFile file = SettingsFile.parse("grpc", text.toString());
-        GrpcSettings read = GrpcSettings.of(file, Path.of("."));
+        GrpcSettings settings = GrpcSettings.of(file, Path.of("."));
         file.finish();
-        return read;
+        return settings;
     }
 }
--- a/src/test/java/pondridge/grpc/GrpcTlsTest.java
+++ b/src/test/java/pondridge/grpc/GrpcTlsTest.java
@@ -26,59 +26,60 @@
 import pondridge.http2.Direct;
 import pondridge.settings.SettingsFile;
 
-/** The gRPC front above TLS, with grpc-java's client. */
+/** The gRPC front end over TLS, with a grpc-java client. */
 class GrpcTlsTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-    private static byte[] health(NettyChannelBuilder builder) {
+    private static byte[] checkHealth(NettyChannelBuilder builder) {
         ManagedChannel channel = builder.build();
         try {
-            return ClientCalls.blockingUnaryCall(channel, GrpcBed.HEALTH, CallOptions.DEFAULT, new byte[0]);
+            return ClientCalls.blockingUnaryCall(channel, GrpcTestFixture.HEALTH, CallOptions.DEFAULT, new byte[0]);
         } finally {
             channel.shutdownNow();
         }
     }
 
-    /** Who trusts the certificate comes in; another name, another authority or plain text gets nothing. */
+    /** A client that trusts the certificate is served; a wrong name, another authority or plain text fails. */
     @Test
-    void onlyWhoTrustsTheCertificateComesIn(@TempDir Path folder, @TempDir Path elsewhere) throws Exception {
-        new Certificates(folder).site("front");
-        new Certificates(elsewhere).site("front");
-        Map<String, String> told = new ConcurrentHashMap<>();
+    void onlyClientsThatTrustTheCertificateAreServed(@TempDir Path directory, @TempDir Path foreignDirectory)
+            throws Exception {
+        new Certificates(directory).site("front");
+        new Certificates(foreignDirectory).site("front");
+        Map<String, String> events = new ConcurrentHashMap<>();
         SettingsFile file = SettingsFile.parse(
                 "grpc",
                 "[grpc]\nlisten = \"127.0.0.1:0\"\n" + "certificate = \"front.pem\"\nkey_file = \"front.key\"\n");
-        GrpcSettings settings = GrpcSettings.of(file, folder);
+        GrpcSettings settings = GrpcSettings.of(file, directory);
         file.finish();
         EventLoop loop = group.next();
-        GrpcFront front = new GrpcFront(
-                loop, settings, Usual.options(1_000), null, "test", (event, peer, detail) -> told.put(event, detail));
-        int port = ((InetSocketAddress) front.listen().sync().channel().localAddress()).getPort();
-        loop.submit(() -> front.ready(true)).sync();
+        GrpcFront frontEnd = new GrpcFront(
+                loop, settings, Usual.options(1_000), null, "test", (event, peer, detail) -> events.put(event, detail));
+        int port = ((InetSocketAddress) frontEnd.listen().sync().channel().localAddress()).getPort();
+        loop.submit(() -> frontEnd.ready(true)).sync();
         try {
-            for (List<String> each : List.of(
+            for (List<String> client : List.of(
                     List.of("front", "own"),
                     List.of("other", "own"),
                     List.of("front", "foreign"),
                     List.of("front", "plain"))) {
                 NettyChannelBuilder builder =
-                        NettyChannelBuilder.forAddress("127.0.0.1", port).overrideAuthority(each.get(0));
-                Path trusted = (each.get(1).equals("own") ? folder : elsewhere).resolve("ca.pem");
-                NettyChannelBuilder by = each.get(1).equals("plain")
+                        NettyChannelBuilder.forAddress("127.0.0.1", port).overrideAuthority(client.get(0));
+                Path trusted = (client.get(1).equals("own") ? directory : foreignDirectory).resolve("ca.pem");
+                NettyChannelBuilder secured = client.get(1).equals("plain")
                         ? builder.usePlaintext()
                         : builder.sslContext(GrpcSslContexts.forClient()
                                 .trustManager(trusted.toFile())
                                 .build());
-                if (each.equals(List.of("front", "own"))) {
-                    assertEquals(1, health(by)[1]);
+                if (client.equals(List.of("front", "own"))) {
+                    assertEquals(1, checkHealth(secured)[1]);
                 } else {
-                    assertThrows(StatusRuntimeException.class, () -> health(by), each.toString());
+                    assertThrows(StatusRuntimeException.class, () -> checkHealth(secured), client.toString());
                 }
             }
-            Direct.until(() -> told.containsKey("grpc_refused"), "it is told");
-            assertTrue(told.keySet().stream().allMatch(event -> event.startsWith("grpc_")), told::toString);
+            Direct.until(() -> events.containsKey("grpc_refused"), "the refusal is reported");
+            assertTrue(events.keySet().stream().allMatch(event -> event.startsWith("grpc_")), events::toString);
         } finally {
-            front.close();
+            frontEnd.close();
             group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
