--- a/src/main/java/pondridge/http2/Connection.java
+++ b/src/main/java/pondridge/http2/Connection.java
@@ -34,95 +34,102 @@
 import pondridge.pool.Member;
 
 /**
- * One connection to an upstream: writes attempts on streams of their own, tells {@link StreamTable} what goes
- * and comes, and ends attempts by what that says.
+ * One connection to an upstream. Writes each attempt on its own stream, reports all frames written and read
+ * to {@link StreamTable}, and ends attempts as the table decides.
  */
 final class Connection extends Http2FrameAdapter implements Member {
-    private static final AsciiString LOAD = AsciiString.cached(LoadReports.HEADER.toLowerCase());
-    private static final AsciiString DECLINED = AsciiString.cached(Evidence.DECLINED.toLowerCase());
-    /** A header block may come in many small frames, but not in any number (CVE-2024-27316 and its kin). */
-    private static final int MOST_SMALL_CONTINUATIONS = 16;
-
-    private static final int DEFAULT_WINDOW = 65_535;
-    /** Window updates that one request may bring about: for its headers, its body, its stream. */
-    private static final int EXPLAINED = 8;
-
-    private static final long SECOND = 1_000_000_000;
+    private static final AsciiString LOAD_REPORT_HEADER = AsciiString.cached(LoadReports.HEADER.toLowerCase());
+    private static final AsciiString DECLINED_HEADER = AsciiString.cached(Evidence.DECLINED.toLowerCase());
+    /**
+     * Bounds the small CONTINUATION frames of one header block; an unlimited number is an attack
+     * (CVE-2024-27316 and similar).
+     */
+    private static final int MAX_SMALL_CONTINUATIONS = 16;
+
+    private static final int DEFAULT_WINDOW_BYTES = 65_535;
+    /**
+     * WINDOW_UPDATE frames that one request may legitimately cause: for its headers, its body and its stream.
+     */
+    private static final int CONTROL_FRAMES_PER_REQUEST = 8;
+
+    private static final long SECOND_NANOS = 1_000_000_000;
 
     private final ServerPool pool;
     private final Http2Options options;
-    private final StreamTable<Sending> table;
-    private final Http2Connection streams = new DefaultHttp2Connection(false);
-    private final Handler handler;
+    private final StreamTable<Http2Attempt> table;
+    private final Http2Connection codecConnection = new DefaultHttp2Connection(false);
+    private final CodecHandler handler;
     private final Liveness liveness;
-    private final ResetBudget resets;
-    private final FloodGuard floods;
+    private final ResetBudget resetBudget;
+    private final FloodGuard floodGuard;
     private Channel channel;
     private ChannelHandlerContext context;
-    private boolean flushing;
-    private boolean broken;
-    private boolean ended;
-    private boolean reached;
-    private boolean useful;
+    private boolean flushScheduled;
+    private boolean connectionFailed;
+    private boolean closed;
+    private boolean connected;
+    private boolean hasServed;
     private long idleSince;
 
-    Connection(ServerPool pool, Http2Options options, Proof proof, int firstStream, long now) {
+    Connection(ServerPool pool, Http2Options options, Proof outcomeRules, int firstStream, long now) {
         this.pool = pool;
         this.options = options;
-        this.table = new StreamTable<>(proof, firstStream);
-        this.liveness = new Liveness(options.quiet(), options.pingWait(), now);
-        this.resets = new ResetBudget(options.resets(), options.resetWindow(), now);
-        this.floods = new FloodGuard(options.controlFrames(), SECOND, now);
+        this.table = new StreamTable<>(outcomeRules, firstStream);
+        this.liveness = new Liveness(options.pingAfterNanos(), options.pingTimeoutNanos(), now);
+        this.resetBudget = new ResetBudget(options.maxResets(), options.resetWindowNanos(), now);
+        this.floodGuard = new FloodGuard(options.controlFrames(), SECOND_NANOS, now);
         this.idleSince = now;
-        this.handler = new Builder().build();
+        this.handler = new CodecHandlerBuilder().build();
     }
 
-    /** Goes into a pipeline of its own. */
+    /** Returns the handler for the channel's pipeline; each connection has a pipeline of its own. */
     Http2ConnectionHandler handler() {
         return handler;
     }
 
-    /** The socket is there; nothing goes out on it before the upstream's SETTINGS have come. */
-    void made(Channel socket) {
+    /** Sets the channel. No request is written on it before the upstream's SETTINGS have been received. */
+    void attach(Channel socket) {
         channel = socket;
     }
 
-    /** Whether the upstream took the connection at all. */
-    boolean reached() {
-        return reached;
+    /** Whether the transport connection was established. */
+    boolean connected() {
+        return connected;
     }
 
-    ChannelFuture closed() {
+    ChannelFuture closeFuture() {
         return channel.closeFuture();
     }
 
-    boolean up() {
-        return table.up();
+    boolean settingsReceived() {
+        return table.settingsReceived();
     }
 
     @Override
     public int credit() {
-        if (ended || streams.goAwaySent()) {
+        if (closed || codecConnection.goAwaySent()) {
             return 0;
         }
-        // The codec counts a stream until its last frame's reading is over, a moment longer than the table.
-        int codec = streams.local().maxActiveStreams() - streams.local().numActiveStreams();
-        return Math.max(0, Math.min(codec, table.credit()));
+        // The codec counts a stream until it has finished reading the last frame, slightly longer than the
+        // table does.
+        int codecAvailable = codecConnection.local().maxActiveStreams()
+                - codecConnection.local().numActiveStreams();
+        return Math.max(0, Math.min(codecAvailable, table.availableStreams()));
     }
 
     @Override
     public boolean usable() {
-        return !ended && table.usable();
+        return !closed && table.usable();
     }
 
-    /** Whether it has brought an answer. */
-    boolean useful() {
-        return useful;
+    /** Whether any attempt on this connection has ended with {@link Outcome#OK}. */
+    boolean hasServed() {
+        return hasServed;
     }
 
     @Override
     public boolean idle() {
-        return table.open() == 0;
+        return table.openStreams() == 0;
     }
 
     @Override
@@ -130,85 +137,97 @@
         return idleSince;
     }
 
-    /** Writes an attempt on a stream of its own; there has just been credit. */
-    void write(Sending attempt, long now) {
+    /** Writes an attempt on a new stream. The caller has just checked that {@link #credit} is positive. */
+    void write(Http2Attempt attempt, long now) {
         if (idle()) {
-            liveness.awoken(now);
+            liveness.onStreamsOpened(now);
         }
-        floods.explain(EXPLAINED);
+        floodGuard.allow(CONTROL_FRAMES_PER_REQUEST);
         int id = table.open(attempt);
-        attempt.placed(this, id);
-        byte[] body = pool.wording().body(attempt.job());
-        boolean whole = body.length == 0;
-        ChannelPromise head = context.newPromise();
-        head.addListener(done -> {
-            if (!done.isSuccess() && !ended) {
-                apply(table.unsendable(id));
+        attempt.assigned(this, id);
+        byte[] body = pool.codec().body(attempt.job());
+        boolean headersOnly = body.length == 0;
+        ChannelPromise headersWritten = context.newPromise();
+        headersWritten.addListener(write -> {
+            if (!write.isSuccess() && !closed) {
+                finish(table.requestWriteFailed(id));
             }
         });
         handler.encoder()
-                .writeHeaders(context, id, pool.wording().head(attempt.job(), attempt.left(now)), 0, whole, head);
-        if (!whole && table.attempt(id) != null) {
+                .writeHeaders(
+                        context,
+                        id,
+                        pool.codec().head(attempt.job(), attempt.remainingNanos(now)),
+                        0,
+                        headersOnly,
+                        headersWritten);
+        if (!headersOnly && table.attempt(id) != null) {
             handler.encoder().writeData(context, id, Unpooled.wrappedBuffer(body), 0, true, context.newPromise());
         }
-        flush();
+        scheduleFlush();
     }
 
-    /** What is written within one turn of the loop leaves together. */
-    private void flush() {
-        if (!flushing) {
-            flushing = true;
+    /** Schedules one flush for everything written in the current event loop iteration. */
+    private void scheduleFlush() {
+        if (!flushScheduled) {
+            flushScheduled = true;
             channel.eventLoop().execute(() -> {
-                flushing = false;
+                flushScheduled = false;
                 handler.flush(context);
             });
         }
     }
 
-    void late(int id) {
-        apply(table.late(id));
+    void timeOut(int id) {
+        finish(table.timeOut(id));
     }
 
     void cancel(int id) {
-        apply(table.cancelled(id));
+        finish(table.cancel(id));
     }
 
     void withdraw(int id) {
-        apply(table.withdrawn(id));
+        finish(table.withdraw(id));
     }
 
-    /** Nothing that has not wholly left goes to the upstream any more; closes when all is answered. */
+    /**
+     * Ends the attempts that were not fully sent, opens no more streams, and closes once all responses have
+     * arrived.
+     */
     void drain() {
-        applyAll(table.drain());
+        finishAll(table.drain());
     }
 
-    /** Opens no more streams, and closes when all is answered. */
+    /** Opens no more streams, and closes once all responses have arrived. */
     void retire() {
-        table.retire();
-        closeIfDone();
+        table.stopOpening();
+        closeIfFinished();
     }
 
-    /** Regular work: silence, resets that had to wait. */
-    void look(long now) {
-        for (int id : table.givenUp()) {
-            if (!reset(id, now)) {
+    /** Periodic maintenance: sends resets that were deferred by the budget, and checks liveness. */
+    void maintain(long now) {
+        for (int id : table.abandonedStreams()) {
+            if (!tryReset(id, now)) {
                 break;
             }
         }
-        switch (liveness.look(now, !idle())) {
-            case PING -> {
+        switch (liveness.check(now, !idle())) {
+            case SEND_PING -> {
                 handler.encoder().writePing(context, false, now, context.newPromise());
-                flush();
+                scheduleFlush();
             }
-            case DEAD -> close();
+            case CLOSE -> close();
             default -> {}
         }
-        closeIfDone();
+        closeIfFinished();
     }
 
-    /** Ends the connection now, politely where nothing is open; what is open on it ends as lost. */
+    /**
+     * Closes the connection now, with a GOAWAY if no stream is open. Open attempts end as lost with the
+     * connection.
+     */
     void close() {
-        if (channel == null || ended) {
+        if (channel == null || closed) {
             return;
         }
         if (context != null && idle() && channel.isActive()) {
@@ -218,80 +237,81 @@
         channel.close();
     }
 
-    private void closeIfDone() {
-        if (table.up() && !table.usable() && idle()) {
+    private void closeIfFinished() {
+        if (table.settingsReceived() && !table.usable() && idle()) {
             close();
         }
     }
 
-    /** Resets a stream that was given up; false if that has to wait. */
-    private boolean reset(int id, long now) {
-        if (ended || !resets.take(now)) {
+    /** Resets a stream whose attempt has ended; false if the reset budget defers it. */
+    private boolean tryReset(int id, long now) {
+        if (closed || !resetBudget.take(now)) {
             return false;
         }
-        resetNow(id);
+        resetStream(id);
         return true;
     }
 
-    private void resetNow(int id) {
-        if (!ended) {
+    private void resetStream(int id) {
+        if (!closed) {
             handler.resetStream(context, id, Http2Error.CANCEL.code(), context.newPromise());
-            table.closed(id);
-            flush();
+            table.removeStream(id);
+            scheduleFlush();
         }
     }
 
-    private void applyAll(List<StreamTable.End<Sending>> ends) {
-        ends.forEach(this::settle);
-        after();
+    private void finishAll(List<StreamTable.AttemptEnd<Http2Attempt>> ends) {
+        ends.forEach(this::finishAttempt);
+        streamsChanged();
     }
 
-    private void apply(StreamTable.End<Sending> end) {
+    private void finish(StreamTable.AttemptEnd<Http2Attempt> end) {
         if (end != null) {
-            settle(end);
-            after();
+            finishAttempt(end);
+            streamsChanged();
         }
     }
 
-    private void settle(StreamTable.End<Sending> end) {
-        if (end.unsent()) {
-            // Danger: left open, its body would leave as soon as the upstream opens the window, and run.
-            resets.take(System.nanoTime());
-            resetNow(end.stream());
-        } else if (end.open()) {
-            reset(end.stream(), System.nanoTime());
+    private void finishAttempt(StreamTable.AttemptEnd<Http2Attempt> end) {
+        if (end.requestIncomplete()) {
+            // The stream must not stay open: its body would be sent, and the request executed, as soon as the
+            // upstream opens the window.
+            resetBudget.take(System.nanoTime());
+            resetStream(end.streamId());
+        } else if (end.streamOpen()) {
+            tryReset(end.streamId(), System.nanoTime());
         }
-        useful |= end.outcome() == Outcome.OK;
-        pool.ended(end.attempt(), end.outcome());
+        hasServed |= end.outcome() == Outcome.OK;
+        pool.finishAttempt(end.attempt(), end.outcome());
     }
 
-    private void after() {
+    private void streamsChanged() {
         if (idle()) {
             idleSince = System.nanoTime();
         }
-        closeIfDone();
-        pool.freed();
+        closeIfFinished();
+        pool.streamsFreed();
     }
 
-    /** The connection is no more. */
-    private void lost() {
-        if (!ended) {
-            ended = true;
-            List<StreamTable.End<Sending>> ends = table.lost();
-            pool.lost(this);
-            ends.forEach(end -> pool.ended(end.attempt(), end.outcome()));
+    /** The channel is closed. */
+    private void connectionLost() {
+        if (!closed) {
+            closed = true;
+            List<StreamTable.AttemptEnd<Http2Attempt>> ends = table.connectionLost();
+            pool.connectionLost(this);
+            ends.forEach(end -> pool.finishAttempt(end.attempt(), end.outcome()));
         }
     }
 
     @Override
     public void onSettingsRead(ChannelHandlerContext ctx, Http2Settings settings) {
-        control();
-        boolean first = !table.up();
-        table.settings(settings.maxConcurrentStreams());
+        countControlFrame();
+        boolean first = !table.settingsReceived();
+        table.onSettings(settings.maxConcurrentStreams());
         if (first) {
-            pool.up(this);
+            pool.settingsReceived(this);
         }
-        pool.freed();
+        pool.streamsFreed();
     }
 
     @Override
@@ -309,84 +329,85 @@
 
     @Override
     public void onHeadersRead(ChannelHandlerContext ctx, int id, Http2Headers headers, int padding, boolean end) {
-        Sending attempt = table.attempt(id);
-        int status = Messages.status(headers);
-        if (attempt != null && attempt.body() == null && status >= 200) {
-            HttpHeaders through = Messages.answer(headers);
-            if (through == null || headers.getLong(HttpHeaderNames.CONTENT_LENGTH, 0) > options.answerBytes()) {
-                apply(table.spoilt(id));
+        Http2Attempt attempt = table.attempt(id);
+        int status = HeaderMapper.status(headers);
+        if (attempt != null && attempt.responseBody() == null && status >= 200) {
+            HttpHeaders forwarded = HeaderMapper.responseHeaders(headers);
+            if (forwarded == null
+                    || headers.getLong(HttpHeaderNames.CONTENT_LENGTH, 0) > options.maxResponseBodyBytes()) {
+                finish(table.invalidResponse(id));
                 return;
             }
-            attempt.begin(headers, through, Messages.text(headers, LOAD));
+            attempt.responseStarted(headers, forwarded, HeaderMapper.value(headers, LOAD_REPORT_HEADER));
         }
-        if (attempt != null && attempt.body() != null && status == 0) {
-            attempt.trailers(headers);
+        if (attempt != null && attempt.responseBody() != null && status == 0) {
+            attempt.trailersReceived(headers);
         }
-        apply(table.head(id, status, "1".equals(Messages.text(headers, DECLINED)), end));
+        finish(table.onHeaders(id, status, "1".equals(HeaderMapper.value(headers, DECLINED_HEADER)), end));
     }
 
     @Override
     public int onDataRead(ChannelHandlerContext ctx, int id, ByteBuf data, int padding, boolean end) {
         int bytes = data.readableBytes();
         if (bytes == 0 && !end) {
-            control();
+            countControlFrame();
         }
-        Sending attempt = table.attempt(id);
-        if (attempt != null && attempt.body() != null) {
-            if (attempt.bodyBytes() + bytes > options.answerBytes() || !pool.hold(bytes)) {
-                apply(table.spoilt(id));
+        Http2Attempt attempt = table.attempt(id);
+        if (attempt != null && attempt.responseBody() != null) {
+            if (attempt.responseBytes() + bytes > options.maxResponseBodyBytes() || !pool.reserveResponseBytes(bytes)) {
+                finish(table.invalidResponse(id));
                 return bytes + padding;
             }
             try {
-                data.getBytes(data.readerIndex(), attempt.body(), bytes);
+                data.getBytes(data.readerIndex(), attempt.responseBody(), bytes);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         }
-        apply(table.data(id, end));
+        finish(table.onData(id, end));
         return bytes + padding;
     }
 
     @Override
     public void onRstStreamRead(ChannelHandlerContext ctx, int id, long code) {
         if (code == StreamTable.HTTP_1_1_REQUIRED) {
-            pool.wantsHttp1();
+            pool.http1Required();
         }
-        apply(table.reset(id, code));
+        finish(table.onReset(id, code));
     }
 
     @Override
-    public void onGoAwayRead(ChannelHandlerContext ctx, int last, long code, ByteBuf debug) {
-        List<StreamTable.End<Sending>> ends = table.goAway(last);
+    public void onGoAwayRead(ChannelHandlerContext ctx, int lastStream, long code, ByteBuf debug) {
+        List<StreamTable.AttemptEnd<Http2Attempt>> ends = table.onGoAway(lastStream);
         if (code == StreamTable.HTTP_1_1_REQUIRED) {
-            pool.wantsHttp1();
+            pool.http1Required();
         }
-        pool.leaving(this);
-        applyAll(ends);
+        pool.goAwayReceived(this);
+        finishAll(ends);
     }
 
     @Override
     public void onPingRead(ChannelHandlerContext ctx, long data) {
-        control();
+        countControlFrame();
     }
 
     @Override
     public void onPriorityRead(ChannelHandlerContext ctx, int id, int dependency, short weight, boolean exclusive) {
-        control();
+        countControlFrame();
     }
 
     @Override
     public void onUnknownFrame(ChannelHandlerContext ctx, byte type, int id, Http2Flags flags, ByteBuf payload) {
-        control();
+        countControlFrame();
     }
 
     @Override
     public void onWindowUpdateRead(ChannelHandlerContext ctx, int id, int increment) {
-        control();
+        countControlFrame();
     }
 
-    private void control() {
-        if (!broken && !floods.admit(System.nanoTime())) {
+    private void countControlFrame() {
+        if (!connectionFailed && !floodGuard.admit(System.nanoTime())) {
             handler.onError(
                     context,
                     false,
@@ -394,12 +415,15 @@
         }
     }
 
-    /** Tells the table when a request's last frame goes to the socket, and if it never got there. */
-    private final class Writer extends DefaultHttp2FrameWriter {
+    /**
+     * Records in the table when the last frame of a request is passed to the socket, and when that write
+     * fails.
+     */
+    private final class FrameWriter extends DefaultHttp2FrameWriter {
         @Override
         public ChannelFuture writeData(
                 ChannelHandlerContext ctx, int id, ByteBuf data, int padding, boolean end, ChannelPromise promise) {
-            return super.writeData(ctx, id, data, padding, end, end ? handed(id, promise) : promise);
+            return super.writeData(ctx, id, data, padding, end, end ? trackEndStream(id, promise) : promise);
         }
 
         @Override
@@ -410,22 +434,22 @@
                 int padding,
                 boolean end,
                 ChannelPromise promise) {
-            return super.writeHeaders(ctx, id, headers, padding, end, end ? handed(id, promise) : promise);
+            return super.writeHeaders(ctx, id, headers, padding, end, end ? trackEndStream(id, promise) : promise);
         }
 
-        private ChannelPromise handed(int id, ChannelPromise promise) {
-            table.handed(id);
-            return promise.addListener(done -> {
-                if (!done.isSuccess()) {
-                    table.unhanded(id);
+        private ChannelPromise trackEndStream(int id, ChannelPromise promise) {
+            table.endStreamWritten(id);
+            return promise.addListener(write -> {
+                if (!write.isSuccess()) {
+                    table.endStreamWriteFailed(id);
                 }
             });
         }
     }
 
-    /** The codec's own state, with what it finds wrong told to the table. */
-    private final class Handler extends Http2ConnectionHandler {
-        Handler(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
+    /** The codec's connection handler; reports stream and connection errors to the table and the pool. */
+    private final class CodecHandler extends Http2ConnectionHandler {
+        CodecHandler(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
             super(decoder, encoder, settings, true);
         }
 
@@ -437,45 +461,48 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) throws Exception {
-            reached = true;
+            connected = true;
             super.channelActive(ctx);
-            if (options.connectionWindow() > DEFAULT_WINDOW) {
-                streams.local()
+            if (options.connectionWindowBytes() > DEFAULT_WINDOW_BYTES) {
+                codecConnection
+                        .local()
                         .flowController()
-                        .incrementWindowSize(streams.connectionStream(), options.connectionWindow() - DEFAULT_WINDOW);
+                        .incrementWindowSize(
+                                codecConnection.connectionStream(),
+                                options.connectionWindowBytes() - DEFAULT_WINDOW_BYTES);
             }
             flush(ctx);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            liveness.heard(System.nanoTime());
+            liveness.onReceived(System.nanoTime());
             super.channelRead(ctx, message);
         }
 
         @Override
         protected void onStreamError(
                 ChannelHandlerContext ctx, boolean outbound, Throwable cause, Http2Exception.StreamException error) {
-            StreamTable.End<Sending> end =
-                    outbound ? table.unsendable(error.streamId()) : table.spoilt(error.streamId());
-            table.closed(error.streamId());
+            StreamTable.AttemptEnd<Http2Attempt> end =
+                    outbound ? table.requestWriteFailed(error.streamId()) : table.invalidResponse(error.streamId());
+            table.removeStream(error.streamId());
             super.onStreamError(ctx, outbound, cause, error);
             if (end != null) {
-                pool.ended(end.attempt(), end.outcome());
+                pool.finishAttempt(end.attempt(), end.outcome());
             }
-            after();
+            streamsChanged();
         }
 
         @Override
         protected void onConnectionError(
                 ChannelHandlerContext ctx, boolean outbound, Throwable cause, Http2Exception error) {
-            if (broken) {
+            if (connectionFailed) {
                 return;
             }
-            // What is still in the buffer of a broken connection is read, but told of no more.
-            broken = true;
+            // The rest of the read buffer is still decoded, but only the first error is reported.
+            connectionFailed = true;
             if (!(cause instanceof IOException)) {
-                pool.broken(Connection.this, cause);
+                pool.connectionFailed(Connection.this, cause);
             }
             super.onConnectionError(ctx, outbound, cause, error);
             ctx.close();
@@ -493,34 +520,36 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) throws Exception {
             super.channelInactive(ctx);
-            lost();
+            connectionLost();
         }
     }
 
-    /** Puts the codec together so that {@link Writer} is in it. */
-    private final class Builder extends AbstractHttp2ConnectionHandlerBuilder<Handler, Builder> {
+    /** Builds the codec with {@link FrameWriter} in place of the default writer. */
+    private final class CodecHandlerBuilder
+            extends AbstractHttp2ConnectionHandlerBuilder<CodecHandler, CodecHandlerBuilder> {
         @Override
-        protected Handler build() {
-            Http2ConnectionEncoder encoder = new DefaultHttp2ConnectionEncoder(streams, new Writer());
+        protected CodecHandler build() {
+            Http2ConnectionEncoder encoder = new DefaultHttp2ConnectionEncoder(codecConnection, new FrameWriter());
             Http2ConnectionDecoder decoder = new DefaultHttp2ConnectionDecoder(
-                    streams,
+                    codecConnection,
                     encoder,
                     new DefaultHttp2FrameReader(
-                            new DefaultHttp2HeadersDecoder(true, options.headerBytes()), MOST_SMALL_CONTINUATIONS));
+                            new DefaultHttp2HeadersDecoder(true, options.maxResponseHeaderBytes()),
+                            MAX_SMALL_CONTINUATIONS));
             codec(decoder, encoder);
             initialSettings(Http2Settings.defaultSettings()
                     .pushEnabled(false)
-                    .initialWindowSize(options.streamWindow())
-                    .maxHeaderListSize(options.headerBytes()));
+                    .initialWindowSize(options.streamWindowBytes())
+                    .maxHeaderListSize(options.maxResponseHeaderBytes()));
             frameListener(Connection.this);
             gracefulShutdownTimeoutMillis(0);
             return super.build();
         }
 
         @Override
-        protected Handler build(
+        protected CodecHandler build(
                 Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
-            return new Handler(decoder, encoder, settings);
+            return new CodecHandler(decoder, encoder, settings);
         }
     }
 }
--- a/src/main/java/pondridge/http2/Dialler.java
+++ b/src/main/java/pondridge/http2/Dialler.java
@@ -5,13 +5,13 @@
 import io.netty.channel.ChannelInitializer;
 import java.net.InetSocketAddress;
 
-/** Opens sockets; a seam, so that a link can put TLS below and a test can play a connection's turns. */
+/** Opens connections. Implementations may add TLS below HTTP/2, and tests may replace the sockets. */
 @FunctionalInterface
 public interface Dialler {
     /**
-     * Begins to connect. The initializer runs within the call; the future is told on the event loop.
+     * Starts to connect. The initializer runs within this call; the future is completed on the event loop.
      *
-     * @param timeoutMs after which the connecting has failed
+     * @param timeoutMs connect timeout in milliseconds
      */
     ChannelFuture dial(InetSocketAddress address, int timeoutMs, ChannelInitializer<Channel> initializer);
 }
--- a/src/main/java/pondridge/http2/Door.java
+++ b/src/main/java/pondridge/http2/Door.java
@@ -33,85 +33,87 @@
 import pondridge.core.Unread;
 
 /**
- * Listens for HTTP/2 and guards what comes in: how many connections, how long one may say nothing, what is
- * held for one, and how many frames may bring nothing (RFC 9113, section 10.5). A connection that breaks a
- * bound ends with one event; the others go on. On the event loop only.
+ * Accepts HTTP/2 connections and enforces limits on them: the number of connections, the idle time, the bytes
+ * buffered for a connection, and the rate of frames without payload (RFC 9113, section 10.5). A connection
+ * that exceeds a limit is closed and reported with one event; other connections are not affected. Used on the
+ * event loop only.
  */
 public final class Door {
-    private static final int RESETS = 200;
-    private static final int RESETS_SECONDS = 30;
-    private static final long SECOND = 1_000_000_000;
-    /** Between the two GOAWAYs: a round trip, and a little. */
-    private static final long PAIR = 100_000_000;
+    private static final int MAX_RESETS_PER_WINDOW = 200;
+    private static final int RESET_WINDOW_SECONDS = 30;
+    private static final long SECOND_NANOS = 1_000_000_000;
+    /** Time between the two GOAWAY frames of a graceful shutdown: slightly more than a round trip. */
+    private static final long GOAWAY_INTERVAL_NANOS = 100_000_000;
 
     /**
-     * Its bounds; times in nanoseconds.
+     * The limits; times in nanoseconds.
      *
-     * @param connections that may be in
-     * @param streams at a time on one of them
-     * @param idle how long one may say nothing
-     * @param headerBytes of one request
-     * @param controlFrames frames a second that bring nothing, from one connection
-     * @param heldBytes see {@link HeldBytes}
-     * @param age after which one is asked to leave, give or take a tenth; 0 for never
-     * @param grace how long one that was asked to leave may stay, for what is open on it
+     * @param listenAddress address to listen on
+     * @param maxConnections maximum number of open connections
+     * @param maxStreamsPerConnection maximum number of concurrent streams on one connection
+     * @param idleTimeoutNanos time without received data after which a connection is closed
+     * @param maxRequestHeaderBytes maximum size of the headers of one request
+     * @param controlFramesPerSecond maximum number of frames without payload per second from one connection
+     * @param maxBufferedBytes limit of {@link HeldBytes}
+     * @param maxAgeNanos age, plus or minus a tenth, after which a connection is drained; 0 for no limit
+     * @param drainTimeoutNanos how long a connection being drained may stay open for its open streams
      */
     public record Limits(
-            InetSocketAddress listen,
-            int connections,
-            int streams,
-            long idle,
-            int headerBytes,
-            int controlFrames,
-            long heldBytes,
-            long age,
-            long grace) {}
+            InetSocketAddress listenAddress,
+            int maxConnections,
+            int maxStreamsPerConnection,
+            long idleTimeoutNanos,
+            int maxRequestHeaderBytes,
+            int controlFramesPerSecond,
+            long maxBufferedBytes,
+            long maxAgeNanos,
+            long drainTimeoutNanos) {}
 
-    /** Told what an operator should know, at whatever rate it happens. */
+    /** Receives events for operators. Events are not rate-limited here. */
     @FunctionalInterface
     public interface Events {
-        /** Something went wrong with a peer. */
+        /** Reports a problem with a peer. */
         void warn(String event, String peer, String detail);
     }
 
     private final EventLoop loop;
     private final Limits limits;
-    private final String name;
-    private final Function<Channel, ChannelHandler> tls;
+    private final String eventPrefix;
+    private final Function<Channel, ChannelHandler> tlsHandlerFactory;
     private final Events events;
     private final LongSupplier clock;
-    private final BiConsumer<Channel, HeldBytes.Share> streams;
-    private final HeldBytes bytes;
-    private final Set<Channel> in = new HashSet<>();
+    private final BiConsumer<Channel, HeldBytes.Share> streamInitializer;
+    private final HeldBytes bufferBudget;
+    private final Set<Channel> connections = new HashSet<>();
     private final Random random = new Random();
-    private Channel server;
+    private Channel serverChannel;
 
     /**
-     * A door that is shut so far.
+     * Creates a server that does not listen yet.
      *
-     * @param name that its events begin with
-     * @param tls makes the handler that goes below HTTP/2; null for none
-     * @param streams puts its handlers into the pipeline of a stream that was opened by the other side
+     * @param eventPrefix prefix of the names of its events
+     * @param tlsHandlerFactory creates the TLS handler below HTTP/2; null for cleartext
+     * @param streamInitializer adds the handlers to the pipeline of a stream opened by the peer
      */
     public Door(
             EventLoop loop,
             Limits limits,
-            String name,
-            Function<Channel, ChannelHandler> tls,
+            String eventPrefix,
+            Function<Channel, ChannelHandler> tlsHandlerFactory,
             Events events,
             LongSupplier clock,
-            BiConsumer<Channel, HeldBytes.Share> streams) {
+            BiConsumer<Channel, HeldBytes.Share> streamInitializer) {
         this.loop = loop;
         this.limits = limits;
-        this.name = name;
-        this.tls = tls;
+        this.eventPrefix = eventPrefix;
+        this.tlsHandlerFactory = tlsHandlerFactory;
         this.events = events;
         this.clock = clock;
-        this.streams = streams;
-        this.bytes = new HeldBytes(limits.heldBytes());
+        this.streamInitializer = streamInitializer;
+        this.bufferBudget = new HeldBytes(limits.maxBufferedBytes());
     }
 
-    /** Opens it. */
+    /** Starts to listen. */
     public ChannelFuture listen() {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -120,138 +122,143 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        cameIn(made);
+                    protected void initChannel(Channel channel) {
+                        accept(channel);
                     }
                 })
-                .bind(limits.listen());
-        server = bound.channel();
+                .bind(limits.listenAddress());
+        serverChannel = bound.channel();
         return bound;
     }
 
-    /** Connections that are in. */
+    /** Returns the number of open connections. */
     public int connections() {
-        return in.size();
+        return connections.size();
     }
 
     /**
-     * Asks all that are in to leave (RFC 9113, section 6.8): first without a last stream, so that nothing
-     * which is on its way is lost, then with it; who has nothing open is closed, and everybody after the
-     * grace.
+     * Shuts all connections down gracefully (RFC 9113, section 6.8): sends a GOAWAY without a last stream id,
+     * so that requests already in flight are not lost, and then one with it. A connection without open
+     * streams is then closed, and every connection once the drain timeout has passed.
      */
     public void leave() {
-        List.copyOf(in).forEach(this::leave);
+        List.copyOf(connections).forEach(this::drain);
     }
 
-    private void leave(Channel channel) {
+    private void drain(Channel channel) {
         channel.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(Integer.MAX_VALUE));
         loop.schedule(
                 () -> {
                     channel.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR));
-                    closeWhenDone(channel, clock.getAsLong() + limits.grace());
+                    closeWhenFinished(channel, clock.getAsLong() + limits.drainTimeoutNanos());
                 },
-                PAIR,
+                GOAWAY_INTERVAL_NANOS,
                 TimeUnit.NANOSECONDS);
     }
 
-    private void closeWhenDone(Channel channel, long until) {
+    private void closeWhenFinished(Channel channel, long deadline) {
         Http2FrameCodec codec = channel.pipeline().get(Http2FrameCodec.class);
-        if (codec == null || codec.connection().numActiveStreams() == 0 || clock.getAsLong() - until >= 0) {
+        if (codec == null || codec.connection().numActiveStreams() == 0 || clock.getAsLong() - deadline >= 0) {
             channel.close();
         } else if (channel.isActive()) {
-            loop.schedule(() -> closeWhenDone(channel, until), PAIR, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> closeWhenFinished(channel, deadline), GOAWAY_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Bytes of requests and answers that are held. */
+    /** Returns the bytes of requests and responses being buffered. */
     public long heldBytes() {
-        return bytes.held();
+        return bufferBudget.held();
     }
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     public void close() {
-        server.close();
+        serverChannel.close();
     }
 
-    private void cameIn(Channel made) {
-        if (in.size() >= limits.connections()) {
-            events.warn(name + "_full", made.remoteAddress().toString(), "no more connections are taken");
-            made.close();
+    private void accept(Channel channel) {
+        if (connections.size() >= limits.maxConnections()) {
+            events.warn(eventPrefix + "_full", channel.remoteAddress().toString(), "connection limit reached");
+            channel.close();
             return;
         }
-        in.add(made);
-        made.closeFuture().addListener(closed -> in.remove(made));
-        if (limits.age() > 0) {
-            // Not all at once: those that came together would all come again together.
-            Future<?> old = loop.schedule(
-                    () -> leave(made), (long) (limits.age() * (0.9 + 0.2 * random.nextDouble())), TimeUnit.NANOSECONDS);
-            made.closeFuture().addListener(closed -> old.cancel(false));
+        connections.add(channel);
+        channel.closeFuture().addListener(closed -> connections.remove(channel));
+        if (limits.maxAgeNanos() > 0) {
+            // Connection ages are randomized so that clients that connected together do not all reconnect
+            // together.
+            Future<?> drainTask = loop.schedule(
+                    () -> drain(channel),
+                    (long) (limits.maxAgeNanos() * (0.9 + 0.2 * random.nextDouble())),
+                    TimeUnit.NANOSECONDS);
+            channel.closeFuture().addListener(closed -> drainTask.cancel(false));
         }
-        made.pipeline().addLast(new Unread());
-        if (tls != null) {
-            made.pipeline().addLast(tls.apply(made));
+        channel.pipeline().addLast(new Unread());
+        if (tlsHandlerFactory != null) {
+            channel.pipeline().addLast(tlsHandlerFactory.apply(channel));
         }
-        HeldBytes.Share share = bytes.share();
-        made.pipeline()
+        HeldBytes.Share share = bufferBudget.share();
+        channel.pipeline()
                 .addLast(
-                        new IdleStateHandler(limits.idle(), 0, 0, TimeUnit.NANOSECONDS),
+                        new IdleStateHandler(limits.idleTimeoutNanos(), 0, 0, TimeUnit.NANOSECONDS),
                         Http2FrameCodecBuilder.forServer()
-                                .decoderEnforceMaxRstFramesPerWindow(RESETS, RESETS_SECONDS)
+                                .decoderEnforceMaxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, RESET_WINDOW_SECONDS)
                                 .initialSettings(Http2Settings.defaultSettings()
-                                        .maxConcurrentStreams(limits.streams())
-                                        .maxHeaderListSize(limits.headerBytes()))
+                                        .maxConcurrentStreams(limits.maxStreamsPerConnection())
+                                        .maxHeaderListSize(limits.maxRequestHeaderBytes()))
                                 .build(),
                         new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel stream) {
-                                streams.accept(stream, share);
+                                streamInitializer.accept(stream, share);
                             }
                         }),
-                        new Watch());
+                        new ConnectionGuard());
     }
 
-    /** Ends connections that are no use, or that may not go on. */
-    private final class Watch extends ChannelInboundHandlerAdapter {
-        private final FloodGuard guard = new FloodGuard(limits.controlFrames(), SECOND, clock.getAsLong());
-        private boolean told;
+    /** Closes connections that are idle, that violate a limit, or that fail. */
+    private final class ConnectionGuard extends ChannelInboundHandlerAdapter {
+        private final FloodGuard floodGuard =
+                new FloodGuard(limits.controlFramesPerSecond(), SECOND_NANOS, clock.getAsLong());
+        private boolean reported;
 
-        private void end(ChannelHandlerContext context, String event, String why) {
-            if (!told) {
-                told = true;
-                events.warn(name + event, String.valueOf(context.channel().remoteAddress()), why);
+        private void close(ChannelHandlerContext context, String event, String detail) {
+            if (!reported) {
+                reported = true;
+                events.warn(
+                        eventPrefix + event, String.valueOf(context.channel().remoteAddress()), detail);
             }
             context.close();
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object frame) {
-            // All that is of no stream comes here: SETTINGS, PING, GOAWAY, unknown frames.
+            // Frames that belong to no stream arrive here: SETTINGS, PING, GOAWAY, unknown frames.
             ReferenceCountUtil.release(frame);
-            if (!guard.admit(clock.getAsLong())) {
-                end(context, "_flood", "frames that bring nothing");
+            if (!floodGuard.admit(clock.getAsLong())) {
+                close(context, "_flood", "too many control frames");
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) throws Exception {
-            // Who does not read what is sent is not read either, so that answers can't pile up.
+            // Stops reading from a peer that does not read, so that responses do not accumulate.
             context.channel().config().setAutoRead(context.channel().isWritable());
             super.channelWritabilityChanged(context);
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) throws Exception {
-            if (event instanceof SslHandshakeCompletionEvent done && !done.isSuccess()) {
-                end(context, "_refused", String.valueOf(done.cause().getMessage()));
+            if (event instanceof SslHandshakeCompletionEvent handshake && !handshake.isSuccess()) {
+                close(context, "_refused", String.valueOf(handshake.cause().getMessage()));
             } else if (event instanceof IdleStateEvent) {
-                end(context, "_idle", "nothing came");
+                close(context, "_idle", "no data received within the idle timeout");
             }
             super.userEventTriggered(context, event);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            end(context, "_broken", String.valueOf(cause.getMessage()));
+            close(context, "_broken", String.valueOf(cause.getMessage()));
         }
     }
 }
--- a/src/main/java/pondridge/http2/FloodGuard.java
+++ b/src/main/java/pondridge/http2/FloodGuard.java
@@ -1,34 +1,34 @@
 package pondridge.http2;
 
 /**
- * Counts the frames of a peer that cost work here and bring nothing: SETTINGS, PING, PRIORITY, unknown
- * ones, empty DATA, and WINDOW_UPDATE beyond what open streams explain (RFC 9113, section 10.5). Over the
- * bound within a window the connection is broken.
+ * Counts a peer's frames that cause work but carry no payload: SETTINGS, PING, PRIORITY, unknown frames, empty
+ * DATA, and WINDOW_UPDATE beyond what open streams account for (RFC 9113, section 10.5). A connection that exceeds
+ * the limit within a window is to be closed.
  */
 public final class FloodGuard {
-    private final int most;
-    private final long window;
-    private long began;
+    private final int maxFrames;
+    private final long windowNanos;
+    private long windowStart;
     private int count;
 
-    /** Admits {@code most} within each {@code window}, in nanoseconds. */
-    public FloodGuard(int most, long window, long now) {
-        this.most = most;
-        this.window = window;
-        this.began = now;
+    /** Admits {@code maxFrames} frames within each window of {@code windowNanos}. */
+    public FloodGuard(int maxFrames, long windowNanos, long now) {
+        this.maxFrames = maxFrames;
+        this.windowNanos = windowNanos;
+        this.windowStart = now;
     }
 
-    /** Something was sent that brings about so many of them. */
-    void explain(int frames) {
-        count = Math.max(-most, count - frames);
+    /** Allows this many further frames, which are the expected result of something that was sent. */
+    void allow(int frames) {
+        count = Math.max(-maxFrames, count - frames);
     }
 
-    /** One more has come; false if that is one too many. */
+    /** Counts one received frame; false if it exceeds the limit. */
     public boolean admit(long now) {
-        if (now - began >= window) {
-            began = now;
+        if (now - windowStart >= windowNanos) {
+            windowStart = now;
             count = Math.min(count, 0);
         }
-        return ++count <= most;
+        return ++count <= maxFrames;
     }
 }
--- a/src/main/java/pondridge/http2/Messages.java
+++ b/src/main/java/pondridge/http2/HeaderMapper.java
@@ -11,23 +11,24 @@
 import pondridge.core.Headers;
 import pondridge.core.Job;
 
-/** Puts requests into HTTP/2's form and answers' headers out of it (RFC 9113, section 8.3). */
-final class Messages {
-    private static final AsciiString DEADLINE = AsciiString.cached("req-deadline-ms");
-    private static final AsciiString HTTP = AsciiString.cached("http");
+/** Converts request headers to HTTP/2 and response headers from it (RFC 9113, section 8.3). */
+final class HeaderMapper {
+    private static final AsciiString DEADLINE_HEADER = AsciiString.cached("req-deadline-ms");
+    private static final AsciiString SCHEME_HTTP = AsciiString.cached("http");
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private Messages() {}
+    private HeaderMapper() {}
 
-    /** A request's headers; {@code left} in nanoseconds is what the upstream is told of the time there is. */
-    static Http2Headers request(Job job, long left) {
-        HttpHeaders from = job.headers();
-        if (from.contains(HttpHeaderNames.CONNECTION)) {
-            from = new DefaultHttpHeaders();
-            Headers.copyEndToEnd(job.headers(), from);
+    /** Returns the headers of a request; {@code remainingNanos} is sent to the upstream as the time left. */
+    static Http2Headers requestHeaders(Job job, long remainingNanos) {
+        HttpHeaders source = job.headers();
+        if (source.contains(HttpHeaderNames.CONNECTION)) {
+            source = new DefaultHttpHeaders();
+            Headers.copyEndToEnd(job.headers(), source);
         }
         Http2Headers headers = new DefaultHttp2Headers(false, 16);
-        headers.method(job.method().asciiName()).scheme(HTTP).path(job.uri());
-        for (Map.Entry<String, String> header : from) {
+        headers.method(job.method().asciiName()).scheme(SCHEME_HTTP).path(job.uri());
+        for (Map.Entry<String, String> header : source) {
             AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
             if (name.contentEquals(HttpHeaderNames.HOST)) {
                 headers.authority(header.getValue());
@@ -35,14 +36,14 @@
                 headers.add(name, header.getValue());
             }
         }
-        headers.set(DEADLINE, Long.toString(Math.max(1, left / 1_000_000)));
+        headers.set(DEADLINE_HEADER, Long.toString(Math.max(1, remainingNanos / NANOS_PER_MILLI)));
         if (!job.method().equals(HttpMethod.GET) || job.body().length > 0) {
             headers.setInt(HttpHeaderNames.CONTENT_LENGTH, job.body().length);
         }
         return headers;
     }
 
-    /** An answer's status; 0 where none can be read. */
+    /** Returns the status of a response, or 0 if there is no valid one. */
     static int status(Http2Headers headers) {
         CharSequence status = headers.status();
         if (status == null || status.length() != 3) {
@@ -59,24 +60,24 @@
         return number;
     }
 
-    /** The headers of an answer that go through to the client; null where one of them can't. */
-    static HttpHeaders answer(Http2Headers headers) {
+    /** Returns the response headers that are forwarded to the client, or null if one of them is invalid. */
+    static HttpHeaders responseHeaders(Http2Headers headers) {
         try {
-            HttpHeaders through = new DefaultHttpHeaders();
+            HttpHeaders forwarded = new DefaultHttpHeaders();
             for (Map.Entry<CharSequence, CharSequence> header : headers) {
                 CharSequence name = header.getKey();
                 if (name.length() > 0 && name.charAt(0) != ':' && !Headers.ofOneHop(name)) {
-                    through.add(name, header.getValue());
+                    forwarded.add(name, header.getValue());
                 }
             }
-            return through;
+            return forwarded;
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    /** A header's value, or null. */
-    static String text(Http2Headers headers, AsciiString name) {
+    /** Returns the value of a header, or null. */
+    static String value(Http2Headers headers, AsciiString name) {
         CharSequence value = headers.get(name);
         return value == null ? null : value.toString();
     }
--- a/src/main/java/pondridge/http2/HeldBytes.java
+++ b/src/main/java/pondridge/http2/HeldBytes.java
@@ -1,66 +1,66 @@
 package pondridge.http2;
 
 /**
- * What a front holds in bytes: of requests that have come whole or in part, and of answers that the other
- * side has not taken yet. Bounded over all connections, and for one at a quarter of that, so that a
- * peer that reads nothing, or ends nothing that it begins, takes no room from the others. No I/O, no clock;
- * of one thread.
+ * Bounds the bytes that a front end buffers: of requests received completely or in part, and of responses
+ * that the peer has not read yet. The total over all connections is bounded, and each connection may use a
+ * quarter of it, so that a peer that does not read, or does not complete its requests, cannot take the
+ * capacity of the others. Performs no I/O and reads no clock; not thread-safe.
  */
 public final class HeldBytes {
-    private static final int PARTS = 4;
-    private final long most;
-    private long held;
+    private static final int CONNECTION_SHARE_DIVISOR = 4;
+    private final long maxBytes;
+    private long totalReserved;
 
-    /** Room for so many bytes. */
-    public HeldBytes(long most) {
-        this.most = most;
+    /** Creates a budget of {@code maxBytes} over all connections. */
+    public HeldBytes(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** Bytes that are held in all. */
+    /** Returns the bytes reserved by all connections. */
     public long held() {
-        return held;
+        return totalReserved;
     }
 
-    /** A connection has come in. */
+    /** Creates the share of a new connection. */
     public Share share() {
         return new Share();
     }
 
-    /** What one connection holds. */
+    /** The part of the budget used by one connection. */
     public final class Share {
-        private long its;
+        private long reserved;
 
         private Share() {}
 
-        /** Whether anything more may come by this connection. */
+        /** Whether this connection may buffer any more bytes. */
         public boolean room() {
-            return its < most / PARTS && held < most;
+            return reserved < maxBytes / CONNECTION_SHARE_DIVISOR && totalReserved < maxBytes;
         }
 
-        /** Holds so many more, if there is room for them. */
+        /** Reserves bytes if there is capacity for them. */
         public boolean take(long bytes) {
-            if (its + bytes > most / PARTS || held + bytes > most) {
+            if (reserved + bytes > maxBytes / CONNECTION_SHARE_DIVISOR || totalReserved + bytes > maxBytes) {
                 return false;
             }
             add(bytes);
             return true;
         }
 
-        /** Holds so many more in any case: an answer to what was taken is there and has to go. */
+        /** Reserves bytes even beyond the limit, for the response to a request that was already accepted. */
         public void add(long bytes) {
-            its += bytes;
-            held += bytes;
+            reserved += bytes;
+            totalReserved += bytes;
         }
 
-        /** Lets go of so many. */
+        /** Releases bytes. */
         public void give(long bytes) {
-            its -= bytes;
-            held -= bytes;
+            reserved -= bytes;
+            totalReserved -= bytes;
         }
 
-        /** What it holds. */
+        /** Returns the bytes reserved by this connection. */
         public long held() {
-            return its;
+            return reserved;
         }
     }
 }
--- a/src/main/java/pondridge/http2/Http2Options.java
+++ b/src/main/java/pondridge/http2/Http2Options.java
@@ -4,45 +4,47 @@
 import pondridge.settings.Section;
 
 /**
- * What the way over HTTP/2 is set to; times in nanoseconds, sizes in bytes.
+ * The settings of HTTP/2 connections to upstreams; times in nanoseconds, sizes in bytes.
  *
- * @param connectionsPerServer connections to one upstream at a time
- * @param connections connections to all of them together
- * @param waiting attempts that may wait for a stream to one upstream
- * @param streamWait how long one waits for a stream before it is turned away, never sent
- * @param settingsWait how long an upstream may take for its first SETTINGS
- * @param quiet how long nothing may come on a connection with open streams before it is pinged
- * @param pingWait how long it may stay silent after that before it is given up
- * @param resets streams of one connection that may be reset within {@code resetWindow}
- * @param controlFrames frames a second that bring nothing, from one upstream
- * @param headerBytes of one answer's headers
- * @param answerBytes of one answer's body
- * @param answersBytes of all bodies that are on their way
- * @param streamWindow what one stream may have on its way to here (RFC 9113, section 6.9)
- * @param connectionWindow what one connection may
- * @param redial after a connection that came to nothing, how long no other is opened; up to 16 times as long
- *     after several in a row
+ * @param connectionsPerServer maximum number of connections to one upstream
+ * @param connections maximum number of connections to all upstreams
+ * @param waiting maximum number of attempts waiting for a stream to one upstream
+ * @param streamTimeoutNanos how long an attempt waits for a stream before it is rejected without having been
+ *     sent
+ * @param settingsTimeoutNanos how long an upstream may take to send its first SETTINGS
+ * @param pingAfterNanos time without received data, on a connection with open streams, after which a PING is
+ *     sent
+ * @param pingTimeoutNanos time without received data after the PING at which the connection is closed
+ * @param maxResets maximum number of streams of one connection that are reset within {@code resetWindowNanos}
+ * @param controlFrames maximum number of frames without payload per second from one upstream
+ * @param maxResponseHeaderBytes maximum size of the headers of one response
+ * @param maxResponseBodyBytes maximum size of the body of one response
+ * @param maxBufferedResponseBytes maximum size of all response bodies being received
+ * @param streamWindowBytes flow-control window of one stream for received data (RFC 9113, section 6.9)
+ * @param connectionWindowBytes flow-control window of one connection for received data
+ * @param reconnectDelayNanos how long no connection is opened after one that failed without delivering a
+ *     response; up to 16 times as long after several failures in a row
  */
 public record Http2Options(
         int connectionsPerServer,
         int connections,
         int waiting,
-        long streamWait,
-        long settingsWait,
-        long quiet,
-        long pingWait,
-        int resets,
-        long resetWindow,
+        long streamTimeoutNanos,
+        long settingsTimeoutNanos,
+        long pingAfterNanos,
+        long pingTimeoutNanos,
+        int maxResets,
+        long resetWindowNanos,
         int controlFrames,
-        int headerBytes,
-        int answerBytes,
-        int answersBytes,
-        int streamWindow,
-        int connectionWindow,
-        long redial) {
+        int maxResponseHeaderBytes,
+        int maxResponseBodyBytes,
+        int maxBufferedResponseBytes,
+        int streamWindowBytes,
+        int connectionWindowBytes,
+        long reconnectDelayNanos) {
     /** Reads section {@code [http2]}. */
     public static Http2Options of(Section section) {
-        Http2Options read = new Http2Options(
+        Http2Options options = new Http2Options(
                 section.number("connections_per_server", 4, 1, 256),
                 section.number("connections", 64, 1, 4096),
                 section.number("waiting", 256, 0, 65_536),
@@ -59,16 +61,16 @@
                 section.size("stream_window", "256KiB", "1KiB", "64MiB"),
                 section.size("connection_window", "1MiB", "64KiB", "256MiB"),
                 section.time("redial", "100ms", "1ms", "10s"));
-        if (read.connections < read.connectionsPerServer) {
+        if (options.connections < options.connectionsPerServer) {
             throw section.contradiction("connections", "fewer than connections_per_server");
         }
-        if (read.answersBytes < read.answerBytes) {
+        if (options.maxBufferedResponseBytes < options.maxResponseBodyBytes) {
             throw section.contradiction("answers_bytes", "less than answer_bytes");
         }
-        return read;
+        return options;
     }
 
-    PoolLimits pool() {
-        return new PoolLimits(connectionsPerServer, waiting, streamWait, redial);
+    PoolLimits poolLimits() {
+        return new PoolLimits(connectionsPerServer, waiting, streamTimeoutNanos, reconnectDelayNanos);
     }
 }
--- a/src/main/java/pondridge/http2/Http2Upstreams.java
+++ b/src/main/java/pondridge/http2/Http2Upstreams.java
@@ -25,52 +25,59 @@
 import pondridge.pool.SharedRoom;
 
 /**
- * The way to upstreams that speak HTTP/2 (RFC 9113) in the clear, by prior knowledge. An attempt is written
- * once, on one stream, and ends with one outcome; nothing is sent again from here. On the event loop only.
+ * The transport to upstreams that speak HTTP/2 (RFC 9113) in cleartext, by prior knowledge. An attempt is
+ * written once, on one stream, and ends with one outcome; this class never retries. Used on the event loop
+ * only.
  */
 public final class Http2Upstreams implements Transport {
-    private static final long PROBE_TIMEOUT = 250_000_000;
-    private static final long SHORTEST_LOOK = 5_000_000;
-    private static final long LONGEST_LOOK = 250_000_000;
+    private static final long PROBE_TIMEOUT_NANOS = 250_000_000;
+    private static final long MIN_MAINTENANCE_INTERVAL_NANOS = 5_000_000;
+    private static final long MAX_MAINTENANCE_INTERVAL_NANOS = 250_000_000;
 
     private final EventLoop loop;
     private final Http2Options options;
-    private final Proof proof;
-    private final int firstStream;
+    private final Proof outcomeRules;
+    private final int firstStreamId;
     private final int connectTimeoutMs;
-    private final long keepIdle;
+    private final long idleTimeoutNanos;
     private final LoadReports reports;
     private final Map<Long, ServerPool> pools = new HashMap<>();
-    /** Pools of upstreams that are listed no more, while something is open there. */
-    private final List<ServerPool> leaving = new ArrayList<>();
-
-    private final SharedRoom room;
-    private final Dialler dialler;
-    private final ServerPool nobody;
-    private final Future<?> looking;
-    private Wording wording = Wording.HTTP;
-    private LongConsumer http1Wanted = upstream -> {};
-    private long held;
-
-    /** Time-outs for connecting and idleness come from the platform's settings, all else from its own. */
+    /** Pools of upstreams that were removed from the endpoint list and still have open connections. */
+    private final List<ServerPool> removedPools = new ArrayList<>();
+
+    private final SharedRoom connectionLimit;
+    private final Dialler connector;
+    private final ServerPool unlistedUpstream;
+    private final Future<?> maintenanceTask;
+    private Wording codec = Wording.HTTP;
+    private LongConsumer http1RequiredListener = upstream -> {};
+    private long responseBytes;
+
+    /**
+     * Creates a transport. Connect and idle timeouts come from the platform's settings, everything else from
+     * {@code options}.
+     */
     public Http2Upstreams(EventLoop loop, Options settings, Http2Options options) {
         this(loop, settings, options, Proof.RFC9113, 1);
     }
 
-    /** The same on sockets that are opened elsewhere, perhaps with something below HTTP/2. */
-    public Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Dialler dialler) {
-        this(loop, settings, options, Proof.RFC9113, 1, dialler);
+    /**
+     * Creates a transport whose sockets are opened by a connector, which may add a layer such as TLS below
+     * HTTP/2.
+     */
+    public Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Dialler connector) {
+        this(loop, settings, options, Proof.RFC9113, 1, connector);
     }
 
-    /** The same for servers that are spoken to in another form than HTTP's own. */
-    public Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Wording wording) {
+    /** Creates a transport for servers that use another message format than plain HTTP. */
+    public Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Wording codec) {
         this(loop, settings, options, Proof.RFC9113, 1);
-        this.wording = wording;
+        this.codec = codec;
     }
 
-    /** With other rules of proof and another first stream: for tests. */
-    Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Proof proof, int firstStream) {
-        this(loop, settings, options, proof, firstStream, (address, timeoutMs, initializer) -> new Bootstrap()
+    /** For tests: with other outcome rules and another first stream id. */
+    Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Proof outcomeRules, int firstStreamId) {
+        this(loop, settings, options, outcomeRules, firstStreamId, (address, timeoutMs, initializer) -> new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
@@ -79,60 +86,72 @@
                 .connect(address));
     }
 
-    /** With other rules of proof, another first stream and another way to sockets: for tests. */
+    /** For tests: with other outcome rules, another first stream id and another connector. */
     Http2Upstreams(
-            EventLoop loop, Options settings, Http2Options options, Proof proof, int firstStream, Dialler dialler) {
+            EventLoop loop,
+            Options settings,
+            Http2Options options,
+            Proof outcomeRules,
+            int firstStreamId,
+            Dialler connector) {
         this.loop = loop;
         this.options = options;
-        this.proof = proof;
-        this.firstStream = firstStream;
+        this.outcomeRules = outcomeRules;
+        this.firstStreamId = firstStreamId;
         this.connectTimeoutMs = Math.max(1, (int) (settings.number("caps.connectTimeout", 1e9) / 1e6));
-        // As for HTTP/1.1: closed a tenth before the upstream would, nothing can cross its close.
-        this.keepIdle = (long) (settings.number("caps.connIdle", 5e9) * 0.9);
+        // As for HTTP/1.1: idle connections are closed after nine tenths of the upstream's idle timeout, so
+        // that no request can cross the upstream's close.
+        this.idleTimeoutNanos = (long) (settings.number("caps.connIdle", 5e9) * 0.9);
         this.reports = new LoadReports(settings);
-        this.room = new SharedRoom(options.connections());
-        this.dialler = dialler;
-        this.nobody = new ServerPool(this, options);
-        long step = Math.max(SHORTEST_LOOK, Math.min(LONGEST_LOOK, Math.min(options.quiet(), options.pingWait()) / 4));
-        this.looking = loop.scheduleWithFixedDelay(this::look, step, step, TimeUnit.NANOSECONDS);
-    }
-
-    /** Tells whom to ask when an upstream says that it wants HTTP/1.1. */
+        this.connectionLimit = new SharedRoom(options.connections());
+        this.connector = connector;
+        this.unlistedUpstream = new ServerPool(this, options);
+        long intervalNanos = Math.max(
+                MIN_MAINTENANCE_INTERVAL_NANOS,
+                Math.min(
+                        MAX_MAINTENANCE_INTERVAL_NANOS,
+                        Math.min(options.pingAfterNanos(), options.pingTimeoutNanos()) / 4));
+        this.maintenanceTask =
+                loop.scheduleWithFixedDelay(this::maintain, intervalNanos, intervalNanos, TimeUnit.NANOSECONDS);
+    }
+
+    /** Sets the listener that is called with an upstream that requires HTTP/1.1. */
     public void onHttp1Wanted(LongConsumer listener) {
-        http1Wanted = listener;
+        http1RequiredListener = listener;
     }
 
     /**
-     * Finds out whether an upstream speaks HTTP/2: opens a connection on which nothing but the preface goes
-     * out, and waits for the upstream's own. Told on the loop, perhaps within this call.
+     * Determines whether an upstream speaks HTTP/2: opens a connection, sends only the connection preface,
+     * and waits for the upstream's SETTINGS. The listener is called on the event loop, possibly within this
+     * call.
      */
-    public void learn(long upstream, Consumer<Learned> learner) {
-        pools.getOrDefault(upstream, nobody).learn(learner);
+    public void learn(long upstream, Consumer<Learned> listener) {
+        pools.getOrDefault(upstream, unlistedUpstream).probeProtocol(listener);
     }
 
     @Override
     public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
-        pools.computeIfAbsent(upstream, id -> new ServerPool(this, options)).listed(address, startedMs, ready);
+        pools.computeIfAbsent(upstream, id -> new ServerPool(this, options)).update(address, startedMs, ready);
     }
 
     @Override
     public void gone(long upstream) {
         ServerPool pool = pools.remove(upstream);
         if (pool != null) {
-            leaving.add(pool);
-            pool.shut();
+            removedPools.add(pool);
+            pool.shutDown();
         }
     }
 
     @Override
-    public Transport.Attempt send(long upstream, Job job, long wait, Listener listener) {
-        if (!wording.fits(job)) {
+    public Transport.Attempt send(long upstream, Job job, long timeoutNanos, Listener listener) {
+        if (!codec.fits(job)) {
             listener.ended(Outcome.NEVER_SENT, null, LoadReports.NONE);
             return Attempt.ENDED;
         }
-        ServerPool pool = pools.getOrDefault(upstream, nobody);
-        Sending attempt = new Sending(pool, job, System.nanoTime() + wait, listener);
-        attempt.timer(loop.schedule(attempt::late, wait, TimeUnit.NANOSECONDS));
+        ServerPool pool = pools.getOrDefault(upstream, unlistedUpstream);
+        Http2Attempt attempt = new Http2Attempt(pool, job, System.nanoTime() + timeoutNanos, listener);
+        attempt.setTimer(loop.schedule(attempt::timeOut, timeoutNanos, TimeUnit.NANOSECONDS));
         pool.offer(attempt);
         return attempt;
     }
@@ -143,39 +162,39 @@
         send(
                 upstream,
                 new Job(0, 0, 0, 0, 0, false, HttpMethod.GET, reports.probePath(), headers, new byte[0]),
-                PROBE_TIMEOUT,
+                PROBE_TIMEOUT_NANOS,
                 listener);
     }
 
     @Override
     public void closeIdle(long upstream) {
-        pools.getOrDefault(upstream, nobody).closeIdle();
+        pools.getOrDefault(upstream, unlistedUpstream).closeIdle();
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     public int connections() {
-        return room.taken();
+        return connectionLimit.taken();
     }
 
-    /** Closes all idle connections and keeps no more watch on them. */
+    /** Closes all idle connections and stops the periodic maintenance. */
     public void close() {
-        looking.cancel(false);
+        maintenanceTask.cancel(false);
         pools.values().forEach(ServerPool::closeIdle);
     }
 
-    private void look() {
+    private void maintain() {
         long now = System.nanoTime();
-        List.copyOf(pools.values()).forEach(pool -> pool.look(now, keepIdle));
-        leaving.forEach(pool -> pool.look(now, keepIdle));
-        leaving.removeIf(ServerPool::dissolve);
+        List.copyOf(pools.values()).forEach(pool -> pool.maintain(now, idleTimeoutNanos));
+        removedPools.forEach(pool -> pool.maintain(now, idleTimeoutNanos));
+        removedPools.removeIf(ServerPool::dissolve);
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    Wording wording() {
-        return wording;
+    Wording codec() {
+        return codec;
     }
 
     LoadReports reports() {
@@ -186,35 +205,37 @@
         return connectTimeoutMs;
     }
 
-    SharedRoom room() {
-        return room;
+    SharedRoom connectionLimit() {
+        return connectionLimit;
     }
 
-    Dialler dialler() {
-        return dialler;
+    Dialler connector() {
+        return connector;
     }
 
-    Connection connection(ServerPool pool) {
-        return new Connection(pool, options, proof, firstStream, System.nanoTime());
+    Connection newConnection(ServerPool pool) {
+        return new Connection(pool, options, outcomeRules, firstStreamId, System.nanoTime());
     }
 
-    /** Takes room for a part of an answer; false if all bodies together are too large. */
-    boolean hold(int bytes) {
-        if (held + bytes > options.answersBytes()) {
+    /**
+     * Reserves space for part of a response body; false if all buffered bodies together would be too large.
+     */
+    boolean reserveResponseBytes(int bytes) {
+        if (responseBytes + bytes > options.maxBufferedResponseBytes()) {
             return false;
         }
-        held += bytes;
+        responseBytes += bytes;
         return true;
     }
 
-    void release(int bytes) {
-        held -= bytes;
+    void releaseResponseBytes(int bytes) {
+        responseBytes -= bytes;
     }
 
-    void wantsHttp1(ServerPool pool) {
+    void http1Required(ServerPool pool) {
         pools.forEach((id, each) -> {
             if (each == pool) {
-                http1Wanted.accept(id);
+                http1RequiredListener.accept(id);
             }
         });
     }
--- a/src/main/java/pondridge/http2/Learned.java
+++ b/src/main/java/pondridge/http2/Learned.java
@@ -1,11 +1,11 @@
 package pondridge.http2;
 
-/** What an upstream showed when it was greeted with HTTP/2's preface alone. */
+/** The result of connecting to an upstream and sending only the HTTP/2 connection preface. */
 public enum Learned {
-    /** It answered with SETTINGS. */
+    /** The upstream responded with SETTINGS. */
     HTTP2,
-    /** It took the connection and answered with something else, or not in time. */
+    /** The upstream accepted the connection but responded with something else, or not in time. */
     OTHER,
-    /** No connection came up. */
+    /** No connection was established. */
     NOBODY
 }
--- a/src/main/java/pondridge/http2/Liveness.java
+++ b/src/main/java/pondridge/http2/Liveness.java
@@ -1,60 +1,60 @@
 package pondridge.http2;
 
 /**
- * Tells a connection that has gone silent from one whose upstream takes its time (RFC 9113, section 6.7):
- * after some quiet with streams open it is pinged, and without an answer in time it is dead. One ping is out
- * at a time and none without open streams, so an upstream that counts pings sees few. Times in nanoseconds on
- * one clock that never runs back.
+ * Distinguishes a dead connection from one whose upstream is slow to respond (RFC 9113, section 6.7). If nothing
+ * is received for some time while streams are open, a PING is sent; if nothing is received in time after the PING,
+ * the connection is dead. At most one PING is outstanding, and none is sent without open streams, so an upstream
+ * that limits PINGs sees few. Times are in nanoseconds on one monotonic clock.
  */
 final class Liveness {
-    /** What is to be done now. */
-    enum Step {
-        NOTHING,
-        PING,
-        DEAD
+    /** The action to take now. */
+    enum Action {
+        NONE,
+        SEND_PING,
+        CLOSE
     }
 
-    private final long quiet;
-    private final long patience;
-    private long heardAt;
-    private long pingedAt;
-    private boolean pinged;
+    private final long pingAfterNanos;
+    private final long pingTimeoutNanos;
+    private long lastReceivedAt;
+    private long pingSentAt;
+    private boolean pingOutstanding;
 
     /**
-     * For a connection that has just come up.
+     * Creates the state of a new connection.
      *
-     * @param quiet how long nothing may come, while streams are open, before a ping
-     * @param patience how long anything may take to come after a ping
+     * @param pingAfterNanos time without received data, while streams are open, after which a PING is sent
+     * @param pingTimeoutNanos time after a PING within which some data must be received
      */
-    Liveness(long quiet, long patience, long now) {
-        this.quiet = quiet;
-        this.patience = patience;
-        this.heardAt = now;
+    Liveness(long pingAfterNanos, long pingTimeoutNanos, long now) {
+        this.pingAfterNanos = pingAfterNanos;
+        this.pingTimeoutNanos = pingTimeoutNanos;
+        this.lastReceivedAt = now;
     }
 
-    /** Something has come, whatever it is: the upstream is there. */
-    void heard(long now) {
-        heardAt = now;
-        pinged = false;
+    /** Data was received; data of any kind shows that the upstream is alive. */
+    void onReceived(long now) {
+        lastReceivedAt = now;
+        pingOutstanding = false;
     }
 
-    /** The first stream opens where none was: that it was quiet until now says nothing. */
-    void awoken(long now) {
-        if (!pinged) {
-            heardAt = now;
+    /** A stream is opened on an idle connection: the silence before it does not count. */
+    void onStreamsOpened(long now) {
+        if (!pingOutstanding) {
+            lastReceivedAt = now;
         }
     }
 
-    /** Looks at the clock; a ping that this asks for counts as sent. */
-    Step look(long now, boolean streamsOpen) {
-        if (pinged) {
-            return now - pingedAt >= patience ? Step.DEAD : Step.NOTHING;
+    /** Returns the action to take now; a PING that is requested here counts as sent. */
+    Action check(long now, boolean streamsOpen) {
+        if (pingOutstanding) {
+            return now - pingSentAt >= pingTimeoutNanos ? Action.CLOSE : Action.NONE;
         }
-        if (streamsOpen && now - heardAt >= quiet) {
-            pinged = true;
-            pingedAt = now;
-            return Step.PING;
+        if (streamsOpen && now - lastReceivedAt >= pingAfterNanos) {
+            pingOutstanding = true;
+            pingSentAt = now;
+            return Action.SEND_PING;
         }
-        return Step.NOTHING;
+        return Action.NONE;
     }
 }
--- a/src/main/java/pondridge/http2/Proof.java
+++ b/src/main/java/pondridge/http2/Proof.java
@@ -3,53 +3,53 @@
 import pondridge.Balancer.Outcome;
 
 /**
- * What the end of a stream proves about the request on it (RFC 9113). An upstream begins a request when its
- * last byte has come, so one whose END_STREAM never left this process has not run. All that is left open by
- * the protocol may have run.
+ * Decides what the end of a stream proves about whether its request was executed (RFC 9113). An upstream starts
+ * executing a request only after receiving its last byte, so a request whose END_STREAM frame never left this
+ * process has not been executed. Where the protocol leaves the question open, the request may have been executed.
  *
- * <p>Not final so that a test can break one rule and show that the effect ledger notices.
+ * <p>Not final, so that a test can break one rule and check that the effect ledger detects it.
  */
 class Proof {
-    /** The rules as they are. */
+    /** The rules of RFC 9113. */
     static final Proof RFC9113 = new Proof();
 
     /**
-     * The upstream has reset the stream. REFUSED_STREAM says that nothing was processed (section 8.7); after
-     * the answer has begun that can't be true any more. No other code says anything of the kind.
+     * The upstream has reset the stream. REFUSED_STREAM states that nothing was processed (section 8.7), which
+     * cannot be true once the response has started. No other error code makes such a statement.
      *
-     * @param handed the frame with END_STREAM has been given to the socket
-     * @param answering the answer has begun, if only with an interim one
+     * @param endStreamWritten the frame with END_STREAM has been passed to the socket
+     * @param responseStarted the response has started, even if only with an interim response
      */
-    Outcome reset(boolean handed, boolean answering, long code) {
-        if (answering) {
+    Outcome afterReset(boolean endStreamWritten, boolean responseStarted, long code) {
+        if (responseStarted) {
             return Outcome.RESET;
         }
         if (code == StreamTable.REFUSED_STREAM) {
             return Outcome.REJECTED;
         }
-        return handed ? Outcome.RESET : Outcome.CONNECT_FAILED;
+        return endStreamWritten ? Outcome.RESET : Outcome.CONNECT_FAILED;
     }
 
     /**
-     * A GOAWAY names a lower last stream: the upstream has not taken and will not take any action on this one
-     * (section 6.8). One whose answer has begun shows that the upstream errs; it may have run.
+     * A GOAWAY names a lower last stream: the upstream has not acted and will not act on this one (section 6.8).
+     * If the response has already started, the upstream is in error and the request may have been executed.
      */
-    Outcome aboveLastStream(boolean answering) {
-        return answering ? Outcome.RESET : Outcome.REJECTED;
+    Outcome aboveLastStream(boolean responseStarted) {
+        return responseStarted ? Outcome.RESET : Outcome.REJECTED;
     }
 
-    /** The connection has ended, with or without a GOAWAY that still covers the stream. */
-    Outcome lost(boolean handed, boolean answering) {
-        return handed || answering ? Outcome.RESET : Outcome.CONNECT_FAILED;
+    /** The connection has ended, with or without a GOAWAY whose last stream covers this one. */
+    Outcome afterConnectionLoss(boolean endStreamWritten, boolean responseStarted) {
+        return endStreamWritten || responseStarted ? Outcome.RESET : Outcome.CONNECT_FAILED;
     }
 
-    /** The attempt's time is up. */
-    Outcome late(boolean handed, boolean answering) {
-        return handed || answering ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED;
+    /** The attempt's deadline has passed. */
+    Outcome afterTimeout(boolean endStreamWritten, boolean responseStarted) {
+        return endStreamWritten || responseStarted ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED;
     }
 
-    /** Whether the request may be called unsent where the upstream is not to get anything new. */
-    boolean unsent(boolean handed, boolean answering) {
-        return !handed && !answering;
+    /** Whether the request counts as unsent when the upstream must receive no new requests. */
+    boolean provesUnsent(boolean endStreamWritten, boolean responseStarted) {
+        return !endStreamWritten && !responseStarted;
     }
 }
--- a/src/main/java/pondridge/http2/ResetBudget.java
+++ b/src/main/java/pondridge/http2/ResetBudget.java
@@ -1,31 +1,31 @@
 package pondridge.http2;
 
 /**
- * How often streams of one connection may be reset: an upstream that guards itself against rapid resets ends
- * the connection of a client that resets many, and with it what else is open there. Up to {@code most} at
- * once, and as many again over {@code window} nanoseconds.
+ * Limits how often streams of one connection are reset. An upstream protected against rapid resets closes the
+ * connection of a client that resets many streams, and with it all other open streams. The budget is a token
+ * bucket: up to {@code maxResets} at once, refilled at {@code maxResets} per {@code windowNanos}.
  */
 final class ResetBudget {
-    private final double most;
-    private final double perNano;
-    private double left;
-    private long at;
+    private final double maxResets;
+    private final double refillPerNano;
+    private double available;
+    private long refilledAt;
 
-    ResetBudget(int most, long window, long now) {
-        this.most = most;
-        this.perNano = most / (double) window;
-        this.left = most;
-        this.at = now;
+    ResetBudget(int maxResets, long windowNanos, long now) {
+        this.maxResets = maxResets;
+        this.refillPerNano = maxResets / (double) windowNanos;
+        this.available = maxResets;
+        this.refilledAt = now;
     }
 
-    /** Whether one may be sent now; it then counts as sent. */
+    /** Whether a reset may be sent now; it then counts as sent. */
     boolean take(long now) {
-        left = Math.min(most, left + Math.max(0, now - at) * perNano);
-        at = now;
-        if (left < 1) {
+        available = Math.min(maxResets, available + Math.max(0, now - refilledAt) * refillPerNano);
+        refilledAt = now;
+        if (available < 1) {
             return false;
         }
-        left--;
+        available--;
         return true;
     }
 }
--- a/src/main/java/pondridge/http2/ServerPool.java
+++ b/src/main/java/pondridge/http2/ServerPool.java
@@ -12,48 +12,48 @@
 import pondridge.pool.Pool;
 import pondridge.pool.Turned;
 
-/** One upstream's connections: the sockets and timers of what its {@link Pool} decides. */
-final class ServerPool implements Pool.Actions<Connection, Sending> {
-    private final Http2Upstreams all;
+/** The connections to one upstream. Carries out the decisions of its {@link Pool} on sockets and timers. */
+final class ServerPool implements Pool.Actions<Connection, Http2Attempt> {
+    private final Http2Upstreams upstreams;
     private final Http2Options options;
-    private final Pool<Connection, Sending> pool;
-    private final List<Consumer<Learned>> learners = new ArrayList<>();
+    private final Pool<Connection, Http2Attempt> pool;
+    private final List<Consumer<Learned>> probeListeners = new ArrayList<>();
     private InetSocketAddress address;
     private long startedMs;
     private boolean ready;
     private Future<?> timer;
-    private long timerAt;
+    private long timerDueAt;
 
-    ServerPool(Http2Upstreams all, Http2Options options) {
-        this.all = all;
+    ServerPool(Http2Upstreams upstreams, Http2Options options) {
+        this.upstreams = upstreams;
         this.options = options;
-        this.pool = new Pool<>(options.pool(), all.room(), this, System.nanoTime());
+        this.pool = new Pool<>(options.poolLimits(), upstreams.connectionLimit(), this, System.nanoTime());
     }
 
-    /** What the list says of the upstream. */
-    void listed(InetSocketAddress at, long started, boolean isReady) {
-        if (!at.equals(address) || started > startedMs) {
-            address = at;
-            startedMs = started;
+    /** Takes over the upstream's current entry in the endpoint list. */
+    void update(InetSocketAddress newAddress, long newStartedMs, boolean newReady) {
+        if (!newAddress.equals(address) || newStartedMs > startedMs) {
+            address = newAddress;
+            startedMs = newStartedMs;
             pool.renewed(System.nanoTime());
         }
-        if (isReady) {
+        if (newReady) {
             ready = true;
             pool.open();
         } else {
-            shut();
+            shutDown();
         }
-        arm();
+        scheduleTick();
     }
 
-    /** Nothing that has not wholly left goes there any more. */
-    void shut() {
+    /** Sends nothing more to the upstream that has not been fully sent yet. */
+    void shutDown() {
         ready = false;
         pool.shut();
-        learned(Learned.NOBODY);
+        protocolDetected(Learned.NOBODY);
     }
 
-    /** Whether nothing is left of a pool that was shut for good. */
+    /** Releases the pool if it was shut down and holds no connection; false if it still does. */
     boolean dissolve() {
         return pool.dissolve();
     }
@@ -62,79 +62,80 @@
         pool.closeIdle(-1, System.nanoTime());
     }
 
-    /** Finds out whether HTTP/2 is spoken there, with nothing sent but the preface. */
-    void learn(Consumer<Learned> learner) {
+    /** Determines whether the upstream speaks HTTP/2 by sending only the connection preface. */
+    void probeProtocol(Consumer<Learned> listener) {
         switch (pool.ask(System.nanoTime())) {
-            case UP -> learner.accept(Learned.HTTP2);
-            case COMING -> learners.add(learner);
-            default -> learner.accept(Learned.NOBODY);
+            case UP -> listener.accept(Learned.HTTP2);
+            case COMING -> probeListeners.add(listener);
+            default -> listener.accept(Learned.NOBODY);
         }
     }
 
-    private void learned(Learned speaks) {
-        List<Consumer<Learned>> told = List.copyOf(learners);
-        learners.clear();
-        told.forEach(each -> each.accept(speaks));
+    private void protocolDetected(Learned result) {
+        List<Consumer<Learned>> listeners = List.copyOf(probeListeners);
+        probeListeners.clear();
+        listeners.forEach(listener -> listener.accept(result));
     }
 
-    /** Takes an attempt. */
-    void offer(Sending attempt) {
+    /** Accepts an attempt. */
+    void offer(Http2Attempt attempt) {
         pool.offer(attempt, System.nanoTime());
-        arm();
+        scheduleTick();
     }
 
-    /** An attempt gives up waiting; it was never sent. */
-    void leave(Sending attempt, Outcome outcome) {
+    /** Ends an attempt that was waiting for a stream and was never sent. */
+    void abandonWaiting(Http2Attempt attempt, Outcome outcome) {
         pool.withdraw(attempt);
-        ended(attempt, outcome);
+        finishAttempt(attempt, outcome);
     }
 
-    /** Rings when the pool wants to look at the clock; one timer at a time, perhaps too early. */
-    private void arm() {
+    /** Schedules the pool's next tick. Only one timer is pending; it may fire earlier than needed. */
+    private void scheduleTick() {
         long due = pool.due();
-        if (due == Pool.NEVER || timer != null && timerAt - due <= 0) {
+        if (due == Pool.NEVER || timer != null && timerDueAt - due <= 0) {
             return;
         }
         if (timer != null) {
             timer.cancel(false);
         }
-        timerAt = due;
-        timer = all.loop()
+        timerDueAt = due;
+        timer = upstreams
+                .loop()
                 .schedule(
                         () -> {
                             timer = null;
                             pool.tick(System.nanoTime());
-                            arm();
+                            scheduleTick();
                         },
                         Math.max(0, due - System.nanoTime()),
                         TimeUnit.NANOSECONDS);
     }
 
-    /** Streams may have come free on a connection. */
-    void freed() {
+    /** Streams may have become available on a connection. */
+    void streamsFreed() {
         pool.freed(System.nanoTime());
     }
 
     @Override
     public void turn() {
-        all.loop().execute(() -> {
+        upstreams.loop().execute(() -> {
             pool.turn(System.nanoTime());
-            arm();
+            scheduleTick();
         });
     }
 
     @Override
-    public void place(Connection connection, Sending attempt) {
-        if (attempt.wanted()) {
+    public void place(Connection connection, Http2Attempt attempt) {
+        if (attempt.stillWanted()) {
             connection.write(attempt, System.nanoTime());
         } else {
-            ended(attempt, Outcome.NEVER_SENT);
+            finishAttempt(attempt, Outcome.NEVER_SENT);
         }
     }
 
     @Override
-    public void end(Sending attempt, Turned why) {
-        ended(
+    public void end(Http2Attempt attempt, Turned why) {
+        finishAttempt(
                 attempt,
                 switch (why) {
                     case SHUT, UNREACHABLE -> Outcome.CONNECT_FAILED;
@@ -159,91 +160,97 @@
 
     @Override
     public Connection dial() {
-        Connection made = all.connection(this);
-        all.dialler()
-                .dial(address, all.connectTimeoutMs(), new ChannelInitializer<>() {
+        Connection connection = upstreams.newConnection(this);
+        upstreams
+                .connector()
+                .dial(address, upstreams.connectTimeoutMs(), new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel socket) {
-                        made.made(socket);
-                        socket.pipeline().addLast(made.handler());
+                        connection.attach(socket);
+                        socket.pipeline().addLast(connection.handler());
                     }
                 })
-                .addListener(done -> {
-                    if (done.isSuccess()) {
-                        Future<?> unheard = all.loop()
+                .addListener(connectFuture -> {
+                    if (connectFuture.isSuccess()) {
+                        Future<?> settingsTimeout = upstreams
+                                .loop()
                                 .schedule(
                                         () -> {
-                                            // No SETTINGS came in time: HTTP/2 is not spoken there, or nobody is there.
-                                            if (!made.up()) {
-                                                made.close();
+                                            // No SETTINGS in time: the upstream does not speak HTTP/2 or does
+                                            // not respond.
+                                            if (!connection.settingsReceived()) {
+                                                connection.close();
                                             }
                                         },
-                                        options.settingsWait(),
+                                        options.settingsTimeoutNanos(),
                                         TimeUnit.NANOSECONDS);
-                        made.closed().addListener(closed -> unheard.cancel(false));
+                        connection.closeFuture().addListener(closed -> settingsTimeout.cancel(false));
                     } else {
-                        all.loop().execute(() -> lost(made));
+                        upstreams.loop().execute(() -> connectionLost(connection));
                     }
                 });
-        return made;
+        return connection;
     }
 
-    /** Its SETTINGS have come. */
-    void up(Connection made) {
-        pool.cameUp(made, System.nanoTime());
-        learned(Learned.HTTP2);
+    /** The connection has received its first SETTINGS. */
+    void settingsReceived(Connection connection) {
+        pool.cameUp(connection, System.nanoTime());
+        protocolDetected(Learned.HTTP2);
     }
 
-    /** It opens no more streams; if it never brought an answer, the next one has to wait a while. */
-    void leaving(Connection gone) {
-        pool.leaving(gone, gone.useful(), System.nanoTime());
+    /**
+     * The connection opens no more streams. If it never delivered a successful response, the next connection
+     * is delayed.
+     */
+    void goAwayReceived(Connection connection) {
+        pool.leaving(connection, connection.hasServed(), System.nanoTime());
     }
 
-    /** It is no more. */
-    void lost(Connection gone) {
-        boolean asked = !gone.up();
-        pool.lost(gone, gone.useful(), System.nanoTime());
-        if (asked && !pool.asked()) {
-            learned(gone.reached() ? Learned.OTHER : Learned.NOBODY);
+    /** The connection is closed or could not be established. */
+    void connectionLost(Connection connection) {
+        boolean beforeSettings = !connection.settingsReceived();
+        pool.lost(connection, connection.hasServed(), System.nanoTime());
+        if (beforeSettings && !pool.asked()) {
+            protocolDetected(connection.connected() ? Learned.OTHER : Learned.NOBODY);
         }
-        arm();
+        scheduleTick();
     }
 
-    /** The upstream has broken the protocol on a connection, or on this side something failed. */
-    void broken(Connection gone, Throwable cause) {
-        if (gone.up()) {
-            System.err.println("http2 " + address + ": " + cause);
+    /** The upstream has violated the protocol on a connection, or an error occurred on this side. */
+    void connectionFailed(Connection connection, Throwable cause) {
+        if (connection.settingsReceived()) {
+            System.err.println("HTTP/2 connection to " + address + " failed: " + cause);
         }
     }
 
-    /** The upstream wants HTTP/1.1 for something. */
-    void wantsHttp1() {
-        all.wantsHttp1(this);
+    /** The upstream requires HTTP/1.1 for some request. */
+    void http1Required() {
+        upstreams.http1Required(this);
     }
 
-    Wording wording() {
-        return all.wording();
+    Wording codec() {
+        return upstreams.codec();
     }
 
-    boolean hold(int bytes) {
-        return all.hold(bytes);
+    boolean reserveResponseBytes(int bytes) {
+        return upstreams.reserveResponseBytes(bytes);
     }
 
-    /** An attempt has ended. */
-    void ended(Sending attempt, Outcome outcome) {
-        if (!attempt.over()) {
-            all.release(attempt.bodyBytes());
-            attempt.end(outcome, all.reports(), all.wording());
+    /** Ends an attempt with an outcome, unless it has already ended. */
+    void finishAttempt(Http2Attempt attempt, Outcome outcome) {
+        if (!attempt.ended()) {
+            upstreams.releaseResponseBytes(attempt.responseBytes());
+            attempt.end(outcome, upstreams.reports(), upstreams.codec());
         }
     }
 
-    /** Regular work. */
-    void look(long now, long keepIdle) {
-        for (Connection each : pool.members()) {
-            if (each.up()) {
-                each.look(now);
+    /** Periodic maintenance. */
+    void maintain(long now, long idleTimeoutNanos) {
+        for (Connection connection : pool.members()) {
+            if (connection.settingsReceived()) {
+                connection.maintain(now);
             }
         }
-        pool.closeIdle(keepIdle, now);
+        pool.closeIdle(idleTimeoutNanos, now);
     }
 }
--- a/src/main/java/pondridge/http2/StreamTable.java
+++ b/src/main/java/pondridge/http2/StreamTable.java
@@ -8,37 +8,40 @@
 import pondridge.core.Evidence;
 
 /**
- * The streams of one connection to an upstream: whether one more may be opened, and what each end proves. It
- * has no socket, clock or thread; the connection tells it what it has written and read, in order, and passes
- * on the {@link End}s that come of it. Each stream's end is told once; a stream that was given up stays in
- * the table without an attempt until it is reset, since the upstream counts it.
+ * The streams of one connection to an upstream. Decides whether another stream may be opened and which
+ * outcome the end of a stream proves. It uses no socket, clock or thread: the connection reports what it has
+ * written and read, in order, and acts on the {@link AttemptEnd}s that are returned. The end of each attempt
+ * is returned once. A stream whose attempt has ended early stays in the table, without an attempt, until it
+ * is reset, because the upstream still counts it against its limit.
  *
- * @param <T> what the caller knows an attempt by
+ * @param <T> identifies an attempt to the caller
  */
 final class StreamTable<T> {
-    /** Error codes of RFC 9113, section 7, that are looked at. */
+    /** Error codes of RFC 9113, section 7, that are handled specially. */
     static final long REFUSED_STREAM = 0x7;
 
     static final long HTTP_1_1_REQUIRED = 0xd;
-    /** Some answers come behind interim ones; more than a few are no way to an answer. */
-    static final int MOST_INTERIM = 16;
+    /** A few interim responses may precede the final one; a server that sends more is treated as faulty. */
+    static final int MAX_INTERIM_RESPONSES = 16;
 
-    private static final int LAST_ID = Integer.MAX_VALUE;
+    private static final int MAX_STREAM_ID = Integer.MAX_VALUE;
 
     /**
-     * An attempt's end.
+     * The end of an attempt.
      *
-     * @param open the upstream still has the stream open: it is to be reset, as often as that may be done
-     * @param unsent the request has not wholly left; what is proven holds only if the stream is reset now
+     * @param streamOpen the upstream still has the stream open; it is to be reset as soon as the reset budget
+     *     allows
+     * @param requestIncomplete the request was not fully sent; the outcome holds only if the stream is reset
+     *     immediately
      */
-    record End<T>(T attempt, int stream, Outcome outcome, boolean open, boolean unsent) {}
+    record AttemptEnd<T>(T attempt, int streamId, Outcome outcome, boolean streamOpen, boolean requestIncomplete) {}
 
-    /** One stream; {@code attempt} is null once it has ended. */
+    /** One stream; {@code attempt} is null once the attempt has ended. */
     private static final class Stream<T> {
         private final int id;
         private T attempt;
-        private boolean handed;
-        private int interim;
+        private boolean endStreamWritten;
+        private int interimResponses;
         private int status;
         private boolean declined;
 
@@ -47,65 +50,73 @@
             this.attempt = attempt;
         }
 
-        boolean answering() {
-            return interim > 0 || status > 0;
+        boolean responseStarted() {
+            return interimResponses > 0 || status > 0;
         }
     }
 
-    private final Proof proof;
+    private final Proof outcomeRules;
     private final TreeMap<Integer, Stream<T>> streams = new TreeMap<>();
     private long nextId;
-    private long limit = -1;
-    private int lastStream = LAST_ID;
-    private boolean leaving;
+    private long maxConcurrentStreams = -1;
+    private int lastStreamId = MAX_STREAM_ID;
+    private boolean closing;
 
-    /** A table whose first stream is {@code firstId}, an odd number: 1 but in tests. */
-    StreamTable(Proof proof, int firstId) {
-        this.proof = proof;
+    /**
+     * Creates a table whose first stream id is {@code firstId}, an odd number; only tests pass anything but
+     * 1.
+     */
+    StreamTable(Proof outcomeRules, int firstId) {
+        this.outcomeRules = outcomeRules;
         this.nextId = firstId;
     }
 
     /**
-     * The upstream's SETTINGS have come, its first or later ones.
+     * The upstream's SETTINGS have been received, the first or later ones.
      *
-     * @param most SETTINGS_MAX_CONCURRENT_STREAMS, an unsigned 32-bit number, or null where they name none
+     * @param maxConcurrent SETTINGS_MAX_CONCURRENT_STREAMS, an unsigned 32-bit number, or null if absent
      */
-    void settings(Long most) {
-        if (most != null) {
-            limit = most;
-        } else if (limit < 0) {
-            limit = Long.MAX_VALUE;
+    void onSettings(Long maxConcurrent) {
+        if (maxConcurrent != null) {
+            maxConcurrentStreams = maxConcurrent;
+        } else if (maxConcurrentStreams < 0) {
+            maxConcurrentStreams = Long.MAX_VALUE;
         }
     }
 
-    /** Whether the first SETTINGS have come: until then nothing shows that HTTP/2 is spoken there. */
-    boolean up() {
-        return limit >= 0;
+    /**
+     * Whether the first SETTINGS have been received. Until then nothing shows that the upstream speaks
+     * HTTP/2.
+     */
+    boolean settingsReceived() {
+        return maxConcurrentStreams >= 0;
     }
 
-    /** Whether one more stream may be opened now. */
-    boolean mayOpen() {
-        return credit() > 0;
+    /** Whether another stream may be opened now. */
+    boolean canOpen() {
+        return availableStreams() > 0;
     }
 
     /** How many more streams may be opened now. */
-    int credit() {
-        if (!up() || !usable()) {
+    int availableStreams() {
+        if (!settingsReceived() || !usable()) {
             return 0;
         }
-        long ids = (LAST_ID - nextId) / 2 + 1;
-        return (int) Math.max(0, Math.min(ids, limit - streams.size()));
+        long remainingIds = (MAX_STREAM_ID - nextId) / 2 + 1;
+        return (int) Math.max(0, Math.min(remainingIds, maxConcurrentStreams - streams.size()));
     }
 
-    /** Whether streams may ever again be opened: false after a GOAWAY, a drain or the last stream id. */
+    /**
+     * Whether streams may still be opened at some time: false after a GOAWAY, a drain or the last stream id.
+     */
     boolean usable() {
-        return !leaving && nextId <= LAST_ID;
+        return !closing && nextId <= MAX_STREAM_ID;
     }
 
     /** Opens a stream for an attempt and returns its id. */
     int open(T attempt) {
-        if (!mayOpen()) {
-            throw new IllegalStateException("no stream may be opened");
+        if (!canOpen()) {
+            throw new IllegalStateException("no stream available: connection closing or stream limit reached");
         }
         int id = (int) nextId;
         nextId += 2;
@@ -113,191 +124,214 @@
         return id;
     }
 
-    /** The attempt on a stream; null where there is none, or none any more. */
+    /** Returns the attempt on a stream, or null if there is none or it has ended. */
     T attempt(int id) {
         Stream<T> stream = streams.get(id);
         return stream == null ? null : stream.attempt;
     }
 
-    /** The frame with END_STREAM is given to the socket: from now on the request may run. */
-    void handed(int id) {
+    /**
+     * The frame with END_STREAM was passed to the socket: from now on the upstream may execute the request.
+     */
+    void endStreamWritten(int id) {
         Stream<T> stream = streams.get(id);
         if (stream != null) {
-            stream.handed = true;
+            stream.endStreamWritten = true;
         }
     }
 
-    /** That frame was not wholly written and never will be. */
-    void unhanded(int id) {
+    /** The frame with END_STREAM was not fully written and never will be. */
+    void endStreamWriteFailed(int id) {
         Stream<T> stream = streams.get(id);
         if (stream != null) {
-            stream.handed = false;
+            stream.endStreamWritten = false;
         }
     }
 
-    /** The request could not be written at all, through no fault of the upstream's. */
-    End<T> unsendable(int id) {
+    /** The request could not be written at all, for a reason that lies on this side. */
+    AttemptEnd<T> requestWriteFailed(int id) {
         Stream<T> stream = streams.remove(id);
         return stream == null ? null : end(stream, Outcome.NEVER_SENT, false);
     }
 
     /**
-     * The answer's head has come, an interim one, or its trailers.
+     * Response headers have been received: those of an interim response, of the final response, or trailers.
      *
-     * @param status the status; 0 where none can be read
-     * @param declined it says that the request was turned away unseen
-     * @param end with it the answer is whole
-     * @return the attempt's end, or null while it goes on
+     * @param status the status code, or 0 if there is no valid one
+     * @param declined the response states that the request was declined without being processed
+     * @param end the frame carries END_STREAM
+     * @return the attempt's end, or null if it continues
      */
-    End<T> head(int id, int status, boolean declined, boolean end) {
+    AttemptEnd<T> onHeaders(int id, int status, boolean declined, boolean end) {
         Stream<T> stream = streams.get(id);
         if (stream == null) {
             return null;
         }
         if (stream.status > 0) {
-            // Trailers: nothing in them is for the application, but they are the answer's end.
-            return end ? whole(stream) : spoilt(id);
+            // Trailers: their content does not matter here, but they complete the response.
+            return end ? completeResponse(stream) : invalidResponse(id);
         }
         if (status / 100 == 1) {
             // 101 does not exist in HTTP/2 (section 8.6).
-            boolean bad = status == 101 || end || ++stream.interim > MOST_INTERIM;
-            return bad ? spoilt(id) : null;
+            boolean invalid = status == 101 || end || ++stream.interimResponses > MAX_INTERIM_RESPONSES;
+            return invalid ? invalidResponse(id) : null;
         }
         if (status < 200 || status > 599) {
-            return spoilt(id);
+            return invalidResponse(id);
         }
         stream.status = status;
         stream.declined = declined;
-        return end ? whole(stream) : null;
+        return end ? completeResponse(stream) : null;
     }
 
-    /** A part of the answer's body has come; null while the attempt goes on. */
-    End<T> data(int id, boolean end) {
+    /**
+     * Part of the response body has been received.
+     *
+     * @return the attempt's end, or null if it continues
+     */
+    AttemptEnd<T> onData(int id, boolean end) {
         Stream<T> stream = streams.get(id);
         if (stream == null) {
             return null;
         }
-        return stream.status == 0 ? spoilt(id) : end ? whole(stream) : null;
+        return stream.status == 0 ? invalidResponse(id) : end ? completeResponse(stream) : null;
     }
 
-    /** What has come can't be an answer, or is too large for one: the attempt has failed. */
-    End<T> spoilt(int id) {
+    /** The response is malformed or too large: the attempt has failed. */
+    AttemptEnd<T> invalidResponse(int id) {
         Stream<T> stream = streams.get(id);
         return stream == null ? null : end(stream, Outcome.ERROR, true);
     }
 
-    private End<T> whole(Stream<T> stream) {
-        // A 200 for what has not wholly left can't be an answer to it.
-        Outcome outcome = stream.status == 200 && !stream.handed
+    private AttemptEnd<T> completeResponse(Stream<T> stream) {
+        // A 200 cannot be the response to a request that was not fully sent.
+        Outcome outcome = stream.status == 200 && !stream.endStreamWritten
                 ? Outcome.ERROR
                 : Evidence.ofAnswer(stream.status, stream.declined);
-        if (stream.handed) {
+        if (stream.endStreamWritten) {
             streams.remove(stream.id);
         }
-        return end(stream, outcome, !stream.handed);
+        return end(stream, outcome, !stream.endStreamWritten);
     }
 
-    /** The upstream has reset the stream (section 6.4); after a whole answer it is no more in the table. */
-    End<T> reset(int id, long code) {
+    /**
+     * The upstream has reset the stream (section 6.4). After a complete response the stream is no longer in
+     * the table.
+     */
+    AttemptEnd<T> onReset(int id, long code) {
         Stream<T> stream = streams.remove(id);
-        return stream == null ? null : end(stream, proof.reset(stream.handed, stream.answering(), code), false);
+        return stream == null
+                ? null
+                : end(stream, outcomeRules.afterReset(stream.endStreamWritten, stream.responseStarted(), code), false);
     }
 
     /**
-     * A GOAWAY has come (section 6.8): nothing new may be opened, and what is above its last stream was not
-     * and will not be acted upon. One that names no lower stream than one before ends nothing.
+     * A GOAWAY has been received (section 6.8): no new stream may be opened, and streams above its last
+     * stream id were not and will not be processed. A GOAWAY that does not lower the last stream id ends no
+     * attempt.
      */
-    List<End<T>> goAway(int last) {
-        leaving = true;
-        lastStream = Math.min(lastStream, last);
-        List<End<T>> ends = new ArrayList<>();
+    List<AttemptEnd<T>> onGoAway(int lastStream) {
+        closing = true;
+        lastStreamId = Math.min(lastStreamId, lastStream);
+        List<AttemptEnd<T>> ends = new ArrayList<>();
         Collection<Stream<T>> above =
-                List.copyOf(streams.tailMap(lastStream, false).values());
+                List.copyOf(streams.tailMap(lastStreamId, false).values());
         for (Stream<T> stream : above) {
             streams.remove(stream.id);
-            add(ends, end(stream, proof.aboveLastStream(stream.answering()), false));
+            addIfPresent(ends, end(stream, outcomeRules.aboveLastStream(stream.responseStarted()), false));
         }
         return ends;
     }
 
-    /** Opens no more streams; what is open ends by itself. */
-    void retire() {
-        leaving = true;
+    /** Opens no more streams; open streams run to their end. */
+    void stopOpening() {
+        closing = true;
     }
 
     /**
-     * The upstream drains or is gone: opens no more streams, and ends the attempts that have not wholly left.
+     * The upstream is draining or has been removed: opens no more streams, and ends the attempts whose
+     * requests were not fully sent.
      */
-    List<End<T>> drain() {
-        retire();
-        List<End<T>> ends = new ArrayList<>();
+    List<AttemptEnd<T>> drain() {
+        stopOpening();
+        List<AttemptEnd<T>> ends = new ArrayList<>();
         for (Stream<T> stream : streams.values()) {
-            if (proof.unsent(stream.handed, stream.answering())) {
-                add(ends, end(stream, Outcome.CONNECT_FAILED, true));
+            if (outcomeRules.provesUnsent(stream.endStreamWritten, stream.responseStarted())) {
+                addIfPresent(ends, end(stream, Outcome.CONNECT_FAILED, true));
             }
         }
         return ends;
     }
 
-    /** The connection has ended, in whatever way: every attempt on it has. */
-    List<End<T>> lost() {
-        leaving = true;
-        List<End<T>> ends = new ArrayList<>();
+    /** The connection has ended, for whatever reason, and with it every attempt on it. */
+    List<AttemptEnd<T>> connectionLost() {
+        closing = true;
+        List<AttemptEnd<T>> ends = new ArrayList<>();
         for (Stream<T> stream : streams.values()) {
-            add(ends, end(stream, proof.lost(stream.handed, stream.answering()), false));
+            addIfPresent(
+                    ends,
+                    end(
+                            stream,
+                            outcomeRules.afterConnectionLoss(stream.endStreamWritten, stream.responseStarted()),
+                            false));
         }
         streams.clear();
         return ends;
     }
 
-    /** The attempt's time is up. */
-    End<T> late(int id) {
+    /** The attempt's deadline has passed. */
+    AttemptEnd<T> timeOut(int id) {
         Stream<T> stream = streams.get(id);
-        return stream == null ? null : end(stream, proof.late(stream.handed, stream.answering()), true);
+        return stream == null
+                ? null
+                : end(stream, outcomeRules.afterTimeout(stream.endStreamWritten, stream.responseStarted()), true);
     }
 
-    /** The attempt is withdrawn. */
-    End<T> cancelled(int id) {
+    /** The attempt is cancelled. */
+    AttemptEnd<T> cancel(int id) {
         Stream<T> stream = streams.get(id);
         return stream == null ? null : end(stream, Outcome.CANCELLED, true);
     }
 
-    /** The attempt's request has ended: one that has not wholly left ends now, null where it goes on. */
-    End<T> withdrawn(int id) {
+    /**
+     * The request that the attempt belongs to has ended. An attempt that was not fully sent ends now; null if
+     * it continues.
+     */
+    AttemptEnd<T> withdraw(int id) {
         Stream<T> stream = streams.get(id);
-        return stream == null || !proof.unsent(stream.handed, stream.answering())
+        return stream == null || !outcomeRules.provesUnsent(stream.endStreamWritten, stream.responseStarted())
                 ? null
                 : end(stream, Outcome.NEVER_SENT, true);
     }
 
-    /** A stream that had been given up is reset now, and no more counted. */
-    void closed(int id) {
+    /** A stream whose attempt had ended has been reset and no longer counts. */
+    void removeStream(int id) {
         streams.remove(id);
     }
 
-    /** Streams whose attempts have ended while the upstream still has them open, the oldest first. */
-    List<Integer> givenUp() {
+    /** Returns the streams whose attempts have ended while the upstream still has them open, oldest first. */
+    List<Integer> abandonedStreams() {
         return streams.values().stream()
                 .filter(stream -> stream.attempt == null)
                 .map(stream -> stream.id)
                 .toList();
     }
 
-    /** How many streams the upstream has open, as far as is known here. */
-    int open() {
+    /** Returns the number of streams that the upstream has open, as far as this side knows. */
+    int openStreams() {
         return streams.size();
     }
 
-    private End<T> end(Stream<T> stream, Outcome outcome, boolean open) {
+    private AttemptEnd<T> end(Stream<T> stream, Outcome outcome, boolean open) {
         if (stream.attempt == null) {
             return null;
         }
         T attempt = stream.attempt;
         stream.attempt = null;
-        return new End<>(attempt, stream.id, outcome, open, open && !stream.handed);
+        return new AttemptEnd<>(attempt, stream.id, outcome, open, open && !stream.endStreamWritten);
     }
 
-    private static <T> void add(List<End<T>> ends, End<T> end) {
+    private static <T> void addIfPresent(List<AttemptEnd<T>> ends, AttemptEnd<T> end) {
         if (end != null) {
             ends.add(end);
         }
--- a/src/main/java/pondridge/http2/Wording.java
+++ b/src/main/java/pondridge/http2/Wording.java
@@ -7,18 +7,19 @@
 import pondridge.core.Job;
 
 /**
- * What requests and answers look like on HTTP/2's streams: HTTP's own form, or that of a protocol which is
- * carried by it. Has no part in the proof of what never ran: that is the streams'. On the event loop only.
+ * Encodes requests as, and decodes responses from, the headers and body of an HTTP/2 stream: for plain HTTP or for
+ * a protocol carried over HTTP/2. It does not decide whether a request was executed; {@link Proof} does. Used on
+ * the event loop only.
  */
 public interface Wording {
-    /** What a whole answer is; the answer is there for {@link Outcome#OK} alone. */
+    /** A decoded response; {@code answer} is present only for {@link Outcome#OK}. */
     record Ended(Outcome outcome, Answer answer) {}
 
-    /** HTTP's own. */
+    /** The codec of plain HTTP. */
     Wording HTTP = new Wording() {
         @Override
-        public Http2Headers head(Job job, long left) {
-            return Messages.request(job, left);
+        public Http2Headers head(Job job, long remainingNanos) {
+            return HeaderMapper.requestHeaders(job, remainingNanos);
         }
 
         @Override
@@ -27,27 +28,29 @@
         }
 
         @Override
-        public Ended answer(Job job, Http2Headers head, HttpHeaders through, byte[] body, Http2Headers trailers) {
-            return new Ended(Outcome.OK, new Answer(through, body));
+        public Ended answer(
+                Job job, Http2Headers headers, HttpHeaders forwardedHeaders, byte[] body, Http2Headers trailers) {
+            return new Ended(Outcome.OK, new Answer(forwardedHeaders, body));
         }
     };
 
-    /** A request's headers; {@code left} in nanoseconds is what the upstream is told of the time there is. */
-    Http2Headers head(Job job, long left);
+    /** Returns the headers of a request; {@code remainingNanos} is sent to the upstream as the time left. */
+    Http2Headers head(Job job, long remainingNanos);
 
-    /** Whether a request can be put into this form; one that can't is never sent. */
+    /** Whether a request can be encoded; one that cannot is never sent. */
     default boolean fits(Job job) {
         return true;
     }
 
-    /** A request's body. */
+    /** Returns the body of a request. */
     byte[] body(Job job);
 
     /**
-     * What a whole answer with status 200 is.
+     * Decodes a complete response with status 200.
      *
-     * @param through of its headers, those that go on to the client
-     * @param trailers null where none came
+     * @param headers all headers of the response
+     * @param forwardedHeaders those of its headers that are forwarded to the client
+     * @param trailers the trailers, or null if there were none
      */
-    Ended answer(Job job, Http2Headers head, HttpHeaders through, byte[] body, Http2Headers trailers);
+    Ended answer(Job job, Http2Headers headers, HttpHeaders forwardedHeaders, byte[] body, Http2Headers trailers);
 }
--- a/src/test/java/pondridge/http2/Direct.java
+++ b/src/test/java/pondridge/http2/Direct.java
@@ -25,26 +25,29 @@
 import pondridge.standin.OrderClass;
 import pondridge.standin.StandinServer;
 
-/** The transport by itself, with servers and without an engine: each attempt's outcome comes to a queue. */
+/**
+ * Runs the transport against stand-in servers without an engine; the result of each attempt is added to a
+ * queue.
+ */
 public final class Direct implements AutoCloseable {
-    static final long LONG = 60_000_000_000L;
+    static final long LONG_TIMEOUT_NANOS = 60_000_000_000L;
 
-    /** How an attempt ended, and after how long. */
-    record Ended(String id, Outcome outcome, Answer answer, long took) {}
+    /** The result of an attempt and the time it took. */
+    record Result(String id, Outcome outcome, Answer response, long durationNanos) {}
 
-    final BlockingQueue<Ended> ended = new LinkedBlockingQueue<>();
+    final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
     final EffectLedger ledger = new EffectLedger(0, 0);
     final EventLoop loop;
     Http2Upstreams transport;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final EventLoop servers;
+    private final EventLoop serverLoop;
 
-    Direct(String options, int firstStream) throws Exception {
+    Direct(String options, int firstStreamId) throws Exception {
         loop = group.next();
-        servers = group.next();
+        serverLoop = group.next();
         Options settings = new Options("caps.connectTimeout=5000000000\ncaps.connIdle=60000000000");
-        transport = loop.submit(
-                        () -> new Http2Upstreams(loop, settings, SoakTest.options(options), Proof.RFC9113, firstStream))
+        transport = loop.submit(() ->
+                        new Http2Upstreams(loop, settings, SoakTest.options(options), Proof.RFC9113, firstStreamId))
                 .get();
     }
 
@@ -52,10 +55,10 @@
         this(options, 1);
     }
 
-    /** A server that becomes the upstream of that number. */
+    /** Starts a server and lists it as the upstream with this number. */
     public StandinServer server(long upstream, long streams, int window, FaultScript script) throws Exception {
-        StandinServer made = new StandinServer(
-                servers,
+        StandinServer server = new StandinServer(
+                serverLoop,
                 local(0),
                 new StandinServer.Setup(
                         "s" + upstream,
@@ -66,15 +69,18 @@
                         script,
                         ledger,
                         new KeyMemory()));
-        listed(upstream, made.address(), true);
-        return made;
+        listed(upstream, server.address(), true);
+        return server;
     }
 
-    /** A good link in front of a server, which becomes the way to the upstream of that number. */
+    /**
+     * Starts a fault-free link to a server and lists the link as the address of the upstream with this
+     * number.
+     */
     FaultyLink link(StandinServer server, long upstream) throws Exception {
-        FaultyLink made = new FaultyLink(servers, local(0), server.address(), 1);
-        listed(upstream, made.address(), true);
-        return made;
+        FaultyLink link = new FaultyLink(serverLoop, local(0), server.address(), 1);
+        listed(upstream, link.address(), true);
+        return link;
     }
 
     static InetSocketAddress local(int port) {
@@ -85,50 +91,54 @@
         loop.submit(() -> transport.listed(upstream, address, 0, ready)).get();
     }
 
-    /** Sends a booking with a body; returns the attempt. */
-    Transport.Attempt send(long upstream, String id, long wait) throws Exception {
-        return loop.submit(() -> start(upstream, id, wait)).get();
+    /** Sends a request of class {@code order-book} with a body. */
+    Transport.Attempt send(long upstream, String id, long timeoutNanos) throws Exception {
+        return loop.submit(() -> start(upstream, id, timeoutNanos)).get();
     }
 
-    /** Sends so many in one turn of the loop: none of them can know what comes of the others. */
-    void burst(long upstream, String id, int count) throws Exception {
+    /**
+     * Sends several requests in one event loop iteration, so that none of them is affected by the result of
+     * another.
+     */
+    void sendConcurrently(long upstream, String id, int count) throws Exception {
         loop.submit(() -> {
                     for (int i = 0; i < count; i++) {
-                        start(upstream, id + i, LONG);
+                        start(upstream, id + i, LONG_TIMEOUT_NANOS);
                     }
                 })
                 .get();
     }
 
-    private Transport.Attempt start(long upstream, String id, long wait) {
-        ledger.asked(id, OrderClass.named("order-book"), "", LONG);
+    private Transport.Attempt start(long upstream, String id, long timeoutNanos) {
+        ledger.asked(id, OrderClass.named("order-book"), "", LONG_TIMEOUT_NANOS);
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set("Host", "app.svc")
                 .set("Req-Id", id)
                 .set("Req-Kind", "order-book");
         Job job = new Job(0, 0, 0, 0, 0, false, HttpMethod.POST, "/api/" + id, headers, new byte[100]);
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         return transport.send(
                 upstream,
                 job,
-                wait,
-                (outcome, answer, load) -> ended.add(new Ended(id, outcome, answer, System.nanoTime() - began)));
+                timeoutNanos,
+                (outcome, response, loadReport) ->
+                        results.add(new Result(id, outcome, response, System.nanoTime() - startedAt)));
     }
 
     void cancel(Transport.Attempt attempt) throws Exception {
         loop.submit(attempt::cancel).get();
     }
 
-    Ended next() throws InterruptedException {
-        return Stub.next(ended);
+    Result nextResult() throws InterruptedException {
+        return Stub.next(results);
     }
 
-    /** Waits for something that is on its way to become so. */
-    public static void until(BooleanSupplier holds, String what) throws InterruptedException {
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() - limit > 0) {
-                throw new AssertionError("never came: " + what);
+    /** Waits until a condition holds. */
+    public static void until(BooleanSupplier condition, String description) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() - deadline > 0) {
+                throw new AssertionError("timed out waiting for: " + description);
             }
             Thread.sleep(2);
         }
--- a/src/test/java/pondridge/http2/TurnsTest.java
+++ b/src/test/java/pondridge/http2/EventOrderingTest.java
@@ -22,32 +22,32 @@
 import pondridge.core.Job;
 
 /**
- * The pool on its connections, with the loop's turns run by hand: what a connection reads, what is offered
- * and when the loop gets to its tasks come in every order. No sockets, no threads, no waiting.
+ * Tests a pool with its connections while the event loop is run by hand: frames received, requests offered
+ * and pending event loop tasks are applied in every order. Uses no sockets, threads or waiting.
  */
-class TurnsTest {
-    private static final int HEADERS = 1;
-    private static final int LIMIT = 2;
-    private static final int PREFACE = 24;
+class EventOrderingTest {
+    private static final int HEADERS_FRAME = 1;
+    private static final int STREAM_LIMIT = 2;
+    private static final int PREFACE_BYTES = 24;
 
-    /** The server's end of one connection: what it has been sent, and what it answers. */
+    /** The server side of one connection: parses the frames it receives and sends its own. */
     private static final class Peer {
         private final EmbeddedChannel channel;
         private final ByteBuf received = Unpooled.buffer();
-        private final TreeSet<Integer> open = new TreeSet<>();
-        private int parsed = PREFACE;
-        private int limit = -1;
+        private final TreeSet<Integer> openStreams = new TreeSet<>();
+        private int parsedBytes = PREFACE_BYTES;
+        private int streamLimit = -1;
         private int requests;
-        private boolean leaving;
-        private boolean answered;
-        /** It left before it had answered anything: the next one may not be dialled at once. */
-        private boolean useless;
+        private boolean goAwaySent;
+        private boolean hasResponded;
+        /** It sent a GOAWAY before any response, so the next connection is delayed. */
+        private boolean leftWithoutResponse;
 
         Peer(ChannelInitializer<Channel> initializer) {
             channel = new EmbeddedChannel(initializer);
         }
 
-        void read() {
+        void readFrames() {
             if (channel.isOpen()) {
                 channel.flushOutbound();
             }
@@ -55,14 +55,14 @@
                 received.writeBytes(sent);
                 sent.release();
             }
-            while (received.writerIndex() >= parsed + 9) {
-                int type = received.getByte(parsed + 3);
-                if (type == HEADERS) {
-                    open.add(received.getInt(parsed + 5));
+            while (received.writerIndex() >= parsedBytes + 9) {
+                int type = received.getByte(parsedBytes + 3);
+                if (type == HEADERS_FRAME) {
+                    openStreams.add(received.getInt(parsedBytes + 5));
                     requests++;
-                    assertTrue(open.size() <= limit || leaving, "above the limit");
+                    assertTrue(openStreams.size() <= streamLimit || goAwaySent, "stream limit exceeded");
                 }
-                parsed += 9 + received.getUnsignedMedium(parsed);
+                parsedBytes += 9 + received.getUnsignedMedium(parsedBytes);
             }
         }
 
@@ -72,45 +72,45 @@
             }
             byte[] frame = Http2UpstreamsTest.frame(type, flags, stream, payload);
             channel.writeInbound(Unpooled.wrappedBuffer(frame));
-            read();
+            readFrames();
         }
 
-        /** SETTINGS with this limit of streams. */
-        void settings(int most) {
-            read();
-            limit = most;
-            send(4, 0, 0, (byte) 0, (byte) 3, (byte) 0, (byte) 0, (byte) 0, (byte) most);
+        /** Sends SETTINGS with this limit on concurrent streams. */
+        void sendSettings(int maxConcurrentStreams) {
+            readFrames();
+            streamLimit = maxConcurrentStreams;
+            send(4, 0, 0, (byte) 0, (byte) 3, (byte) 0, (byte) 0, (byte) 0, (byte) maxConcurrentStreams);
         }
 
-        /** Answers the oldest request with 200 (RFC 7541, static table, 8). */
-        void answer() {
-            read();
-            if (!open.isEmpty()) {
-                answered = true;
-                send(HEADERS, 5, open.pollFirst(), (byte) 0x88);
+        /** Responds to the oldest request with status 200 (RFC 7541, static table, index 8). */
+        void respond() {
+            readFrames();
+            if (!openStreams.isEmpty()) {
+                hasResponded = true;
+                send(HEADERS_FRAME, 5, openStreams.pollFirst(), (byte) 0x88);
             }
         }
 
-        /** A graceful GOAWAY: nothing is denied. */
-        void goAway() {
-            if (limit >= 0 && !leaving) {
-                leaving = true;
-                useless = !answered;
+        /** Sends a graceful GOAWAY, which rejects no request. */
+        void sendGoAway() {
+            if (streamLimit >= 0 && !goAwaySent) {
+                goAwaySent = true;
+                leftWithoutResponse = !hasResponded;
                 send(7, 0, 0, (byte) 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0, (byte) 0, (byte) 0, (byte)
                         0);
             }
         }
     }
 
-    /** One playing of an order of events. */
-    private static final class Play {
+    /** One run with a given order of events. */
+    private static final class Scenario {
         private final EmbeddedChannel loop = new EmbeddedChannel();
         private final List<Peer> peers = new ArrayList<>();
         private final List<String> ended = new ArrayList<>();
         private final List<String> offered = new ArrayList<>();
         private final Http2Upstreams transport;
 
-        Play() {
+        Scenario() {
             transport = new Http2Upstreams(
                     loop.eventLoop(),
                     new Options("caps.connIdle=60000000000"),
@@ -123,15 +123,17 @@
         }
 
         private ChannelFuture dial(InetSocketAddress address, int timeoutMs, ChannelInitializer<Channel> initializer) {
-            peers.forEach(Peer::read);
-            int sent = peers.stream().mapToInt(each -> each.requests).sum();
-            int room = peers.stream()
-                    .filter(each -> !each.leaving && each.channel.isActive())
-                    .mapToInt(each -> Math.max(0, each.limit) - each.open.size())
+            peers.forEach(Peer::readFrames);
+            int requestsReceived =
+                    peers.stream().mapToInt(each -> each.requests).sum();
+            int availableStreams = peers.stream()
+                    .filter(each -> !each.goAwaySent && each.channel.isActive())
+                    .mapToInt(each -> Math.max(0, each.streamLimit) - each.openStreams.size())
                     .sum();
             assertTrue(
-                    offered.size() - sent > room,
-                    "a dial for " + (offered.size() - sent) + " that wait, and there is room for " + room);
+                    offered.size() - requestsReceived > availableStreams,
+                    "dialled for " + (offered.size() - requestsReceived) + " waiting requests with " + availableStreams
+                            + " available streams");
             peers.add(new Peer(initializer));
             return loop.newSucceededFuture();
         }
@@ -152,41 +154,46 @@
                             "/api/" + id,
                             new DefaultHttpHeaders().set("Host", "app.svc"),
                             new byte[0]),
-                    Direct.LONG,
-                    (outcome, answer, load) -> ended.add(outcome == Outcome.OK ? id : id + outcome));
+                    Direct.LONG_TIMEOUT_NANOS,
+                    (outcome, response, loadReport) -> ended.add(outcome == Outcome.OK ? id : id + outcome));
         }
 
-        void event(char what) {
+        void apply(char event) {
             Peer first = peers.get(0);
-            switch (what) {
-                case 'u' -> first.settings(LIMIT);
+            switch (event) {
+                case 'u' -> first.sendSettings(STREAM_LIMIT);
                 case 'o' -> offer();
                 case 't' -> loop.runPendingTasks();
-                case 'a' -> first.answer();
-                case 'r' -> first.settings(LIMIT + 2);
-                case 'g' -> first.goAway();
+                case 'a' -> first.respond();
+                case 'r' -> first.sendSettings(STREAM_LIMIT + 2);
+                case 'g' -> first.sendGoAway();
                 default -> throw new IllegalArgumentException();
             }
         }
 
-        /** Lets all that is on its way happen, and sees that nothing is left. */
+        /** Completes everything outstanding and checks that nothing remains. */
         void finish() {
             for (int i = 0; i < 2 * offered.size() && ended.size() < offered.size(); i++) {
                 loop.runPendingTasks();
                 for (Peer peer : List.copyOf(peers)) {
-                    if (peer.limit < 0) {
-                        peer.settings(LIMIT);
+                    if (peer.streamLimit < 0) {
+                        peer.sendSettings(STREAM_LIMIT);
                     }
                     loop.runPendingTasks();
-                    peer.answer();
+                    peer.respond();
                 }
             }
-            assertEquals(offered.size(), ended.size(), "each ends once");
+            assertEquals(offered.size(), ended.size(), "every attempt ends once");
             long served = ended.stream().filter(offered::contains).distinct().count();
-            assertEquals(served, peers.stream().mapToInt(each -> each.requests).sum(), "the rest never left");
-            assertTrue(served == offered.size() || peers.get(0).useless, "without need: " + ended);
+            assertEquals(
+                    served,
+                    peers.stream().mapToInt(each -> each.requests).sum(),
+                    "attempts that were not served were never sent");
+            assertTrue(
+                    served == offered.size() || peers.get(0).leftWithoutResponse,
+                    "an attempt failed without cause: " + ended);
             if (peers.size() == 1 && served == offered.size()) {
-                assertEquals(offered, ended, "the first first");
+                assertEquals(offered, ended, "served in order");
             }
             transport.close();
             peers.forEach(each -> each.channel.finishAndReleaseAll());
@@ -199,10 +206,10 @@
             each.run();
             return;
         }
-        StringBuilder tried = new StringBuilder();
+        StringBuilder used = new StringBuilder();
         for (int i = from; i < events.length; i++) {
-            if (tried.indexOf(String.valueOf(events[i])) < 0) {
-                tried.append(events[i]);
+            if (used.indexOf(String.valueOf(events[i])) < 0) {
+                used.append(events[i]);
                 swap(events, from, i);
                 permute(events, from + 1, each);
                 swap(events, from, i);
@@ -211,41 +218,44 @@
     }
 
     private static void swap(char[] events, int one, int other) {
-        char kept = events[one];
+        char first = events[one];
         events[one] = events[other];
-        events[other] = kept;
+        events[other] = first;
     }
 
-    private static int playAll(String events, IntConsumer connections) {
-        int[] played = new int[1];
+    private static int runAllOrders(String events, IntConsumer connections) {
+        int[] scenarios = new int[1];
         char[] order = events.toCharArray();
         permute(order, 0, () -> {
             try {
-                Play play = new Play();
+                Scenario scenario = new Scenario();
                 for (char event : order) {
-                    play.event(event);
+                    scenario.apply(event);
                 }
-                play.finish();
-                connections.accept(play.peers.size());
+                scenario.finish();
+                connections.accept(scenario.peers.size());
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError(new String(order) + ": " + e.getMessage(), e);
             }
-            played[0]++;
+            scenarios[0]++;
         });
-        return played[0];
+        return scenarios[0];
     }
 
-    /** Two streams' room and two requests: one connection, whatever comes first. */
+    /** Two available streams and two requests need one connection, in every order of events. */
     @Test
-    void oneConnectionDoesForWhatItHasRoomFor() {
-        assertEquals(180, playAll("uottaa", connections -> assertEquals(1, connections)));
+    void oneConnectionIsUsedWhenItHasEnoughStreams() {
+        assertEquals(180, runAllOrders("uottaa", connections -> assertEquals(1, connections)));
     }
 
-    /** More than there is room for, a raised limit, a GOAWAY: served or never sent, no dial without need. */
+    /**
+     * More requests than available streams, a raised limit and a GOAWAY: every request is served or was never
+     * sent, and no connection is opened without need.
+     */
     @Test
-    void everyOrderOfEventsServesAll() {
+    void everyOrderOfEventsServesAllRequests() {
         assertEquals(
                 30_240,
-                playAll("uooottagr", connections -> assertTrue(connections <= 4, "connections: " + connections)));
+                runAllOrders("uooottagr", connections -> assertTrue(connections <= 4, "connections: " + connections)));
     }
 }
--- a/src/test/java/pondridge/http2/Http2UpstreamsTest.java
+++ b/src/test/java/pondridge/http2/Http2UpstreamsTest.java
@@ -26,7 +26,7 @@
 import pondridge.standin.FaultyLink;
 import pondridge.standin.StandinServer;
 
-/** Attempts over HTTP/2 on real connections, and what they end as. */
+/** Tests attempts over HTTP/2 on real connections and their outcomes. */
 class Http2UpstreamsTest {
     private static final long MS = 1_000_000;
     private static final int WINDOW = 65_535;
@@ -35,9 +35,9 @@
         return new FaultScript(1, Map.of(fault, 1.0), work, work);
     }
 
-    /** Each fault, and what it proves; nothing that ran is ever said to have never run. */
+    /** Checks the outcome of each fault; no request that was executed may have an outcome that denies it. */
     @Test
-    void everyFaultHasItsOutcome() throws Exception {
+    void everyFaultHasTheExpectedOutcome() throws Exception {
         Map<Fault, Outcome> expected = Map.ofEntries(
                 Map.entry(Fault.NONE, Outcome.OK),
                 Map.entry(Fault.SLOW, Outcome.OK),
@@ -56,248 +56,261 @@
                 Map.entry(Fault.CLOSE, Outcome.RESET),
                 Map.entry(Fault.GOAWAY_LOWERED, Outcome.RESET),
                 Map.entry(Fault.SILENT, Outcome.RESET),
-                // Of gRPC alone.
+                // Faults that only affect gRPC.
                 Map.entry(Fault.NO_STATUS, Outcome.OK),
                 Map.entry(Fault.CUT_MESSAGE, Outcome.OK),
                 Map.entry(Fault.TWO_MESSAGES, Outcome.OK),
                 Map.entry(Fault.WRONG_TYPE, Outcome.OK),
-                // Servers that lie: a client can only believe them.
+                // Servers that make false claims, which a client cannot detect.
                 Map.entry(Fault.LIE, Outcome.REJECTED),
                 Map.entry(Fault.GOAWAY_LIE, Outcome.REJECTED));
         assertEquals(Fault.values().length, expected.size());
         for (Map.Entry<Fault, Outcome> each : expected.entrySet()) {
             try (Direct direct = new Direct("quiet = \"20ms\"\nping_wait = \"20ms\"");
                     StandinServer server = direct.server(1, 100, WINDOW, always(each.getKey(), MS))) {
-                boolean late = each.getValue() == Outcome.TIMEOUT;
-                direct.send(1, "x", late ? 300 * MS : Direct.LONG);
-                Direct.Ended ended = direct.next();
-                assertEquals(each.getValue(), ended.outcome(), each.getKey().toString());
-                assertEquals(ended.outcome() == Outcome.OK, ended.answer() != null);
-                boolean lies = each.getKey() == Fault.LIE || each.getKey() == Fault.GOAWAY_LIE;
-                assertTrue(lies || !ended.outcome().provesNeverRan() || server.runs() == 0);
+                boolean timesOut = each.getValue() == Outcome.TIMEOUT;
+                direct.send(1, "x", timesOut ? 300 * MS : Direct.LONG_TIMEOUT_NANOS);
+                Direct.Result result = direct.nextResult();
+                assertEquals(each.getValue(), result.outcome(), each.getKey().toString());
+                assertEquals(result.outcome() == Outcome.OK, result.response() != null);
+                boolean falseClaim = each.getKey() == Fault.LIE || each.getKey() == Fault.GOAWAY_LIE;
+                assertTrue(falseClaim || !result.outcome().provesNeverRan() || server.runs() == 0);
             }
         }
     }
 
-    /** Above the limit attempts wait or are turned away unsent; none is lost, none late. */
+    /** Attempts above the stream limit wait or are rejected unsent; none is lost or times out. */
     @Test
-    void limitLoweredUnderLoadLosesNothing() throws Exception {
+    void loweringTheStreamLimitUnderLoadLosesNoAttempt() throws Exception {
         try (Direct direct = new Direct("connections_per_server = 1\nstream_wait = \"400ms\"");
                 StandinServer server = direct.server(1, 100, WINDOW, FaultScript.none(100 * MS))) {
             for (int i = 0; i < 300; i++) {
-                direct.send(1, "a" + i, Direct.LONG);
+                direct.send(1, "a" + i, Direct.LONG_TIMEOUT_NANOS);
             }
-            Direct.until(() -> server.runs() >= 100, "the first hundred");
+            Direct.until(() -> server.runs() >= 100, "the first 100 requests");
             server.streams(1);
             List<Outcome> outcomes = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                outcomes.add(direct.next().outcome());
+                outcomes.add(direct.nextResult().outcome());
             }
             server.streams(0);
             for (int i = 100; i < 300; i++) {
-                outcomes.add(direct.next().outcome());
+                outcomes.add(direct.nextResult().outcome());
             }
             long served = outcomes.stream().filter(Outcome.OK::equals).count();
             assertEquals(
                     300 - served,
                     outcomes.stream().filter(Outcome.REJECTED::equals).count());
-            assertEquals(served, server.runs(), "what was turned away never ran");
-            assertTrue(served >= 100 && served < 300, "some above the limit went away: " + served);
-            direct.send(1, "none", Direct.LONG);
-            assertEquals(Outcome.REJECTED, direct.next().outcome(), "no stream at all");
+            assertEquals(served, server.runs(), "rejected attempts were not executed");
+            assertTrue(served >= 100 && served < 300, "some attempts above the limit were rejected: " + served);
+            direct.send(1, "none", Direct.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.REJECTED, direct.nextResult().outcome(), "no streams allowed");
             server.streams(100);
             Direct.until(
                     () -> {
                         try {
-                            direct.send(1, "again" + System.nanoTime(), Direct.LONG);
-                            return direct.next().outcome() == Outcome.OK;
+                            direct.send(1, "again" + System.nanoTime(), Direct.LONG_TIMEOUT_NANOS);
+                            return direct.nextResult().outcome() == Outcome.OK;
                         } catch (Exception e) {
                             throw new AssertionError(e);
                         }
                     },
-                    "the raised limit");
+                    "a request to succeed after the limit was raised");
             assertEquals(1, server.mostConnections());
             assertEquals(0, direct.ledger.verdict().doubled());
         }
     }
 
-    /** A hundred are open on one connection when it closes, and a hundred more are on their way there. */
+    /** A connection ends with 100 requests open on it and 100 more being sent. */
     @Test
-    void closesWithAHundredOpenTellWhatNeverRan() throws Exception {
+    void connectionEndWithManyOpenStreamsIdentifiesRequestsNotExecuted() throws Exception {
         for (Fault fault : List.of(Fault.GOAWAY_LAST, Fault.GOAWAY_LOWERED, Fault.CLOSE, Fault.SILENT)) {
             try (Direct direct = new Direct("connections_per_server = 1\nquiet = \"100ms\"\n"
                             + "ping_wait = \"100ms\"\nredial = \"10s\"");
                     StandinServer server = direct.server(1, 300, WINDOW, FaultScript.none(400 * MS))) {
-                direct.burst(1, "open", 100);
-                Direct.until(() -> server.runs() == 100, "a hundred open");
+                direct.sendConcurrently(1, "open", 100);
+                Direct.until(() -> server.runs() == 100, "100 requests open");
                 server.faults(Map.of(fault, 1.0));
-                direct.burst(1, "more", 100);
+                direct.sendConcurrently(1, "more", 100);
                 int neverRan = 0;
                 for (int i = 0; i < 200; i++) {
-                    neverRan += direct.next().outcome().provesNeverRan() ? 1 : 0;
+                    neverRan += direct.nextResult().outcome().provesNeverRan() ? 1 : 0;
                 }
                 int runs = server.runs();
-                assertTrue(runs >= 100 && runs <= 200 - neverRan, fault + ": " + runs + ", not " + neverRan);
+                assertTrue(
+                        runs >= 100 && runs <= 200 - neverRan,
+                        fault + ": executed " + runs + ", proven not executed " + neverRan);
                 if (fault == Fault.GOAWAY_LAST) {
-                    assertEquals(99, neverRan, "all above the last stream");
+                    assertEquals(99, neverRan, "all streams above the last stream id");
                 }
                 assertEquals(0, direct.ledger.verdict().doubled());
             }
         }
     }
 
-    /** Once a drain is told, who waits for a stream must not go there any more. */
+    /** After a drain, attempts waiting for a stream must not be sent to the upstream. */
     @Test
-    void drainEndsTheWaitForAStream() throws Exception {
+    void drainEndsAttemptsWaitingForAStream() throws Exception {
         try (Direct direct = new Direct("connections_per_server = 1\nstream_wait = \"10s\"");
                 StandinServer server = direct.server(1, 1, WINDOW, FaultScript.none(200 * MS))) {
-            direct.send(1, "first", Direct.LONG);
-            Direct.until(() -> server.runs() == 1, "the first");
+            direct.send(1, "first", Direct.LONG_TIMEOUT_NANOS);
+            Direct.until(() -> server.runs() == 1, "the first request");
             for (int i = 0; i < 50; i++) {
-                direct.send(1, "w" + i, Direct.LONG);
+                direct.send(1, "w" + i, Direct.LONG_TIMEOUT_NANOS);
             }
             direct.listed(1, server.address(), false);
             for (int i = 0; i < 50; i++) {
-                Direct.Ended ended = direct.next();
-                assertEquals(Outcome.CONNECT_FAILED, ended.outcome(), ended.id());
+                Direct.Result result = direct.nextResult();
+                assertEquals(Outcome.CONNECT_FAILED, result.outcome(), result.id());
             }
-            assertEquals("first", direct.next().id(), "what is open ends by itself");
+            assertEquals("first", direct.nextResult().id(), "an open stream runs to its end");
             assertEquals(1, server.runs());
-            Direct.until(() -> server.connections() == 0, "the connection's end");
+            Direct.until(() -> server.connections() == 0, "the connection to close");
         }
     }
 
-    /** A body that the server's window holds back has not left, and its request has not run. */
+    /** A request whose body is held back by flow control was not fully sent and was not executed. */
     @Test
-    void bodyStuckBehindAWindowNeverRan() throws Exception {
+    void requestBlockedByFlowControlIsNotExecuted() throws Exception {
         try (Direct direct = new Direct("");
                 StandinServer server = direct.server(1, 100, 40, FaultScript.none(MS))) {
-            direct.send(1, "in parts", Direct.LONG);
-            assertEquals(Outcome.OK, direct.next().outcome(), "100 bytes through a window of 40");
+            direct.send(1, "in parts", Direct.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.OK, direct.nextResult().outcome(), "100 bytes through a window of 40");
             assertEquals(1, server.runs());
         }
         try (Direct direct = new Direct("");
                 StandinServer server = direct.server(1, 100, 0, FaultScript.none(MS))) {
             direct.send(1, "stuck", 200 * MS);
-            assertEquals(Outcome.CONNECT_FAILED, direct.next().outcome());
-            Transport.Attempt given = direct.send(1, "cancelled", Direct.LONG);
-            direct.cancel(given);
-            assertEquals(Outcome.CANCELLED, direct.next().outcome());
-            direct.send(1, "drained", Direct.LONG);
+            assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
+            Transport.Attempt attempt = direct.send(1, "cancelled", Direct.LONG_TIMEOUT_NANOS);
+            direct.cancel(attempt);
+            assertEquals(Outcome.CANCELLED, direct.nextResult().outcome());
+            direct.send(1, "drained", Direct.LONG_TIMEOUT_NANOS);
             direct.listed(1, server.address(), false);
-            assertEquals(Outcome.CONNECT_FAILED, direct.next().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
             assertEquals(0, server.runs());
         }
     }
 
-    /** What is said to have never run is reset at once, ration or not: its body must not leave later. */
+    /**
+     * Guards against executing a request after its outcome has denied it: its stream is reset immediately,
+     * regardless of the reset budget, so that the body is not sent when the server opens the window.
+     */
     @Test
-    void whatIsSaidToHaveNeverRunDoesNotRunWhenItsWindowOpens() throws Exception {
+    void abandonedRequestIsNotExecutedWhenTheWindowOpens() throws Exception {
         try (Direct direct = new Direct("resets = 1\nreset_window = \"10min\"");
                 StandinServer server = direct.server(1, 100, 0, FaultScript.none(MS))) {
             for (int i = 0; i < 4; i++) {
                 direct.send(1, "late" + i, 100 * MS);
             }
             for (int i = 0; i < 4; i++) {
-                assertEquals(Outcome.CONNECT_FAILED, direct.next().outcome());
+                assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
             }
-            direct.cancel(direct.send(1, "cancelled", Direct.LONG));
-            assertEquals(Outcome.CANCELLED, direct.next().outcome());
+            direct.cancel(direct.send(1, "cancelled", Direct.LONG_TIMEOUT_NANOS));
+            assertEquals(Outcome.CANCELLED, direct.nextResult().outcome());
             server.window(WINDOW);
-            direct.send(1, "open", Direct.LONG);
-            assertEquals(Outcome.OK, direct.next().outcome());
-            assertEquals(1, server.runs(), "what came behind them has run, and none of them");
+            direct.send(1, "open", Direct.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.OK, direct.nextResult().outcome());
+            assertEquals(1, server.runs(), "only the last request was executed");
             assertEquals(1, server.mostConnections());
         }
     }
 
-    /** Ids are used up: the connection takes no more, another does. */
+    /** A connection whose stream ids are exhausted takes no more requests; a new connection does. */
     @Test
-    void usedUpStreamIdsBringAnotherConnection() throws Exception {
+    void exhaustedStreamIdsOpenAnotherConnection() throws Exception {
         try (Direct direct = new Direct("", Integer.MAX_VALUE - 4);
                 StandinServer server = direct.server(1, 100, WINDOW, FaultScript.none(MS))) {
             for (int i = 0; i < 7; i++) {
-                direct.send(1, "x" + i, Direct.LONG);
-                assertEquals(Outcome.OK, direct.next().outcome());
+                direct.send(1, "x" + i, Direct.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.OK, direct.nextResult().outcome());
             }
             assertEquals(7, server.runs());
-            Direct.until(() -> server.connections() == 1, "the end of those that are used up");
+            Direct.until(() -> server.connections() == 1, "exhausted connections to close");
         }
     }
 
-    /** Resets are rationed; what is given up beyond that keeps its stream, and others go round it. */
+    /**
+     * Resets are limited by a budget. A stream abandoned beyond it stays open, and further requests use other
+     * streams.
+     */
     @Test
-    void resetsAreRationed() throws Exception {
+    void resetsAreLimitedByTheBudget() throws Exception {
         try (Direct direct = new Direct("resets = 2\nreset_window = \"10min\"");
                 StandinServer server = direct.server(1, 5, WINDOW, always(Fault.STALL, MS))) {
             List<Transport.Attempt> attempts = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
-                attempts.add(direct.send(1, "x" + i, Direct.LONG));
+                attempts.add(direct.send(1, "x" + i, Direct.LONG_TIMEOUT_NANOS));
             }
-            Direct.until(() -> server.runs() == 5, "all five");
+            Direct.until(() -> server.runs() == 5, "all five requests");
             for (Transport.Attempt attempt : attempts) {
                 direct.cancel(attempt);
-                assertEquals(Outcome.CANCELLED, direct.next().outcome());
+                assertEquals(Outcome.CANCELLED, direct.nextResult().outcome());
             }
             for (int i = 5; i < 7; i++) {
-                direct.send(1, "x" + i, Direct.LONG);
+                direct.send(1, "x" + i, Direct.LONG_TIMEOUT_NANOS);
             }
-            Direct.until(() -> server.runs() == 7, "two in the places that came free");
+            Direct.until(() -> server.runs() == 7, "two requests on the streams that became available");
             assertEquals(1, server.mostConnections());
-            direct.send(1, "x7", Direct.LONG);
-            Direct.until(() -> server.runs() == 8, "one more");
-            assertEquals(2, server.mostConnections(), "three streams are still held");
+            direct.send(1, "x7", Direct.LONG_TIMEOUT_NANOS);
+            Direct.until(() -> server.runs() == 8, "one more request");
+            assertEquals(2, server.mostConnections(), "three abandoned streams are still open");
         }
     }
 
-    /** Waiting attempts and connections are bounded, and idle connections make room. */
+    /** Waiting attempts and connections are bounded, and idle connections are closed to make room. */
     @Test
-    void waitingAndConnectionsAreBounded() throws Exception {
+    void waitingAttemptsAndConnectionsAreBounded() throws Exception {
         try (Direct direct =
                         new Direct("connections_per_server = 1\nconnections = 1\nwaiting = 3\nstream_wait = \"10s\"");
                 StandinServer first = direct.server(1, 1, WINDOW, FaultScript.none(50 * MS));
                 StandinServer second = direct.server(2, 1, WINDOW, FaultScript.none(MS))) {
-            direct.send(1, "x0", Direct.LONG);
-            Direct.until(() -> first.runs() == 1, "the first");
+            direct.send(1, "x0", Direct.LONG_TIMEOUT_NANOS);
+            Direct.until(() -> first.runs() == 1, "the first request");
             for (int i = 1; i < 5; i++) {
-                direct.send(1, "x" + i, Direct.LONG);
+                direct.send(1, "x" + i, Direct.LONG_TIMEOUT_NANOS);
             }
-            assertEquals(Outcome.REJECTED, direct.next().outcome(), "the queue is full");
-            direct.send(2, "no room", Direct.LONG);
-            assertEquals(Outcome.NEVER_SENT, direct.next().outcome(), "every connection is in use");
+            assertEquals(Outcome.REJECTED, direct.nextResult().outcome(), "the queue is full");
+            direct.send(2, "while all busy", Direct.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.NEVER_SENT, direct.nextResult().outcome(), "every connection is in use");
             for (int i = 0; i < 4; i++) {
-                assertEquals(Outcome.OK, direct.next().outcome());
+                assertEquals(Outcome.OK, direct.nextResult().outcome());
             }
-            direct.send(2, "room", Direct.LONG);
-            assertEquals(Outcome.OK, direct.next().outcome(), "the idle one is closed for it");
+            direct.send(2, "after idle", Direct.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.OK, direct.nextResult().outcome(), "the idle connection is closed to make room");
             assertEquals(1, second.runs());
         }
     }
 
-    /** A raw server: greets with these bytes once the client's preface has come, then reads until the end. */
-    private static final class Raw implements AutoCloseable {
-        private final ServerSocket server = new ServerSocket();
-        private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+    /**
+     * A server on plain sockets: sends a greeting after the client's preface and further bytes after the
+     * request, then reads until the connection ends.
+     */
+    private static final class RawServer implements AutoCloseable {
+        private final ServerSocket serverSocket = new ServerSocket();
+        private final BlockingQueue<String> endedConnections = new LinkedBlockingQueue<>();
 
-        Raw(byte[] greeting, byte[] once, byte[] repeated, int times) throws IOException {
-            server.bind(Direct.local(0));
+        RawServer(byte[] greeting, byte[] initial, byte[] repeated, int repetitions) throws IOException {
+            serverSocket.bind(Direct.local(0));
             Stub.thread(() -> {
                 try {
                     while (true) {
-                        serve(server.accept(), greeting, once, repeated, times);
+                        serve(serverSocket.accept(), greeting, initial, repeated, repetitions);
                     }
                 } catch (IOException e) {
-                    // Closed: the server's end.
+                    // The server socket was closed.
                 }
             });
         }
 
-        private void serve(Socket socket, byte[] greeting, byte[] once, byte[] repeated, int times) throws IOException {
+        private void serve(Socket socket, byte[] greeting, byte[] initial, byte[] repeated, int repetitions)
+                throws IOException {
             try (socket) {
                 InputStream in = socket.getInputStream();
                 in.readNBytes(24);
                 socket.getOutputStream().write(greeting);
-                // Settings and their like come first; what is longer than they are is the request.
+                // SETTINGS and similar short frames come first; once this many bytes have been read, the
+                // request has arrived.
                 for (int read = 0; read < 150; ) {
                     int bytes = in.read(new byte[4096]);
                     if (bytes < 0) {
@@ -305,26 +318,26 @@
                     }
                     read += bytes;
                 }
-                socket.getOutputStream().write(once);
-                for (int i = 0; i < times; i++) {
+                socket.getOutputStream().write(initial);
+                for (int i = 0; i < repetitions; i++) {
                     socket.getOutputStream().write(repeated);
                 }
                 while (in.read() >= 0) {
                     Thread.onSpinWait();
                 }
-                ended.add("end");
+                endedConnections.add("end");
             } catch (IOException e) {
-                ended.add("broken");
+                endedConnections.add("broken");
             }
         }
 
         InetSocketAddress address() {
-            return (InetSocketAddress) server.getLocalSocketAddress();
+            return (InetSocketAddress) serverSocket.getLocalSocketAddress();
         }
 
         @Override
         public void close() throws IOException {
-            server.close();
+            serverSocket.close();
         }
     }
 
@@ -335,11 +348,13 @@
         return ByteBufUtil.getBytes(frame);
     }
 
-    /** A broken server costs no memory and no time: its connection is ended, its attempts with it. */
+    /**
+     * A misbehaving server must not use up memory or time: its connection and the attempts on it are ended.
+     */
     @Test
-    void brokenServersAreCutOff() throws Exception {
+    void connectionsToMisbehavingServersAreClosed() throws Exception {
         byte[] settings = frame(4, 0, 0);
-        Map<String, byte[]> floods = Map.of(
+        Map<String, byte[]> misbehaviours = Map.of(
                 "settings flood", frame(4, 0, 0),
                 "ping flood", frame(6, 0, 0, new byte[8]),
                 "empty data flood", frame(0, 0, 1),
@@ -349,85 +364,88 @@
                 "push", frame(5, 4, 1, (byte) 0, (byte) 0, (byte) 0, (byte) 2),
                 "data on stream 0", frame(0, 1, 0, (byte) 1),
                 "oversized frame", new byte[] {0x7f, 0, 0, 0, 0, 0, 0, 0, 1});
-        for (Map.Entry<String, byte[]> flood : floods.entrySet()) {
-            byte[] first = flood.getKey().startsWith("continuation") ? frame(1, 0, 1) : new byte[0];
-            try (Raw raw = new Raw(settings, first, flood.getValue(), 20_000);
+        for (Map.Entry<String, byte[]> misbehaviour : misbehaviours.entrySet()) {
+            byte[] first = misbehaviour.getKey().startsWith("continuation") ? frame(1, 0, 1) : new byte[0];
+            try (RawServer server = new RawServer(settings, first, misbehaviour.getValue(), 20_000);
                     Direct direct = new Direct("control_frames = 100")) {
-                direct.listed(1, raw.address(), true);
-                direct.send(1, "x", Direct.LONG);
-                Direct.Ended ended = direct.next();
-                assertEquals(false, ended.outcome().provesNeverRan(), flood.getKey() + " " + ended.outcome());
-                if (!flood.getKey().startsWith("empty")) {
-                    // Empty data on a stream that has ended brings nothing and costs nothing.
-                    Stub.next(raw.ended);
+                direct.listed(1, server.address(), true);
+                direct.send(1, "x", Direct.LONG_TIMEOUT_NANOS);
+                Direct.Result result = direct.nextResult();
+                assertEquals(false, result.outcome().provesNeverRan(), misbehaviour.getKey() + " " + result.outcome());
+                if (!misbehaviour.getKey().startsWith("empty")) {
+                    // Empty DATA on a stream that has already ended is ignored and costs nothing.
+                    Stub.next(server.endedConnections);
                 }
             }
         }
     }
 
-    /** What is wrong with one stream ends that one; the connection and the others on it go on. */
+    /** A stream error ends only that stream; the connection and its other streams continue. */
     @Test
-    void protocolErrorOnOneStreamEndsThatOne() throws Exception {
+    void streamErrorEndsOnlyThatStream() throws Exception {
         byte[] noIncrement = frame(8, 0, 1, new byte[4]);
-        try (Raw raw = new Raw(frame(4, 0, 0), new byte[0], noIncrement, 1);
+        try (RawServer server = new RawServer(frame(4, 0, 0), new byte[0], noIncrement, 1);
                 Direct direct = new Direct("")) {
-            direct.listed(1, raw.address(), true);
-            direct.send(1, "x", Direct.LONG);
-            assertEquals(Outcome.ERROR, direct.next().outcome());
+            direct.listed(1, server.address(), true);
+            direct.send(1, "x", Direct.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.ERROR, direct.nextResult().outcome());
             direct.send(1, "y", 200 * MS);
-            assertEquals(Outcome.TIMEOUT, direct.next().outcome(), "sent on the same connection");
-            assertEquals(0, raw.ended.size());
+            assertEquals(Outcome.TIMEOUT, direct.nextResult().outcome(), "sent on the same connection");
+            assertEquals(0, server.endedConnections.size());
         }
     }
 
-    /** A direction of the link is lost: nothing ends the connection but its own pings. */
+    /** One direction of the link loses all data: only the connection's own PINGs detect it. */
     @Test
-    void silentLinksAreNoticed() throws Exception {
-        for (FaultyLink.Way way : FaultyLink.Way.values()) {
+    void silentLinksAreDetected() throws Exception {
+        for (FaultyLink.Way direction : FaultyLink.Way.values()) {
             try (Direct direct = new Direct("quiet = \"50ms\"\nping_wait = \"50ms\"\nredial = \"1ms\"");
                     StandinServer server = direct.server(1, 100, WINDOW, FaultScript.none(MS));
                     FaultyLink link = direct.link(server, 1)) {
-                direct.send(1, "good", Direct.LONG);
-                assertEquals(Outcome.OK, direct.next().outcome());
+                direct.send(1, "good", Direct.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.OK, direct.nextResult().outcome());
                 FaultyLink.Condition good = FaultyLink.Condition.delayed(0, 0);
-                link.set(way, good.lost(true));
-                direct.send(1, "lost", Direct.LONG);
-                assertEquals(Outcome.RESET, direct.next().outcome(), "it may have run");
-                int runs = way == FaultyLink.Way.BACK ? 2 : 1;
-                Direct.until(() -> server.runs() == runs, "as it did, or not");
-                link.set(way, good);
-                direct.send(1, "again", Direct.LONG);
-                assertEquals(Outcome.OK, direct.next().outcome(), "on a new connection");
+                link.set(direction, good.lost(true));
+                direct.send(1, "lost", Direct.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.RESET, direct.nextResult().outcome(), "it may have been executed");
+                int expectedRuns = direction == FaultyLink.Way.BACK ? 2 : 1;
+                Direct.until(
+                        () -> server.runs() == expectedRuns, "the number of executions expected for this direction");
+                link.set(direction, good);
+                direct.send(1, "again", Direct.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.OK, direct.nextResult().outcome(), "on a new connection");
             }
         }
     }
 
-    /** What does not greet as HTTP/2 does gets no request at all. */
+    /** A server that does not send SETTINGS receives no request. */
     @Test
-    void nothingGoesToWhoDoesNotSpeakHttp2() throws Exception {
+    void noRequestIsSentToServersWithoutHttp2() throws Exception {
         byte[] http1 = "HTTP/1.1 400 Bad Request\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
         for (byte[] greeting : List.of(http1, new byte[0])) {
-            try (Raw raw = new Raw(greeting, new byte[0], new byte[0], 0);
+            try (RawServer server = new RawServer(greeting, new byte[0], new byte[0], 0);
                     Direct direct = new Direct("settings_wait = \"100ms\"")) {
-                direct.listed(1, raw.address(), true);
-                direct.send(1, "x", Direct.LONG);
-                assertEquals(Outcome.CONNECT_FAILED, direct.next().outcome());
-                Stub.next(raw.ended);
+                direct.listed(1, server.address(), true);
+                direct.send(1, "x", Direct.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
+                Stub.next(server.endedConnections);
             }
         }
     }
 
-    /** A server whose connections come to nothing is not dialled at each attempt. */
+    /**
+     * After a connection that delivered no response, the next attempts do not open another one immediately.
+     */
     @Test
-    void connectionsThatComeToNothingAreSpacedOut() throws Exception {
+    void reconnectsAfterFailedConnectionsAreDelayed() throws Exception {
         try (Direct direct = new Direct("redial = \"10s\"");
                 StandinServer server = direct.server(1, 100, WINDOW, always(Fault.GOAWAY_LIE, MS))) {
             for (int i = 0; i < 20; i++) {
-                direct.send(1, "x" + i, Direct.LONG);
-                assertTrue(direct.next().outcome().provesNeverRan());
+                direct.send(1, "x" + i, Direct.LONG_TIMEOUT_NANOS);
+                assertTrue(direct.nextResult().outcome().provesNeverRan());
             }
             assertEquals(1, server.mostConnections());
-            assertEquals(1, server.runs(), "and the one that ran was lied about");
+            assertEquals(1, server.runs(), "the only executed request was denied by the server");
         }
     }
 }
--- a/src/test/java/pondridge/http2/InteropTest.java
+++ b/src/test/java/pondridge/http2/InteropTest.java
@@ -31,14 +31,14 @@
 import pondridge.standin.OrderClass;
 import pondridge.standin.StandinServer;
 
-/** Peers that are not ours, on either side: OkHttp's client and its test server, by prior knowledge. */
+/** Tests interoperability with third-party peers: OkHttp's client and its test server, by prior knowledge. */
 class InteropTest {
     private static final long MS = 1_000_000;
-    private static final int LARGE = 500_000;
+    private static final int LARGE_BODY_BYTES = 500_000;
 
-    /** The stand-in server satisfies another client, also with trailers and a reset behind the answer. */
+    /** The stand-in server works with another client, including trailers and a reset after the response. */
     @Test
-    void anotherClientIsServedByTheStandin() throws Exception {
+    void standinServesOkHttpClient() throws Exception {
         OkHttpClient client = new OkHttpClient.Builder()
                 .protocols(List.of(Protocol.H2_PRIOR_KNOWLEDGE))
                 .build();
@@ -48,11 +48,11 @@
                             direct.server(1, 100, 65_535, new FaultScript(1, Map.of(fault, 1.0), MS, MS))) {
                 int calls = 50;
                 String url = "http://127.0.0.1:" + server.address().getPort() + "/api/";
-                AtomicInteger good = new AtomicInteger();
+                AtomicInteger matching = new AtomicInteger();
                 CountDownLatch done = new CountDownLatch(calls);
                 for (int i = 0; i < calls; i++) {
                     String id = "x" + i;
-                    direct.ledger.asked(id, OrderClass.named("order-book"), "", Direct.LONG);
+                    direct.ledger.asked(id, OrderClass.named("order-book"), "", Direct.LONG_TIMEOUT_NANOS);
                     client.newCall(new Request.Builder()
                                     .url(url + id)
                                     .header("Req-Id", id)
@@ -61,7 +61,7 @@
                                     .build())
                             .enqueue(new Callback() {
                                 @Override
-                                public void onFailure(Call call, IOException problem) {
+                                public void onFailure(Call call, IOException failure) {
                                     done.countDown();
                                 }
 
@@ -70,7 +70,7 @@
                                     try (response) {
                                         String body = response.body().string().trim();
                                         direct.ledger.answered(id, response.code(), body);
-                                        good.addAndGet(body.equals(id) ? 1 : 0);
+                                        matching.addAndGet(body.equals(id) ? 1 : 0);
                                     } finally {
                                         done.countDown();
                                     }
@@ -78,7 +78,7 @@
                             });
                 }
                 assertTrue(done.await(Stub.LIMIT_S, TimeUnit.SECONDS));
-                assertEquals(calls, good.get(), fault.toString());
+                assertEquals(calls, matching.get(), fault.toString());
                 assertTrue(direct.ledger.verdict().clean(), direct.ledger.verdict()::toString);
                 assertEquals(calls, server.runs());
             }
@@ -87,9 +87,9 @@
         client.connectionPool().evictAll();
     }
 
-    /** The transport gets on with another server, and takes its refusals for what they prove. */
+    /** The transport works with another server, and its refusals lead to the outcomes that they prove. */
     @Test
-    void anotherServerIsSpokenTo() throws Exception {
+    void transportWorksWithOkHttpServer() throws Exception {
         try (MockWebServer server = new MockWebServer();
                 Direct direct = new Direct(
                         "stream_window = \"16KiB\"\nconnection_window = \"64KiB\"\n" + "header_bytes = \"1KiB\"")) {
@@ -110,7 +110,7 @@
                 public MockResponse dispatch(RecordedRequest request) {
                     String path = String.valueOf(request.getPath());
                     if (path.endsWith("large")) {
-                        return new MockResponse().setBody("x".repeat(LARGE));
+                        return new MockResponse().setBody("x".repeat(LARGE_BODY_BYTES));
                     }
                     if (path.endsWith("heads")) {
                         return new MockResponse()
@@ -123,26 +123,27 @@
             server.start(Direct.local(0).getAddress(), 0);
             direct.listed(1, Direct.local(server.getPort()), true);
             for (int i = 0; i < 100; i++) {
-                direct.send(1, "x" + i, Direct.LONG);
+                direct.send(1, "x" + i, Direct.LONG_TIMEOUT_NANOS);
             }
             for (int i = 0; i < 100; i++) {
-                Direct.Ended ended = direct.next();
-                assertEquals(Outcome.OK, ended.outcome());
-                assertEquals(ended.id() + " 100", new String(ended.answer().body(), StandardCharsets.US_ASCII));
+                Direct.Result result = direct.nextResult();
+                assertEquals(Outcome.OK, result.outcome());
+                assertEquals(result.id() + " 100", new String(result.response().body(), StandardCharsets.US_ASCII));
             }
             for (String id : List.of("large", "heads")) {
-                direct.send(1, id, Direct.LONG);
-                Direct.Ended ended = direct.next();
+                direct.send(1, id, Direct.LONG_TIMEOUT_NANOS);
+                Direct.Result result = direct.nextResult();
                 boolean large = id.equals("large");
-                assertEquals(large ? Outcome.OK : Outcome.RESET, ended.outcome(), id);
-                assertEquals(large ? LARGE : -1, large ? ended.answer().body().length : -1);
+                assertEquals(large ? Outcome.OK : Outcome.RESET, result.outcome(), id);
+                assertEquals(
+                        large ? LARGE_BODY_BYTES : -1, large ? result.response().body().length : -1);
             }
             resetWith.set((int) StreamTable.REFUSED_STREAM);
-            direct.send(1, "refused", Direct.LONG);
-            assertEquals(Outcome.REJECTED, direct.next().outcome());
+            direct.send(1, "refused", Direct.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.REJECTED, direct.nextResult().outcome());
             resetWith.set(2);
-            direct.send(1, "reset", Direct.LONG);
-            Outcome outcome = direct.next().outcome();
+            direct.send(1, "reset", Direct.LONG_TIMEOUT_NANOS);
+            Outcome outcome = direct.nextResult().outcome();
             assertTrue(outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED, outcome::toString);
         }
     }
--- a/src/test/java/pondridge/http2/HardCasesTest.java
+++ b/src/test/java/pondridge/http2/ReplaySafetyTest.java
@@ -18,40 +18,49 @@
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
-/** The hard cases through front, engine and module; each ends by asking the ledger. */
-class HardCasesTest {
+/**
+ * Tests that no request is executed twice when servers end streams and connections, through front end, engine
+ * and module. Each test ends by checking the effect ledger.
+ */
+class ReplaySafetyTest {
     private static final long MS = 1_000_000;
-    private static final int WAIT_MS = 5_000;
+    private static final int CLIENT_TIMEOUT_MS = 5_000;
 
-    private static Transport way(EventLoop loop, Options settings) {
+    private static Transport http2Transport(EventLoop loop, Options settings) {
         return new Http2Upstreams(
                 loop, settings, SoakTest.options("quiet = \"200ms\"\nping_wait = \"100ms\"\nredial = \"10ms\""));
     }
 
-    private static Fleet fleet(long work, String... zones) throws Exception {
-        Fleet fleet = new Fleet(Fleet.options(WAIT_MS));
+    private static Fleet fleet(long workNanos, String... zones) throws Exception {
+        Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS));
         for (int i = 0; i < zones.length; i++) {
-            fleet.server("s" + i, zones[i], Protocol.HTTP2, FaultScript.none(work));
+            fleet.server("s" + i, zones[i], Protocol.HTTP2, FaultScript.none(workNanos));
         }
-        return fleet.start(HardCasesTest::way);
+        return fleet.start(ReplaySafetyTest::http2Transport);
     }
 
-    private static CompletableFuture<Void> only(Fleet fleet, String kind, int requests, double perSecond) {
-        return fleet.load(Fleet.plan(requests, perSecond, WAIT_MS, Map.of(kind, 1.0)), 1, kind);
+    private static CompletableFuture<Void> loadOfClass(
+            Fleet fleet, String requestClass, int requests, double perSecond) {
+        return fleet.load(
+                Fleet.plan(requests, perSecond, CLIENT_TIMEOUT_MS, Map.of(requestClass, 1.0)), 1, requestClass);
     }
 
     private static int runs(Fleet fleet) {
         return fleet.servers().stream().mapToInt(StandinServer::runs).sum();
     }
 
-    /** The server closes in each of its ways while many confirmations are open. */
+    /**
+     * Guards against repeated executions when a server ends connections in different ways with many
+     * confirmations open.
+     */
     @Test
-    void closesWhileConfirmationsAreOpen() throws Exception {
+    void connectionsEndWhileConfirmationsAreOpen() throws Exception {
         for (Fault fault : List.of(
                 Fault.GOAWAY, Fault.GOAWAY_LAST, Fault.GOAWAY_LOWERED, Fault.CLOSE, Fault.SILENT, Fault.RESET)) {
             try (Fleet fleet = fleet(150 * MS, "a", "b", "a")) {
-                CompletableFuture<Void> load = only(fleet, "order-confirm", 700, 700);
-                // A tenth, at random moments: some connections of this server end, others come.
+                CompletableFuture<Void> load = loadOfClass(fleet, "order-confirm", 700, 700);
+                // A tenth of the requests, at random moments: some connections of this server end while
+                // others are opened.
                 fleet.servers().get(0).faults(Map.of(fault, 0.1));
                 Fleet.await(load);
                 Verdict verdict = fleet.verdict();
@@ -62,32 +71,38 @@
         }
     }
 
-    /** A server that denies what it has run: no client can know, and the ledger sees the doubled effect. */
+    /**
+     * A server that falsely denies an execution: no client can detect it, so the ledger must show the
+     * repeated effect.
+     */
     @Test
-    void aLyingServerIsSeenByTheLedger() throws Exception {
-        for (Fault lie : List.of(Fault.GOAWAY_LIE, Fault.LIE)) {
+    void ledgerDetectsServersThatDenyExecutions() throws Exception {
+        for (Fault falseClaim : List.of(Fault.GOAWAY_LIE, Fault.LIE)) {
             try (Fleet fleet = fleet(5 * MS, "a", "b", "a")) {
-                fleet.servers().get(0).faults(Map.of(lie, 1.0));
-                Fleet.await(only(fleet, "order-book", 60, 100));
-                assertTrue(fleet.verdict().doubledUnsafe() > 0, lie.toString());
+                fleet.servers().get(0).faults(Map.of(falseClaim, 1.0));
+                Fleet.await(loadOfClass(fleet, "order-book", 60, 100));
+                assertTrue(fleet.verdict().doubledUnsafe() > 0, falseClaim.toString());
             }
         }
     }
 
-    /** A hold that may have run is sent again only where its repeat is dropped, and only for so long. */
+    /**
+     * A hold that may have been executed is retried only where repeats are dropped, and only as long as they
+     * are.
+     */
     @Test
-    void holdsStayInTheirZoneAndTheirSecond() throws Exception {
+    void holdsAreRetriedOnlyInTheirZoneAndWithinOneSecond() throws Exception {
         try (Fleet fleet = fleet(5 * MS, "a", "a", "b", "b")) {
             fleet.servers().get(0).faults(Map.of(Fault.RESET, 1.0));
             fleet.servers().get(2).faults(Map.of(Fault.RESET, 1.0));
-            Fleet.await(only(fleet, "stock-hold", 300, 200));
+            Fleet.await(loadOfClass(fleet, "stock-hold", 300, 200));
             Verdict verdict = fleet.verdict();
             assertTrue(verdict.clean(), verdict::toString);
-            assertTrue(verdict.dropped() > 0, "repeats were sent: " + verdict);
+            assertTrue(verdict.dropped() > 0, "retries were sent: " + verdict);
             assertTrue(fleet.ledger().runs("stock-hold") >= verdict.served(), verdict::toString);
         }
-        try (Fleet fleet = new Fleet(Fleet.options(WAIT_MS))) {
-            // Reset after more than the second for which a zone remembers: nothing may be sent again.
+        try (Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS))) {
+            // Reset after more than the second for which a zone remembers requests: no retry is allowed.
             for (int i = 0; i < 4; i++) {
                 fleet.server(
                         "s" + i,
@@ -95,32 +110,32 @@
                         Protocol.HTTP2,
                         new FaultScript(i, Map.of(Fault.RESET, 1.0), 2_100 * MS, 2_100 * MS));
             }
-            fleet.start(HardCasesTest::way);
-            Fleet.await(only(fleet, "stock-hold", 20, 20));
+            fleet.start(ReplaySafetyTest::http2Transport);
+            Fleet.await(loadOfClass(fleet, "stock-hold", 20, 20));
             Verdict verdict = fleet.verdict();
             assertTrue(verdict.clean(), verdict::toString);
             assertEquals(20, verdict.failed() + verdict.refused());
             assertTrue(verdict.failed() > 0, verdict::toString);
-            assertEquals(verdict.failed(), runs(fleet), "each sent once");
+            assertEquals(verdict.failed(), runs(fleet), "each request was sent once");
         }
     }
 
-    /** A confirmation may go to any zone, and does, within its 7.5 s by time left. */
+    /** A confirmation may be retried in any zone, and is, within its 7.5 s as long as time is left. */
     @Test
-    void confirmationsGoAnywhere() throws Exception {
+    void confirmationsAreRetriedInAnyZone() throws Exception {
         try (Fleet fleet = fleet(5 * MS, "a", "b")) {
             fleet.servers().get(0).faults(Map.of(Fault.RESET, 1.0));
-            Fleet.await(only(fleet, "order-confirm", 200, 200));
+            Fleet.await(loadOfClass(fleet, "order-confirm", 200, 200));
             Verdict verdict = fleet.verdict();
             assertTrue(verdict.clean(), verdict::toString);
             assertTrue(verdict.dropped() > 0, verdict::toString);
         }
     }
 
-    /** Past its window a confirmation that may have run is sent no more, though there would be time. */
+    /** After its window a confirmation that may have been executed is not retried, even if time is left. */
     @Test
-    void confirmationsStayInTheirWindow() throws Exception {
-        try (Fleet fleet = new Fleet(Fleet.options(WAIT_MS, "profiles.2.keyTtl=300000000"))) {
+    void confirmationsAreRetriedOnlyWithinTheirWindow() throws Exception {
+        try (Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS, "profiles.2.keyTtl=300000000"))) {
             for (int i = 0; i < 4; i++) {
                 fleet.server(
                         "s" + i,
@@ -128,24 +143,27 @@
                         Protocol.HTTP2,
                         new FaultScript(i, Map.of(Fault.RESET, 1.0), 700 * MS, 700 * MS));
             }
-            fleet.start(HardCasesTest::way);
-            Fleet.await(only(fleet, "order-confirm", 20, 20));
+            fleet.start(ReplaySafetyTest::http2Transport);
+            Fleet.await(loadOfClass(fleet, "order-confirm", 20, 20));
             Verdict verdict = fleet.verdict();
             assertTrue(verdict.clean(), verdict::toString);
             assertTrue(runs(fleet) > 0, verdict::toString);
-            assertEquals(0, verdict.dropped(), "each sent once");
+            assertEquals(0, verdict.dropped(), "each request was sent once");
         }
     }
 
-    /** A drain is told while the server's few streams are all taken: nothing later than the grace. */
+    /**
+     * A server is drained while all of its few streams are in use: no request is sent to it after the grace
+     * period.
+     */
     @Test
     void drainWhileAttemptsWait() throws Exception {
-        try (Fleet fleet = new Fleet(Fleet.options(WAIT_MS, "rules.stopSendingWithin=300000000"))) {
+        try (Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS, "rules.stopSendingWithin=300000000"))) {
             fleet.server("s0", "a", Protocol.HTTP2, 2, 65_535, FaultScript.none(80 * MS));
             fleet.server("s1", "b", Protocol.HTTP2, FaultScript.none(5 * MS));
-            fleet.start(HardCasesTest::way);
-            CompletableFuture<Void> load = only(fleet, "order-confirm", 600, 400);
-            Direct.until(() -> fleet.servers().get(0).runs() > 10, "work at the first");
+            fleet.start(ReplaySafetyTest::http2Transport);
+            CompletableFuture<Void> load = loadOfClass(fleet, "order-confirm", 600, 400);
+            Direct.until(() -> fleet.servers().get(0).runs() > 10, "requests on the first server");
             fleet.list("s0", State.DRAINING);
             Fleet.await(load);
             Verdict verdict = fleet.verdict();
--- a/src/test/java/pondridge/http2/SoakTest.java
+++ b/src/test/java/pondridge/http2/SoakTest.java
@@ -20,17 +20,17 @@
 import pondridge.standin.FaultScript;
 import pondridge.standin.StandinServer.Protocol;
 
-/** Mixed classes over HTTP/2 servers that end streams and connections at random moments. */
+/** Runs mixed classes of requests over HTTP/2 servers that end streams and connections at random moments. */
 class SoakTest {
     private static final long SEED = Long.getLong("seed", 20261201L);
-    private static final long WORK = 5_000_000;
-    private static final int WAIT_MS = 1_500;
+    private static final long WORK_NANOS = 5_000_000;
+    private static final int CLIENT_TIMEOUT_MS = 1_500;
 
     static Http2Options options(String text) {
         SettingsFile file = SettingsFile.parse("test", "[http2]\n" + text);
-        Http2Options read = Http2Options.of(file.section("http2"));
+        Http2Options options = Http2Options.of(file.section("http2"));
         file.finish();
-        return read;
+        return options;
     }
 
     private static Map<Fault, Double> faults() {
@@ -40,35 +40,36 @@
                 + "reset-after-answer=0.05");
     }
 
-    private static Fleet fleet(BiFunction<EventLoop, Options, Transport> way) throws Exception {
-        Fleet fleet = new Fleet(Fleet.options(WAIT_MS));
+    private static Fleet fleet(BiFunction<EventLoop, Options, Transport> transportFactory) throws Exception {
+        Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS));
         for (int i = 0; i < 6; i++) {
             fleet.server(
                     "s" + i,
                     i % 2 == 0 ? "a" : "b",
                     Protocol.HTTP2,
-                    new FaultScript(SEED + i, faults(), WORK, 300_000_000));
+                    new FaultScript(SEED + i, faults(), WORK_NANOS, 300_000_000));
         }
-        return fleet.start(way);
+        return fleet.start(transportFactory);
     }
 
-    private static Transport way(EventLoop loop, Options settings, Proof proof) {
+    private static Transport http2Transport(EventLoop loop, Options settings, Proof outcomeRules) {
         return new Http2Upstreams(
                 loop,
                 settings,
                 options("quiet = \"300ms\"\nping_wait = \"200ms\"\n" + "stream_wait = \"50ms\"\nredial = \"10ms\""),
-                proof,
+                outcomeRules,
                 1);
     }
 
     @Test
-    void nothingIsLostNothingIsDoubled() throws Exception {
+    void noRequestIsLostOrExecutedTwice() throws Exception {
         System.out.println("soak seed " + SEED);
-        try (Fleet fleet = fleet((loop, settings) -> way(loop, settings, Proof.RFC9113))) {
-            CompletableFuture<Void> load = fleet.load(Fleet.mixed(20_000, 1_000, WAIT_MS), SEED, "soak");
+        try (Fleet fleet = fleet((loop, settings) -> http2Transport(loop, settings, Proof.RFC9113))) {
+            CompletableFuture<Void> load = fleet.load(Fleet.mixed(20_000, 1_000, CLIENT_TIMEOUT_MS), SEED, "soak");
             String drained = null;
             for (int i = 0; i < 30 && !load.isDone(); i++) {
-                // Drains come and go while it runs; each time the list tells, as the platform does.
+                // Servers are drained and readmitted during the run through the endpoint list, as on the
+                // platform.
                 String next = "s" + i % 6;
                 fleet.list(next, State.DRAINING);
                 if (drained != null) {
@@ -85,25 +86,28 @@
             assertTrue(verdict.clean(), verdict::toString);
             assertEquals(20_000, verdict.asked());
             assertTrue(verdict.served() > 16_000, verdict::toString);
-            assertTrue(verdict.dropped() > 0, "repeats did reach the servers' memory");
+            assertTrue(verdict.dropped() > 0, "repeated requests must reach the servers and be dropped");
         }
     }
 
-    /** The same with one rule of proof broken: a reset says nothing, but is taken to. The ledger must cry. */
+    /**
+     * The same with one outcome rule broken: every reset is taken as proof that the request was not executed.
+     * The ledger must detect it.
+     */
     @Test
-    void aBrokenProofIsSeen() throws Exception {
-        Proof broken = new Proof() {
+    void ledgerDetectsBrokenOutcomeRules() throws Exception {
+        Proof brokenRules = new Proof() {
             @Override
-            Outcome reset(boolean handed, boolean answering, long code) {
+            Outcome afterReset(boolean endStreamWritten, boolean responseStarted, long code) {
                 return Outcome.REJECTED;
             }
         };
-        try (Fleet fleet = fleet((loop, settings) -> way(loop, settings, broken))) {
-            Fleet.await(fleet.load(Fleet.mixed(4_000, 1_000, WAIT_MS), SEED, "broken"));
+        try (Fleet fleet = fleet((loop, settings) -> http2Transport(loop, settings, brokenRules))) {
+            Fleet.await(fleet.load(Fleet.mixed(4_000, 1_000, CLIENT_TIMEOUT_MS), SEED, "broken"));
             Verdict verdict = fleet.verdict();
             System.out.println(verdict);
             assertTrue(verdict.doubledUnsafe() > 0, verdict::toString);
-            assertTrue(verdict.doubledKeyed() > 0, "holds that ran in one zone ran in the other, too");
+            assertTrue(verdict.doubledKeyed() > 0, "holds executed in one zone must also be executed in the other");
         }
     }
 }
