--- a/src/test/java/pondridge/http2/StreamTableTest.java
+++ b/src/test/java/pondridge/http2/StreamTableTest.java
@@ -16,122 +16,126 @@
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
 
-/** The table against a model of an upstream that knows what it has run, and single rules by example. */
+/**
+ * Tests the table against a simulated upstream that records which requests it executed, and tests single
+ * rules by example.
+ */
 class StreamTableTest {
     private static final long INTERNAL_ERROR = 2;
 
-    private static StreamTable<String> up(long limit) {
+    private static StreamTable<String> tableWithLimit(long maxConcurrentStreams) {
         StreamTable<String> table = new StreamTable<>(Proof.RFC9113, 1);
-        table.settings(limit);
+        table.onSettings(maxConcurrentStreams);
         return table;
     }
 
     /**
-     * An upstream that keeps to the protocol: it runs what has wholly come unless it refuses it, never what
-     * is above the last stream it names, and knows what it did.
+     * A simulated upstream that follows the protocol: it executes every fully received request unless it
+     * refuses it, executes none above the last stream id of its GOAWAY, and records what it executed.
      */
-    private static final class World {
+    private static final class SimulatedUpstream {
         private final Random random;
         private final StreamTable<Integer> table = new StreamTable<>(Proof.RFC9113, 1);
-        private final TreeMap<Integer, Boolean> open = new TreeMap<>();
-        private final Set<Integer> arrived = new HashSet<>();
-        private final Set<Integer> ran = new HashSet<>();
-        private final Set<Integer> answering = new HashSet<>();
-        private final Map<Integer, Outcome> outcomes = new HashMap<>();
-        private final Map<Integer, Outcome> streams = new HashMap<>();
-        private int last = Integer.MAX_VALUE;
-        private long limit;
+        private final TreeMap<Integer, Boolean> openStreams = new TreeMap<>();
+        private final Set<Integer> fullyReceived = new HashSet<>();
+        private final Set<Integer> executed = new HashSet<>();
+        private final Set<Integer> responding = new HashSet<>();
+        private final Map<Integer, Outcome> outcomesByAttempt = new HashMap<>();
+        private final Map<Integer, Outcome> outcomesByStream = new HashMap<>();
+        private int lastStreamId = Integer.MAX_VALUE;
+        private long maxConcurrentStreams;
         private int attempts;
 
-        World(long seed) {
+        SimulatedUpstream(long seed) {
             random = new Random(seed);
-            limit = random.nextInt(8);
-            table.settings(limit);
+            maxConcurrentStreams = random.nextInt(8);
+            table.onSettings(maxConcurrentStreams);
         }
 
-        private void took(StreamTable.End<Integer> end) {
+        private void onAttemptEnd(StreamTable.AttemptEnd<Integer> end) {
             if (end != null) {
-                assertNull(outcomes.put(end.attempt(), end.outcome()), "one outcome an attempt");
-                streams.put(end.stream(), end.outcome());
+                assertNull(outcomesByAttempt.put(end.attempt(), end.outcome()), "one outcome per attempt");
+                outcomesByStream.put(end.streamId(), end.outcome());
                 if (end.outcome().provesNeverRan()) {
-                    assertFalse(ran.contains(end.stream()), "said to have never run: " + end);
+                    assertFalse(executed.contains(end.streamId()), "outcome denies an execution: " + end);
                 }
-                if (end.unsent()) {
-                    // Reset now, whatever the ration says. What is not marked so may go on and run.
-                    table.closed(end.stream());
-                    open.remove(end.stream());
-                } else if (end.open() && random.nextBoolean()) {
-                    table.closed(end.stream());
-                    open.remove(end.stream());
+                if (end.requestIncomplete()) {
+                    // Must be reset immediately, regardless of the reset budget. Streams without this flag
+                    // may go on and be executed.
+                    table.removeStream(end.streamId());
+                    openStreams.remove(end.streamId());
+                } else if (end.streamOpen() && random.nextBoolean()) {
+                    table.removeStream(end.streamId());
+                    openStreams.remove(end.streamId());
                 }
             }
         }
 
-        private Integer any() {
-            List<Integer> ids = new ArrayList<>(open.keySet());
+        private Integer randomOpenStream() {
+            List<Integer> ids = new ArrayList<>(openStreams.keySet());
             return ids.isEmpty() ? null : ids.get(random.nextInt(ids.size()));
         }
 
         void step() {
-            int move = random.nextInt(100);
-            Integer id = any();
-            if (move < 30) {
-                if (table.mayOpen()) {
-                    assertTrue(table.open() < limit, "never above the limit");
-                    open.put(table.open(attempts++), false);
+            int action = random.nextInt(100);
+            Integer id = randomOpenStream();
+            if (action < 30) {
+                if (table.canOpen()) {
+                    assertTrue(table.openStreams() < maxConcurrentStreams, "stream limit exceeded");
+                    openStreams.put(table.open(attempts++), false);
                 }
-            } else if (move < 34) {
-                limit = random.nextInt(10);
-                table.settings(limit);
-            } else if (move < 35 && last == Integer.MAX_VALUE) {
-                leave(random.nextBoolean() ? Integer.MAX_VALUE : highest(ran));
-            } else if (move < 36 && last != Integer.MAX_VALUE) {
-                leave(Math.min(last, highest(ran)));
+            } else if (action < 34) {
+                maxConcurrentStreams = random.nextInt(10);
+                table.onSettings(maxConcurrentStreams);
+            } else if (action < 35 && lastStreamId == Integer.MAX_VALUE) {
+                sendGoAway(random.nextBoolean() ? Integer.MAX_VALUE : highest(executed));
+            } else if (action < 36 && lastStreamId != Integer.MAX_VALUE) {
+                sendGoAway(Math.min(lastStreamId, highest(executed)));
             } else if (id != null) {
-                touch(id, move);
+                actOnStream(id, action);
             }
         }
 
-        private void leave(int named) {
-            last = named;
-            table.goAway(named).forEach(this::took);
-            open.keySet().removeIf(each -> each > named);
+        private void sendGoAway(int lastStream) {
+            lastStreamId = lastStream;
+            table.onGoAway(lastStream).forEach(this::onAttemptEnd);
+            openStreams.keySet().removeIf(id -> id > lastStream);
         }
 
-        private void touch(int id, int move) {
-            boolean whole = open.get(id);
-            if (!whole && move < 60) {
-                table.handed(id);
-                open.put(id, true);
-                arrived.add(id);
-            } else if (move < 72 && arrived.contains(id) && id <= last) {
-                ran.add(id);
-                boolean end = random.nextBoolean();
-                took(table.head(id, random.nextInt(10) == 0 ? 500 : 200, false, end));
-                answering.add(id);
-                if (end) {
-                    open.remove(id);
+        private void actOnStream(int id, int action) {
+            boolean fullySent = openStreams.get(id);
+            if (!fullySent && action < 60) {
+                table.endStreamWritten(id);
+                openStreams.put(id, true);
+                fullyReceived.add(id);
+            } else if (action < 72 && fullyReceived.contains(id) && id <= lastStreamId) {
+                executed.add(id);
+                boolean endStream = random.nextBoolean();
+                onAttemptEnd(table.onHeaders(id, random.nextInt(10) == 0 ? 500 : 200, false, endStream));
+                responding.add(id);
+                if (endStream) {
+                    openStreams.remove(id);
                 }
-            } else if (move < 78 && answering.contains(id)) {
-                took(table.data(id, true));
-                open.remove(id);
-            } else if (move < 83) {
-                if (arrived.contains(id)) {
-                    ran.add(id);
+            } else if (action < 78 && responding.contains(id)) {
+                onAttemptEnd(table.onData(id, true));
+                openStreams.remove(id);
+            } else if (action < 83) {
+                if (fullyReceived.contains(id)) {
+                    executed.add(id);
                 }
-                took(table.reset(id, INTERNAL_ERROR));
-                open.remove(id);
-            } else if (move < 88 && !ran.contains(id)) {
-                took(table.reset(id, StreamTable.REFUSED_STREAM));
-                open.remove(id);
-            } else if (move < 92) {
-                took(table.late(id));
-            } else if (move < 96) {
-                took(table.cancelled(id));
-            } else if (move < 97) {
-                table.drain().forEach(this::took);
-            } else if (move < 98) {
-                took(table.withdrawn(id));
+                onAttemptEnd(table.onReset(id, INTERNAL_ERROR));
+                openStreams.remove(id);
+            } else if (action < 88 && !executed.contains(id)) {
+                onAttemptEnd(table.onReset(id, StreamTable.REFUSED_STREAM));
+                openStreams.remove(id);
+            } else if (action < 92) {
+                onAttemptEnd(table.timeOut(id));
+            } else if (action < 96) {
+                onAttemptEnd(table.cancel(id));
+            } else if (action < 97) {
+                table.drain().forEach(this::onAttemptEnd);
+            } else if (action < 98) {
+                onAttemptEnd(table.withdraw(id));
             }
         }
 
@@ -139,167 +143,180 @@
             return ids.stream().mapToInt(each -> each).max().orElse(0);
         }
 
-        void end() {
-            table.lost().forEach(this::took);
-            assertEquals(attempts, outcomes.size(), "every attempt has ended");
-            assertEquals(0, table.open());
-            ran.forEach(id -> assertFalse(streams.get(id).provesNeverRan(), "ran later: " + id));
+        void loseConnection() {
+            table.connectionLost().forEach(this::onAttemptEnd);
+            assertEquals(attempts, outcomesByAttempt.size(), "every attempt has ended");
+            assertEquals(0, table.openStreams());
+            executed.forEach(id -> assertFalse(
+                    outcomesByStream.get(id).provesNeverRan(), "executed after an outcome that denied it: " + id));
         }
     }
 
     @Test
-    void whatIsSaidToHaveNeverRunNeverDid() {
+    void outcomesProvingNonExecutionAreCorrect() {
         int neverRan = 0;
         for (long seed = 0; seed < 2_000; seed++) {
-            World world = new World(seed);
+            SimulatedUpstream upstream = new SimulatedUpstream(seed);
             try {
                 for (int i = 0; i < 300; i++) {
-                    world.step();
+                    upstream.step();
                 }
-                world.end();
+                upstream.loseConnection();
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("seed " + seed, e);
             }
-            neverRan += world.outcomes.values().stream()
+            neverRan += upstream.outcomesByAttempt.values().stream()
                     .filter(Outcome::provesNeverRan)
                     .count();
         }
-        assertTrue(neverRan > 10_000, "and that is said often: " + neverRan);
+        assertTrue(neverRan > 10_000, "such outcomes must be frequent: " + neverRan);
     }
 
     @Test
-    void goAwayNeverRaisesWhatALowerOneSettled() {
-        StreamTable<String> table = up(10);
+    void goAwayCannotRaiseAnEarlierLastStreamId() {
+        StreamTable<String> table = tableWithLimit(10);
         table.open("a");
         table.open("b");
         table.open("c");
         for (int id = 1; id <= 5; id += 2) {
-            table.handed(id);
+            table.endStreamWritten(id);
         }
-        assertEquals(List.of(), table.goAway(Integer.MAX_VALUE), "the graceful one ends nothing");
-        assertFalse(table.mayOpen());
-        assertEquals(List.of(new StreamTable.End<>("c", 5, Outcome.REJECTED, false, false)), table.goAway(3));
-        assertEquals(List.of(), table.goAway(7));
+        assertEquals(List.of(), table.onGoAway(Integer.MAX_VALUE), "a graceful GOAWAY ends no attempt");
+        assertFalse(table.canOpen());
+        assertEquals(List.of(new StreamTable.AttemptEnd<>("c", 5, Outcome.REJECTED, false, false)), table.onGoAway(3));
+        assertEquals(List.of(), table.onGoAway(7));
         assertEquals(
                 List.of("a", "b"),
-                table.goAway(0).stream().map(StreamTable.End::attempt).toList());
-        assertEquals(0, table.open());
+                table.onGoAway(0).stream().map(StreamTable.AttemptEnd::attempt).toList());
+        assertEquals(0, table.openStreams());
     }
 
-    /** An upstream that has begun to answer has run the request, whatever it says afterwards. */
+    /** An upstream that has started to respond has executed the request, whatever it claims afterwards. */
     @Test
-    void answersThatHaveBegunAreNeverUnrun() {
-        StreamTable<String> table = up(10);
+    void requestsWithStartedResponsesCountAsExecuted() {
+        StreamTable<String> table = tableWithLimit(10);
         for (String attempt : List.of("a", "b", "c")) {
-            table.handed(table.open(attempt));
+            table.endStreamWritten(table.open(attempt));
         }
-        table.head(1, 200, false, false);
-        table.head(3, 103, false, false);
-        table.head(5, 200, false, false);
-        assertEquals(Outcome.RESET, table.reset(1, StreamTable.REFUSED_STREAM).outcome());
-        assertEquals(Outcome.RESET, table.reset(3, StreamTable.REFUSED_STREAM).outcome());
-        assertEquals(Outcome.RESET, table.goAway(0).get(0).outcome());
+        table.onHeaders(1, 200, false, false);
+        table.onHeaders(3, 103, false, false);
+        table.onHeaders(5, 200, false, false);
+        assertEquals(Outcome.RESET, table.onReset(1, StreamTable.REFUSED_STREAM).outcome());
+        assertEquals(Outcome.RESET, table.onReset(3, StreamTable.REFUSED_STREAM).outcome());
+        assertEquals(Outcome.RESET, table.onGoAway(0).get(0).outcome());
     }
 
     @Test
-    void resetsBeforeAndAfterTheRequestIsWhole() {
-        StreamTable<String> table = up(10);
-        int half = table.open("half");
-        int whole = table.open("whole");
+    void resetOutcomeDependsOnWhetherTheRequestWasFullySent() {
+        StreamTable<String> table = tableWithLimit(10);
+        int partial = table.open("partial");
+        int complete = table.open("complete");
         int failed = table.open("failed");
         int refused = table.open("refused");
-        table.handed(whole);
-        table.handed(failed);
-        table.unhanded(failed);
-        table.handed(refused);
-        assertEquals(Outcome.CONNECT_FAILED, table.reset(half, INTERNAL_ERROR).outcome());
-        assertEquals(Outcome.RESET, table.reset(whole, INTERNAL_ERROR).outcome());
+        table.endStreamWritten(complete);
+        table.endStreamWritten(failed);
+        table.endStreamWriteFailed(failed);
+        table.endStreamWritten(refused);
+        assertEquals(
+                Outcome.CONNECT_FAILED, table.onReset(partial, INTERNAL_ERROR).outcome());
+        assertEquals(Outcome.RESET, table.onReset(complete, INTERNAL_ERROR).outcome());
         assertEquals(
                 Outcome.REJECTED,
-                table.reset(refused, StreamTable.REFUSED_STREAM).outcome());
-        assertEquals(Outcome.CONNECT_FAILED, table.lost().get(0).outcome(), "its last frame never left");
+                table.onReset(refused, StreamTable.REFUSED_STREAM).outcome());
+        assertEquals(
+                Outcome.CONNECT_FAILED, table.connectionLost().get(0).outcome(), "its last frame was never written");
     }
 
     @Test
-    void answersAreWholeOnlyAtTheirEnd() {
-        StreamTable<String> table = up(10);
+    void responsesAreCompleteOnlyAtEndStream() {
+        StreamTable<String> table = tableWithLimit(10);
         int id = table.open("a");
-        table.handed(id);
-        assertNull(table.head(id, 103, false, false));
-        assertNull(table.head(id, 200, false, false));
-        assertNull(table.data(id, false));
-        StreamTable.End<String> end = table.head(id, 0, false, true);
-        assertEquals(new StreamTable.End<>("a", id, Outcome.OK, false, false), end, "trailers end it");
-        assertNull(table.reset(id, 0), "a reset with NO_ERROR after that changes nothing");
+        table.endStreamWritten(id);
+        assertNull(table.onHeaders(id, 103, false, false));
+        assertNull(table.onHeaders(id, 200, false, false));
+        assertNull(table.onData(id, false));
+        StreamTable.AttemptEnd<String> end = table.onHeaders(id, 0, false, true);
+        assertEquals(
+                new StreamTable.AttemptEnd<>("a", id, Outcome.OK, false, false), end, "trailers complete the response");
+        assertNull(table.onReset(id, 0), "a later reset with NO_ERROR has no effect");
         int early = table.open("early");
         assertEquals(
-                new StreamTable.End<>("early", early, Outcome.ERROR, true, true),
-                table.head(early, 200, false, true),
-                "200 for what has not wholly left");
+                new StreamTable.AttemptEnd<>("early", early, Outcome.ERROR, true, true),
+                table.onHeaders(early, 200, false, true),
+                "200 for a request that was not fully sent");
         int declined = table.open("declined");
-        assertEquals(Outcome.REJECTED, table.head(declined, 503, true, true).outcome());
+        assertEquals(
+                Outcome.REJECTED, table.onHeaders(declined, 503, true, true).outcome());
         for (int status : new int[] {0, 101, 600}) {
-            int odd = table.open("odd");
-            table.handed(odd);
-            assertEquals(Outcome.ERROR, table.head(odd, status, false, false).outcome());
+            int invalid = table.open("invalid");
+            table.endStreamWritten(invalid);
+            assertEquals(
+                    Outcome.ERROR,
+                    table.onHeaders(invalid, status, false, false).outcome());
         }
         int data = table.open("data");
-        table.handed(data);
-        assertEquals(Outcome.ERROR, table.data(data, false).outcome(), "a body without a head");
-        int chatty = table.open("chatty");
-        table.handed(chatty);
-        for (int i = 0; i < StreamTable.MOST_INTERIM; i++) {
-            assertNull(table.head(chatty, 100, false, false));
+        table.endStreamWritten(data);
+        assertEquals(Outcome.ERROR, table.onData(data, false).outcome(), "DATA before HEADERS");
+        int manyInterim = table.open("manyInterim");
+        table.endStreamWritten(manyInterim);
+        for (int i = 0; i < StreamTable.MAX_INTERIM_RESPONSES; i++) {
+            assertNull(table.onHeaders(manyInterim, 100, false, false));
         }
-        assertEquals(Outcome.ERROR, table.head(chatty, 100, false, false).outcome());
+        assertEquals(
+                Outcome.ERROR, table.onHeaders(manyInterim, 100, false, false).outcome());
     }
 
-    /** Given-up streams go on counting until they are reset: the upstream counts them, too. */
+    /** A stream whose attempt has ended counts until it is reset, because the upstream counts it, too. */
     @Test
-    void givenUpStreamsKeepTheirPlaceUntilReset() {
-        StreamTable<String> table = up(1);
+    void abandonedStreamsCountUntilReset() {
+        StreamTable<String> table = tableWithLimit(1);
         int id = table.open("a");
-        table.handed(id);
-        assertEquals(new StreamTable.End<>("a", id, Outcome.TIMEOUT, true, false), table.late(id));
-        assertFalse(table.mayOpen());
-        assertNull(table.head(id, 200, false, false), "a late answer is nobody's");
-        assertEquals(List.of(id), table.givenUp());
-        table.closed(id);
-        assertTrue(table.mayOpen());
+        table.endStreamWritten(id);
+        assertEquals(new StreamTable.AttemptEnd<>("a", id, Outcome.TIMEOUT, true, false), table.timeOut(id));
+        assertFalse(table.canOpen());
+        assertNull(table.onHeaders(id, 200, false, false), "a response after the timeout is ignored");
+        assertEquals(List.of(id), table.abandonedStreams());
+        table.removeStream(id);
+        assertTrue(table.canOpen());
     }
 
     @Test
-    void nothingOpensBeforeSettingsNorAfterTheLastId() {
+    void noStreamOpensBeforeSettingsOrAfterTheLastStreamId() {
         StreamTable<String> table = new StreamTable<>(Proof.RFC9113, Integer.MAX_VALUE);
-        assertFalse(table.mayOpen());
-        table.settings(null);
+        assertFalse(table.canOpen());
+        table.onSettings(null);
         assertEquals(Integer.MAX_VALUE, table.open("last"));
-        assertFalse(table.mayOpen());
+        assertFalse(table.canOpen());
         assertFalse(table.usable());
     }
 
     @Test
-    void drainEndsOnlyWhatHasNotWhollyLeft() {
-        StreamTable<String> table = up(10);
-        int half = table.open("half");
-        table.handed(table.open("whole"));
-        assertEquals(List.of(new StreamTable.End<>("half", half, Outcome.CONNECT_FAILED, true, true)), table.drain());
-        assertFalse(table.mayOpen());
-        assertEquals(Outcome.RESET, table.lost().get(0).outcome());
+    void drainEndsOnlyAttemptsThatWereNotFullySent() {
+        StreamTable<String> table = tableWithLimit(10);
+        int partial = table.open("partial");
+        table.endStreamWritten(table.open("complete"));
+        assertEquals(
+                List.of(new StreamTable.AttemptEnd<>("partial", partial, Outcome.CONNECT_FAILED, true, true)),
+                table.drain());
+        assertFalse(table.canOpen());
+        assertEquals(Outcome.RESET, table.connectionLost().get(0).outcome());
     }
 
-    /** A request that has ended ends its attempt only while that has not wholly left; else it goes on. */
+    /**
+     * The end of a request ends its attempt only if the attempt was not fully sent; otherwise the attempt
+     * continues.
+     */
     @Test
-    void whatHasNotWhollyLeftIsWithdrawn() {
-        StreamTable<String> table = up(10);
-        int half = table.open("half");
-        int whole = table.open("whole");
-        table.handed(whole);
-        StreamTable.End<String> end = table.withdrawn(half);
+    void withdrawEndsOnlyAttemptsThatWereNotFullySent() {
+        StreamTable<String> table = tableWithLimit(10);
+        int partial = table.open("partial");
+        int complete = table.open("complete");
+        table.endStreamWritten(complete);
+        StreamTable.AttemptEnd<String> end = table.withdraw(partial);
         assertEquals(Outcome.NEVER_SENT, end.outcome());
-        assertTrue(end.unsent(), "its stream is to be reset now");
-        assertNull(table.withdrawn(half), "once");
-        assertNull(table.withdrawn(whole));
-        assertEquals("whole", table.attempt(whole));
+        assertTrue(end.requestIncomplete(), "its stream must be reset immediately");
+        assertNull(table.withdraw(partial), "only once");
+        assertNull(table.withdraw(complete));
+        assertEquals("complete", table.attempt(complete));
     }
 }
