--- a/src/main/java/pondridge/http2/StreamTable.java
+++ b/src/main/java/pondridge/http2/StreamTable.java
@@ -116,7 +116,7 @@
     /** Opens a stream for an attempt and returns its id. */
     int open(T attempt) {
         if (!canOpen()) {
-            throw new IllegalStateException("no stream available: connection closing or stream limit reached");
+            throw new IllegalStateException("no stream available on this connection");
         }
         int id = (int) nextId;
         nextId += 2;
