--- a/src/main/java/pondridge/gateway/AnswerMemory.java
+++ b/src/main/java/pondridge/gateway/AnswerMemory.java
@@ -8,157 +8,162 @@
 import java.util.Map;
 
 /**
- * What a gateway answered to keyed requests that came by a link, so that a repeat whose first answer was lost
- * on the way back gets the same one and no second run, and one that comes while the first still runs joins
- * it. Bounded in entries and bytes. When it is full the oldest answers give way, then new requests are not
- * remembered: both are safe, since the servers themselves drop repeats within the window, and a repeat is
- * sent only within it. Nothing is remembered of a request that was not served. Times in nanoseconds, on one
- * clock.
+ * Caches responses to keyed requests received over a link. A repeat whose first response was lost gets the
+ * same response and no second run; a repeat that arrives during the first run joins it. Bounded in entries
+ * and bytes: when full, the responses that expire first are evicted, then new requests are not cached. Both
+ * are safe, since the servers themselves drop repeats within the key's window, and a repeat is sent only
+ * within it. Nothing is cached for a request that was not served. Times are in nanoseconds on one clock.
  *
- * @param <C> who waits for an answer
- * @param <A> answers
+ * @param <W> waiters for a response
+ * @param <R> responses
  */
-final class AnswerMemory<C, A> {
-    /** What is to be done with a request. */
-    enum Verdict {
-        /** Run it and tell {@link #ended}. */
+final class AnswerMemory<W, R> {
+    /** How to handle a request. */
+    enum Decision {
+        /** Run it and call {@link #complete}. */
         RUN,
-        /** Run it; there is no room to remember it, and {@link #ended} must not be told. */
-        RUN_UNREMEMBERED,
-        /** The same is running: the caller has joined it and is among those that {@link #ended} gives. */
+        /** Run it; the cache is full of running requests, and {@link #complete} must not be called. */
+        RUN_UNCACHED,
+        /**
+         * The same request is running: the caller has joined it and is among the waiters that {@link
+         * #complete} returns.
+         */
         JOINED,
-        /** Give the answer that {@link #answer} holds. */
+        /** Send the response that {@link #response} returns. */
         REPLAY,
-        /** The key stands for another request, or too many wait for this one. */
-        REFUSE
+        /** The key belongs to a different request, or too many wait for this one. */
+        REJECT
     }
 
-    private static final class Entry<C, A> {
+    private static final class Entry<W, R> {
         private final String digest;
-        private final List<C> waiting = new ArrayList<>(1);
-        private A answer;
-        private int bytes;
-        private long until;
+        private final List<W> waiters = new ArrayList<>(1);
+        private R response;
+        private int sizeBytes;
+        private long expiresAt;
 
         Entry(String digest) {
             this.digest = digest;
         }
     }
 
-    private record Ageing(String key, long until) {}
+    private record Expiry(String key, long expiresAt) {}
 
-    private final int most;
-    private final long mostBytes;
-    private final int mostJoined;
-    private final Map<String, Entry<C, A>> entries = new LinkedHashMap<>();
-    /** Answered ones, by how long they are kept, each line in the order it ends. */
-    private final Map<Long, ArrayDeque<Ageing>> answered = new HashMap<>();
+    private final int maxEntries;
+    private final long maxBytes;
+    private final int maxWaiters;
+    private final Map<String, Entry<W, R>> entries = new LinkedHashMap<>();
+    /** Completed entries by time to live; each queue is in order of expiry. */
+    private final Map<Long, ArrayDeque<Expiry>> expiriesByTtl = new HashMap<>();
 
     private long bytes;
 
     /**
-     * An empty memory.
+     * An empty cache.
      *
-     * @param most requests in it, running ones among them
-     * @param mostBytes of all answers in it
-     * @param mostJoined that may wait for one run, the first among them
+     * @param maxEntries requests in it, running ones included
+     * @param maxBytes of all responses in it
+     * @param maxWaiters that may wait for one run, the first included
      */
-    AnswerMemory(int most, long mostBytes, int mostJoined) {
-        this.most = most;
-        this.mostBytes = mostBytes;
-        this.mostJoined = mostJoined;
+    AnswerMemory(int maxEntries, long maxBytes, int maxWaiters) {
+        this.maxEntries = maxEntries;
+        this.maxBytes = maxBytes;
+        this.maxWaiters = maxWaiters;
     }
 
-    /** A request has come: {@code key} names it, {@code digest} all that makes it the same request. */
-    Verdict ask(String key, String digest, C asker, long now) {
-        forget(now);
-        Entry<C, A> entry = entries.get(key);
+    /**
+     * Decides how to handle a request: {@code key} identifies it, {@code digest} covers all that makes it the
+     * same request.
+     */
+    Decision admit(String key, String digest, W waiter, long now) {
+        removeExpired(now);
+        Entry<W, R> entry = entries.get(key);
         if (entry == null) {
-            if (entries.size() >= most && !evict()) {
-                return Verdict.RUN_UNREMEMBERED;
+            if (entries.size() >= maxEntries && !evict()) {
+                return Decision.RUN_UNCACHED;
             }
             entry = new Entry<>(digest);
-            entry.waiting.add(asker);
+            entry.waiters.add(waiter);
             entries.put(key, entry);
-            return Verdict.RUN;
+            return Decision.RUN;
         }
         if (!entry.digest.equals(digest)) {
-            return Verdict.REFUSE;
+            return Decision.REJECT;
         }
-        if (entry.answer != null) {
-            return Verdict.REPLAY;
+        if (entry.response != null) {
+            return Decision.REPLAY;
         }
-        if (entry.waiting.size() >= mostJoined) {
-            return Verdict.REFUSE;
+        if (entry.waiters.size() >= maxWaiters) {
+            return Decision.REJECT;
         }
-        entry.waiting.add(asker);
-        return Verdict.JOINED;
+        entry.waiters.add(waiter);
+        return Decision.JOINED;
     }
 
-    /** The answer to a request that {@link #ask} said to replay. */
-    A answer(String key) {
-        return entries.get(key).answer;
+    /** The response for a request that {@link #admit} decided to replay. */
+    R response(String key) {
+        return entries.get(key).response;
     }
 
     /**
-     * A run has ended; gives all who wait for it.
+     * Completes a run and returns all who wait for it.
      *
-     * @param answer what is kept, or null if it was not served
-     * @param size of the answer in bytes
-     * @param keep for how long
+     * @param response what is cached, or null if it was not served
+     * @param sizeBytes of the response
+     * @param ttlNanos how long the response is cached
      */
-    List<C> ended(String key, A answer, int size, long keep, long now) {
-        Entry<C, A> entry = entries.get(key);
-        List<C> told = List.copyOf(entry.waiting);
-        entry.waiting.clear();
-        if (answer == null || keep <= 0 || size > mostBytes) {
+    List<W> complete(String key, R response, int sizeBytes, long ttlNanos, long now) {
+        Entry<W, R> entry = entries.get(key);
+        List<W> notified = List.copyOf(entry.waiters);
+        entry.waiters.clear();
+        if (response == null || ttlNanos <= 0 || sizeBytes > maxBytes) {
             entries.remove(key);
-            return told;
+            return notified;
         }
-        entry.answer = answer;
-        entry.bytes = size;
-        entry.until = now + keep;
-        bytes += size;
-        answered.computeIfAbsent(keep, each -> new ArrayDeque<>()).add(new Ageing(key, entry.until));
-        while (bytes > mostBytes) {
+        entry.response = response;
+        entry.sizeBytes = sizeBytes;
+        entry.expiresAt = now + ttlNanos;
+        bytes += sizeBytes;
+        expiriesByTtl.computeIfAbsent(ttlNanos, each -> new ArrayDeque<>()).add(new Expiry(key, entry.expiresAt));
+        while (bytes > maxBytes) {
             evict();
         }
-        return told;
+        return notified;
     }
 
-    /** Requests that it holds. */
+    /** The number of requests, running ones included. */
     int size() {
         return entries.size();
     }
 
-    /** Bytes of all answers that it holds. */
+    /** Bytes of all cached responses. */
     long bytes() {
         return bytes;
     }
 
-    private void forget(long now) {
-        for (ArrayDeque<Ageing> line : answered.values()) {
-            while (!line.isEmpty() && line.peek().until - now <= 0) {
-                drop(line.poll().key);
+    private void removeExpired(long now) {
+        for (ArrayDeque<Expiry> queue : expiriesByTtl.values()) {
+            while (!queue.isEmpty() && queue.peek().expiresAt - now <= 0) {
+                remove(queue.poll().key);
             }
         }
     }
 
-    /** Drops the answer that would end first; false if there is none. */
+    /** Removes the response that would expire first; false if there is none. */
     private boolean evict() {
-        ArrayDeque<Ageing> first = null;
-        for (ArrayDeque<Ageing> line : answered.values()) {
-            if (!line.isEmpty() && (first == null || line.peek().until - first.peek().until < 0)) {
-                first = line;
+        ArrayDeque<Expiry> first = null;
+        for (ArrayDeque<Expiry> queue : expiriesByTtl.values()) {
+            if (!queue.isEmpty() && (first == null || queue.peek().expiresAt - first.peek().expiresAt < 0)) {
+                first = queue;
             }
         }
         if (first != null) {
-            drop(first.poll().key);
+            remove(first.poll().key);
         }
         return first != null;
     }
 
-    private void drop(String key) {
-        bytes -= entries.remove(key).bytes;
+    private void remove(String key) {
+        bytes -= entries.remove(key).sizeBytes;
     }
 }
--- a/src/main/java/pondridge/gateway/CreditControl.java
+++ b/src/main/java/pondridge/gateway/CreditControl.java
@@ -1,39 +1,39 @@
 package pondridge.gateway;
 
 /**
- * How many requests of one other site a gateway takes at a time: grows by one while its own site serves them,
- * halves when it turns one away, at most once in a while, and never falls to nothing, since then nobody would
- * find out that the site has recovered. Additive increase, multiplicative decrease (Chiu and Jain, 1989).
- * Times in nanoseconds.
+ * Limits how many requests of one other site this gateway takes at a time. The limit grows by one for each
+ * limit's worth of served requests and halves, at most once per interval, when the local site rejects one. It
+ * never falls to 0, since then nobody would find out that the site has recovered. Additive increase,
+ * multiplicative decrease (Chiu and Jain, 1989). Times are in nanoseconds.
  */
 final class CreditControl {
-    private static final int LEAST = 1;
-    private final int most;
-    private final long pause;
+    private static final int MIN_LIMIT = 1;
+    private final int maxInFlight;
+    private final long halvingIntervalNanos;
     private double limit;
     private int inFlight;
     private long halvedAt;
 
     /**
-     * Full credit.
+     * Starts at the full limit.
      *
-     * @param most requests at a time
-     * @param pause after a halving until the next
+     * @param maxInFlight highest limit of requests at a time
+     * @param halvingIntervalNanos shortest time between two halvings
      */
-    CreditControl(int most, long pause, long now) {
-        this.most = most;
-        this.pause = pause;
-        this.limit = most;
-        this.halvedAt = now - pause;
+    CreditControl(int maxInFlight, long halvingIntervalNanos, long now) {
+        this.maxInFlight = maxInFlight;
+        this.halvingIntervalNanos = halvingIntervalNanos;
+        this.limit = maxInFlight;
+        this.halvedAt = now - halvingIntervalNanos;
     }
 
-    /** How many more it takes just now. */
+    /** How many more requests are taken now. */
     int credit() {
         return Math.max(0, (int) limit - inFlight);
     }
 
-    /** Takes one, if there is credit. */
-    boolean take() {
+    /** Takes one request if there is credit. */
+    boolean tryTake() {
         if (credit() == 0) {
             return false;
         }
@@ -41,27 +41,30 @@
         return true;
     }
 
-    /** One has ended; {@code turnedAway} if the own site had no room for it. */
-    void ended(boolean turnedAway, long now) {
+    /** Records the end of a request; {@code rejected} if the local site had no capacity for it. */
+    void requestEnded(boolean rejected, long now) {
         inFlight--;
-        if (!turnedAway) {
-            limit = Math.min(most, limit + 1 / limit);
+        if (!rejected) {
+            limit = Math.min(maxInFlight, limit + 1 / limit);
         } else {
             halve(now, 1);
         }
     }
 
-    /** The own clients suffer while these are in work. */
-    void pressed(long now) {
+    /** Halves the limit because local clients miss their deadlines while these requests are being processed. */
+    void localClientsOverloaded(long now) {
         if (inFlight > 0) {
             halve(now, 0);
         }
     }
 
-    /** Of what is really in use: a limit far above it would have to be halved over and over to be felt. */
+    /**
+     * Halves from the number in flight if that is lower: a limit far above the use would need several
+     * halvings to have an effect.
+     */
     private void halve(long now, int justEnded) {
-        if (now - halvedAt >= pause) {
-            limit = Math.max(LEAST, Math.min(limit, inFlight + justEnded) / 2);
+        if (now - halvedAt >= halvingIntervalNanos) {
+            limit = Math.max(MIN_LIMIT, Math.min(limit, inFlight + justEnded) / 2);
             halvedAt = now;
         }
     }
--- a/src/main/java/pondridge/gateway/CrossingBudget.java
+++ b/src/main/java/pondridge/gateway/CrossingBudget.java
@@ -5,113 +5,123 @@
 import pondridge.Balancer.RequestClass;
 
 /**
- * How much may cross to other sites, so that a failing site can't drown a healthy one: a rate and a share of
- * what came, over all classes and, where that is set, of a class. Of the common part a class leaves some
- * behind for the others: what is worth less leaves more, unless that is set. Times in nanoseconds.
+ * Limits how many requests are sent to other sites, so that a failing site can't overload a healthy one. The
+ * limit is a rate and a share of the arriving requests, over all classes and, where configured, for one
+ * class. Each class leaves a reserve of the common budget to the others; by default a class of lower worth
+ * leaves more. Times are in nanoseconds.
  */
 final class CrossingBudget {
-    /** The class worth least leaves so much of the common burst behind; the others less, by their worth. */
-    private static final double KEPT_BY_LEAST = 0.6;
+    /** The part of the common burst that the class of least worth leaves to the others by default. */
+    private static final double MAX_RESERVED_FRACTION = 0.6;
 
     /**
-     * A bound.
+     * A token bucket limit.
      *
-     * @param perSecond requests that may cross in a second
-     * @param burst how many may at once
-     * @param share the part of all that came that may
+     * @param perSecond requests that may be sent to other sites in a second
+     * @param burst how many may be sent at once
+     * @param arrivalShare the fraction of all arriving requests that may be sent
      */
-    record Rate(double perSecond, double burst, double share) {}
+    record Rate(double perSecond, double burst, double arrivalShare) {}
 
     /**
-     * A class's part.
+     * The limit of one request class.
      *
-     * @param own its own bound, null for none but the common one
-     * @param kept the part of the common burst that it leaves behind for others, from 0 to 1
+     * @param rate the class's own limit, null if only the common one applies
+     * @param reservedFraction the part of the common burst that it leaves to other classes, from 0 to 1
      */
-    record Part(Rate own, double kept) {}
+    record ClassLimit(Rate rate, double reservedFraction) {}
 
     private static final class Bucket {
         private final Rate rate;
-        private double byRate;
-        private double byShare;
-        private long at;
-        private double leased;
+        private double rateTokens;
+        private double arrivalTokens;
+        private long refilledAt;
+        private double leasedPerSecond;
         private long leasedUntil;
 
         Bucket(Rate rate, long now) {
             this.rate = rate;
-            this.byRate = rate.burst;
-            this.byShare = rate.burst;
-            this.at = now;
+            this.rateTokens = rate.burst;
+            this.arrivalTokens = rate.burst;
+            this.refilledAt = now;
             this.leasedUntil = now;
         }
 
-        private void came() {
-            byShare = Math.min(rate.burst, byShare + rate.share);
+        private void requestArrived() {
+            arrivalTokens = Math.min(rate.burst, arrivalTokens + rate.arrivalShare);
         }
 
-        private double holds(long now) {
-            double lent = Math.max(0, Math.min(now, leasedUntil) - at);
-            double own = Math.max(0, now - at) - lent;
-            byRate = Math.min(rate.burst, byRate + (lent * leased + own * rate.perSecond) / 1e9);
-            at = Math.max(at, now);
-            return Math.min(byRate, byShare);
+        private double availableTokens(long now) {
+            double leasedNanos = Math.max(0, Math.min(now, leasedUntil) - refilledAt);
+            double defaultNanos = Math.max(0, now - refilledAt) - leasedNanos;
+            rateTokens = Math.min(
+                    rate.burst, rateTokens + (leasedNanos * leasedPerSecond + defaultNanos * rate.perSecond) / 1e9);
+            refilledAt = Math.max(refilledAt, now);
+            return Math.min(rateTokens, arrivalTokens);
         }
 
         private void take() {
-            byRate--;
-            byShare--;
+            rateTokens--;
+            arrivalTokens--;
         }
     }
 
     private final Bucket common;
-    private final List<Bucket> own = new ArrayList<>();
-    private final List<Part> parts;
+    private final List<Bucket> classBuckets = new ArrayList<>();
+    private final List<ClassLimit> classLimits;
 
-    /** A full budget; {@code parts} by the class's number. */
-    CrossingBudget(Rate common, List<Part> parts, long now) {
+    /** A full budget; {@code classLimits} by class number. */
+    CrossingBudget(Rate common, List<ClassLimit> classLimits, long now) {
         this.common = new Bucket(common, now);
-        this.parts = List.copyOf(parts);
-        parts.forEach(part -> own.add(part.own == null ? null : new Bucket(part.own, now)));
+        this.classLimits = List.copyOf(classLimits);
+        classLimits.forEach(limit -> classBuckets.add(limit.rate == null ? null : new Bucket(limit.rate, now)));
     }
 
-    /** Until then this rate holds over all classes, in place of this gateway's own part of the site's. */
+    /**
+     * Replaces this gateway's default part of the site's rate by a leased rate, over all classes, until the
+     * given time.
+     */
     void lease(double perSecond, long now, long until) {
-        common.holds(now);
-        common.leased = perSecond;
+        common.availableTokens(now);
+        common.leasedPerSecond = perSecond;
         common.leasedUntil = until;
     }
 
-    /** What each class leaves behind where nothing is set: by its worth, nothing for the one worth most. */
-    static double usuallyKept(List<RequestClass> classes, int number) {
+    /**
+     * The default reserve of a class: proportional to how far its worth is below the highest; 0 for the class
+     * of highest worth.
+     */
+    static double defaultReservedFraction(List<RequestClass> classes, int requestClass) {
         double best = classes.stream().mapToDouble(RequestClass::worth).max().orElse(1);
         double least = classes.stream().mapToDouble(RequestClass::worth).min().orElse(0);
-        return best == least ? 0 : KEPT_BY_LEAST * (best - classes.get(number).worth()) / (best - least);
+        return best == least
+                ? 0
+                : MAX_RESERVED_FRACTION * (best - classes.get(requestClass).worth()) / (best - least);
     }
 
-    /** One more request of a class has come from a client. */
-    void came(int number) {
-        common.came();
-        if (own.get(number) != null) {
-            own.get(number).came();
+    /** Records the arrival of a request from a client. */
+    void requestArrived(int requestClass) {
+        common.requestArrived();
+        if (classBuckets.get(requestClass) != null) {
+            classBuckets.get(requestClass).requestArrived();
         }
     }
 
-    /** The part of what is free, here and at another site, that a class leaves behind for the others. */
-    double kept(int number) {
-        return parts.get(number).kept;
+    /** The part of the free capacity, here and at another site, that a class leaves to the others. */
+    double reservedFraction(int requestClass) {
+        return classLimits.get(requestClass).reservedFraction;
     }
 
-    /** Whether one of a class may cross now; it then counts. */
-    boolean take(int number, long now) {
-        Bucket its = own.get(number);
-        double free = common.holds(now) - parts.get(number).kept * common.rate.burst;
-        if (free < 1 || its != null && its.holds(now) < 1) {
+    /** Takes a token for one request of a class; false if it must not be sent to another site now. */
+    boolean tryTake(int requestClass, long now) {
+        Bucket ofClass = classBuckets.get(requestClass);
+        double free = common.availableTokens(now) - classLimits.get(requestClass).reservedFraction * common.rate.burst;
+        if (free < 1 || ofClass != null && ofClass.availableTokens(now) < 1) {
             return false;
         }
         common.take();
-        if (its != null) {
-            its.take();
+        if (ofClass != null) {
+            ofClass.take();
         }
         return true;
     }
--- a/src/main/java/pondridge/gateway/Dispatcher.java
+++ b/src/main/java/pondridge/gateway/Dispatcher.java
@@ -16,90 +16,94 @@
 import pondridge.core.Tried;
 
 /**
- * Carries each request through the steps its {@link Router} names, from one engine to the next, until it has
- * its final answer. Decides nothing itself. On the event loop only.
+ * Executes the steps that {@link Router} decides for each request, submitting it to one engine after another
+ * until it has its final response. Makes no routing decisions itself. On the event loop only.
  */
 final class Dispatcher implements Requests {
-    /** What is kept off a client's time for the answer's way back to it. */
-    private static final long ANSWER_ROOM = 5_000_000;
+    /** Subtracted from the client's timeout to leave time to send the response. */
+    private static final long RESPONSE_MARGIN_NANOS = 5_000_000;
 
-    /** What has come of requests; told to whoever shows it. */
+    /** Counts of requests by result. */
     static final class Counts {
-        long asked;
+        long received;
         long served;
         long refused;
         long failed;
         long crossed;
         long crossedServed;
-        long byLink;
+        long fromLink;
     }
 
     private final EventLoop loop;
     private final String site;
     private final Router router;
-    private final OwnSite ownSite;
-    private final Engine own;
-    private final Map<String, FarSite> others;
+    private final OwnSite localSite;
+    private final Engine localEngine;
+    private final Map<String, RemoteSite> remoteSites;
     private final JobReader reader;
-    private final long freshness;
+    private final long maxDeliveryNanos;
     private final LongSupplier clock;
-    private final Map<Long, Journey> journeys = new HashMap<>();
+    private final Map<Long, RoutedRequest> openRequests = new HashMap<>();
     private final Counts counts = new Counts();
     private final Log log;
-    private final Pressure pressure = new Pressure();
-    private OwnSite.State told = OwnSite.State.IN;
-    private Runnable pressed = () -> {};
+    private final Pressure sloMonitor = new Pressure();
+    private OwnSite.State loggedState = OwnSite.State.IN;
+    private Runnable overloadListener = () -> {};
     private long lastId;
 
     Dispatcher(
             EventLoop loop,
             String site,
             Router router,
-            OwnSite ownSite,
-            Engine own,
-            Map<String, FarSite> others,
+            OwnSite localSite,
+            Engine localEngine,
+            Map<String, RemoteSite> remoteSites,
             JobReader reader,
-            long freshness,
+            long maxDeliveryNanos,
             Log log,
             LongSupplier clock) {
         this.log = log;
         this.loop = loop;
         this.site = site;
         this.router = router;
-        this.ownSite = ownSite;
-        this.own = own;
-        this.others = others;
+        this.localSite = localSite;
+        this.localEngine = localEngine;
+        this.remoteSites = remoteSites;
         this.reader = reader;
-        this.freshness = freshness;
+        this.maxDeliveryNanos = maxDeliveryNanos;
         this.clock = clock;
     }
 
-    /** Whom to tell when the own clients suffer at their own site. */
-    void whenPressed(Runnable listener) {
-        pressed = listener;
+    /**
+     * Sets the listener for overload of the local site: too many of its own clients' requests miss their
+     * deadline.
+     */
+    void onLocalOverload(Runnable listener) {
+        overloadListener = listener;
     }
 
-    /** Says in the log when the own site counts as cut, as returning, or as back. */
-    void tellOwnSite() {
-        OwnSite.State now = ownSite.state();
-        if (now != told) {
-            told = now;
+    /** Logs a change of the local site's state. */
+    void logLocalSiteState() {
+        OwnSite.State now = localSite.state();
+        if (now != loggedState) {
+            loggedState = now;
             log.warn(
                     "own_site",
                     "",
                     switch (now) {
-                        case CUT -> "cut, " + ownSite.why();
-                        case RETURNING -> "returning, " + ownSite.why();
+                        case CUT -> "cut, " + localSite.reason();
+                        case RETURNING -> "returning, " + localSite.reason();
                         case IN -> "in, it has all its requests again";
                     });
         }
     }
 
-    private void ownEnded(Journey journey, boolean served) {
-        if (!journey.trail.byLink()
-                && ownSite.state() == OwnSite.State.IN
-                && pressure.ended(served && clock.getAsLong() - journey.began <= journey.kind.aim())) {
-            pressed.run();
+    private void localAttemptEnded(RoutedRequest request, boolean served) {
+        if (!request.history.fromLink()
+                && localSite.state() == OwnSite.State.IN
+                && sloMonitor.requestEnded(
+                        served && clock.getAsLong() - request.startedAt <= request.requestClass.aim())) {
+            overloadListener.run();
         }
     }
 
@@ -107,121 +111,127 @@
         return counts;
     }
 
-    /** Requests that have no answer yet. */
-    int open() {
-        return journeys.size();
+    /** Requests without a response so far. */
+    int openRequests() {
+        return openRequests.size();
     }
 
-    /** Takes a client's request. */
+    /** Takes a request of a client of this site. */
     @Override
     public long submit(Job job, Client client) {
         return begin(job, client, false);
     }
 
-    /** Takes a request that has come by a link. */
+    /** Takes a request received from another site over a link. */
     long submitFromLink(Job job, Client client) {
-        counts.byLink++;
+        counts.fromLink++;
         return begin(job, client, true);
     }
 
-    private long begin(Job job, Client client, boolean byLink) {
+    private long begin(Job job, Client client, boolean fromLink) {
         long id = ++lastId;
-        Journey journey = new Journey(id, job, client, byLink);
-        journeys.put(id, journey);
-        counts.asked += byLink ? 0 : 1;
-        router.came(journey.trail);
-        journey.next();
+        RoutedRequest request = new RoutedRequest(id, job, client, fromLink);
+        openRequests.put(id, request);
+        counts.received += fromLink ? 0 : 1;
+        router.requestArrived(request.history);
+        request.advance();
         return id;
     }
 
     @Override
     public void hangup(long id) {
-        Journey journey = journeys.remove(id);
-        if (journey != null) {
-            journey.over = true;
-            if (journey.at != null) {
-                journey.at.hangup(journey.atId);
+        RoutedRequest request = openRequests.remove(id);
+        if (request != null) {
+            request.finished = true;
+            if (request.processor != null) {
+                request.processor.hangup(request.processorRequestId);
             }
         }
     }
 
-    /** What of a request is the same when its client asks again: its key, else what it is about. */
-    private static long lasting(Job job) {
+    /**
+     * A hash that stays the same when the client repeats the request: of its idempotency key, else of its
+     * URI.
+     */
+    private static long affinityKey(Job job) {
         String key = job.headers().get("Idempotency-Key");
         return key == null ? job.uri().hashCode() : key.hashCode();
     }
 
-    /** One request on its way; the client of whichever engine has it. */
-    private final class Journey implements Client {
+    /** One request; the client of the engine that it is submitted to. */
+    private final class RoutedRequest implements Client {
         private final long id;
         private final Job job;
         private final Client client;
-        private final RequestClass kind;
-        private final Trail trail;
+        private final RequestClass requestClass;
+        private final Trail history;
         private final long deadline;
-        private final long began;
-        private Requests at;
-        private long atId;
-        private int legs;
-        private boolean across;
-        private Tried tried;
-        private long advice;
-        private int sent;
-        private int reached;
-        private boolean over;
+        private final long startedAt;
+        private Requests processor;
+        private long processorRequestId;
+        private int submissions;
+        private boolean atRemoteSite;
+        private Tried lastAttempts;
+        private long retryAfter;
+        private int attemptsSent;
+        private int responsesReceived;
+        private boolean finished;
 
-        Journey(long id, Job job, Client client, boolean byLink) {
+        RoutedRequest(long id, Job job, Client client, boolean fromLink) {
             this.id = id;
             this.job = job;
             this.client = client;
-            this.kind = reader.kind(job);
-            this.trail = new Trail(job.requestClass(), byLink, lasting(job));
-            this.began = clock.getAsLong();
-            this.deadline = began + Math.max(1, job.waitMs() * 1_000_000 - ANSWER_ROOM);
+            this.requestClass = reader.kind(job);
+            this.history = new Trail(job.requestClass(), fromLink, affinityKey(job));
+            this.startedAt = clock.getAsLong();
+            this.deadline = startedAt + Math.max(1, job.waitMs() * 1_000_000 - RESPONSE_MARGIN_NANOS);
         }
 
-        private void next() {
+        private void advance() {
             long now = clock.getAsLong();
-            Map<String, Router.Site> views = new LinkedHashMap<>();
-            others.forEach((name, other) -> views.put(name, other.view(now)));
-            Router.Step step = router.next(now, kind, deadline, trail, views);
-            tellOwnSite();
-            if (step instanceof Router.Own way) {
-                trail.sent(site, now);
-                across = false;
-                go(own, job.within(way.left()));
-            } else if (step instanceof Router.Across way) {
+            Map<String, Router.SiteSnapshot> snapshots = new LinkedHashMap<>();
+            remoteSites.forEach((name, remoteSite) -> snapshots.put(name, remoteSite.snapshot(now)));
+            Router.Step step = router.nextStep(now, requestClass, deadline, history, snapshots);
+            logLocalSiteState();
+            if (step instanceof Router.Local local) {
+                history.attemptSent(site, now);
+                atRemoteSite = false;
+                submitTo(localEngine, job.within(local.timeLeftNanos()));
+            } else if (step instanceof Router.Remote target) {
                 counts.crossed++;
-                trail.sent(way.site(), now);
-                across = true;
-                long told =
-                        way.window() == Long.MAX_VALUE ? way.left() : Math.min(way.left(), way.window() - freshness);
-                CrossingHeaders headers = new CrossingHeaders(job.headers(), site, now + told);
-                long trip = deadline - now - way.left();
-                go(others.get(way.site()).engine(), job.with(headers).within(Math.min(deadline - now, told + trip)));
+                history.attemptSent(target.site(), now);
+                atRemoteSite = true;
+                long remoteTimeNanos = target.keyWindowNanos() == Long.MAX_VALUE
+                        ? target.timeLeftNanos()
+                        : Math.min(target.timeLeftNanos(), target.keyWindowNanos() - maxDeliveryNanos);
+                CrossSiteHeaders headers = new CrossSiteHeaders(job.headers(), site, now + remoteTimeNanos);
+                long roundTripNanos = deadline - now - target.timeLeftNanos();
+                submitTo(
+                        remoteSites.get(target.site()).engine(),
+                        job.with(headers).within(Math.min(deadline - now, remoteTimeNanos + roundTripNanos)));
             } else if (step instanceof Router.Wait wait) {
-                at = null;
+                processor = null;
                 loop.schedule(
                         () -> {
-                            if (!over) {
-                                next();
+                            if (!finished) {
+                                advance();
                             }
                         },
-                        wait.delay(),
+                        wait.delayNanos(),
                         TimeUnit.NANOSECONDS);
             } else {
-                end(step instanceof Router.Refuse);
+                finishUnserved(step instanceof Router.Refuse);
             }
         }
 
-        private void go(Requests to, Job leg) {
-            int number = ++legs;
-            at = to;
-            atId = 0;
-            long given = to.submit(leg, this);
-            // It may have ended within that call, and be elsewhere by now.
-            if (number == legs) {
-                atId = given;
+        private void submitTo(Requests target, Job submission) {
+            int submissionNumber = ++submissions;
+            processor = target;
+            processorRequestId = 0;
+            long assignedId = target.submit(submission, this);
+            // The request may have ended within that call and have been submitted elsewhere since.
+            if (submissionNumber == submissions) {
+                processorRequestId = assignedId;
             }
         }
 
@@ -231,63 +241,63 @@
         }
 
         @Override
-        public void tried(Tried what) {
-            tried = what;
-            sent += what.sent();
-            reached += what.reached();
+        public void tried(Tried attempts) {
+            lastAttempts = attempts;
+            attemptsSent += attempts.sent();
+            responsesReceived += attempts.reached();
         }
 
         @Override
         public void served(Answer answer) {
-            if (!across) {
-                ownSite.ended(true, clock.getAsLong());
-                ownEnded(this, true);
+            if (!atRemoteSite) {
+                localSite.attemptEnded(true, clock.getAsLong());
+                localAttemptEnded(this, true);
             }
-            counts.crossedServed += across ? 1 : 0;
-            counts.served += trail.byLink() ? 0 : 1;
+            counts.crossedServed += atRemoteSite ? 1 : 0;
+            counts.served += history.fromLink() ? 0 : 1;
             finish();
             client.served(answer);
         }
 
         @Override
         public void refused(long wait) {
-            advice = wait;
-            legEnded();
+            retryAfter = wait;
+            submissionUnserved();
         }
 
         @Override
         public void failed() {
-            legEnded();
+            submissionUnserved();
         }
 
-        private void legEnded() {
-            trail.ended(!tried.mayHaveRun());
-            if (!across) {
-                ownEnded(this, false);
+        private void submissionUnserved() {
+            history.attemptEnded(!lastAttempts.mayHaveRun());
+            if (!atRemoteSite) {
+                localAttemptEnded(this, false);
             }
-            if (!across && tried.sent() > 0) {
-                ownSite.ended(tried.reached() > 0, clock.getAsLong());
+            if (!atRemoteSite && lastAttempts.sent() > 0) {
+                localSite.attemptEnded(lastAttempts.reached() > 0, clock.getAsLong());
             }
-            if (!over) {
-                next();
+            if (!finished) {
+                advance();
             }
         }
 
-        private void end(boolean harmless) {
-            counts.refused += harmless && !trail.byLink() ? 1 : 0;
-            counts.failed += harmless || trail.byLink() ? 0 : 1;
+        private void finishUnserved(boolean safeToRetry) {
+            counts.refused += safeToRetry && !history.fromLink() ? 1 : 0;
+            counts.failed += safeToRetry || history.fromLink() ? 0 : 1;
             finish();
-            client.tried(new Tried(sent, reached, trail.doubt() != null));
-            if (harmless) {
-                client.refused(advice);
+            client.tried(new Tried(attemptsSent, responsesReceived, history.firstUncertain() != null));
+            if (safeToRetry) {
+                client.refused(retryAfter);
             } else {
                 client.failed();
             }
         }
 
         private void finish() {
-            over = true;
-            journeys.remove(id);
+            finished = true;
+            openRequests.remove(id);
         }
     }
 }
--- a/src/main/java/pondridge/gateway/Gateway.java
+++ b/src/main/java/pondridge/gateway/Gateway.java
@@ -38,40 +38,40 @@
 import pondridge.store.Sharing;
 
 /**
- * One gateway of a site: takes clients' requests as the sidecar does and other sites' requests from its link,
- * and has a decision module for its own site's servers and one for each other site's gateways. On one event
- * loop; keeps nothing that another gateway would need for safety.
+ * One gateway of a site: takes clients' requests as the sidecar does and other sites' requests over links. It
+ * has a balancer engine for its own site's servers and one for the gateways of each other site. On one event
+ * loop; keeps no state that another gateway would need for safety.
  */
 public final class Gateway {
 
     private final EventLoop loop;
-    private final Engine own;
-    private final OwnSite ownSite;
+    private final Engine localEngine;
+    private final OwnSite localSite;
     private final Dispatcher dispatcher;
     private final Frontend frontend;
-    private final LinkFront linkFront;
+    private final LinkRequestHandler linkRequestHandler;
     private final GrpcFront grpc;
-    private final Map<String, FarSite> others = new LinkedHashMap<>();
+    private final Map<String, RemoteSite> remoteSites = new LinkedHashMap<>();
     private final Map<String, Target> servers = new HashMap<>();
-    private final Limits rules;
-    private long lastStart;
-    private final StartTimes starts;
+    private final Limits safetyLimits;
+    private long latestStartMillis;
+    private final StartTimes startTimes;
     private final SharedStore store;
     private final LinkTls tls;
-    private long certificatesTaken;
-    private long certificatesRefused;
-    private final long look;
+    private long certificateReloads;
+    private long certificateReloadFailures;
+    private final long certificateCheckNanos;
     private final Log log;
     private final LongSupplier clock;
 
     /**
-     * A gateway that does not listen yet; on its loop.
+     * A gateway that does not listen yet; to be called on its loop.
      *
-     * @param options of the platform: classes, tenants, rules
-     * @param upstreams the way to the own site's servers
-     * @param mostOpen requests that may be open at a time, and client connections
-     * @param clock nanoseconds that never run back, from any origin: none of its times leaves this gateway,
-     *     but in stamps that only itself reads
+     * @param options of the platform: classes, tenants, limits
+     * @param upstreams transport to the local site's servers
+     * @param maxOpenRequests limit of open requests, and of client connections
+     * @param clock monotonic nanoseconds from any origin: its times leave this gateway only in timestamps
+     *     that only this gateway reads
      * @throws IOException if a certificate can't be used
      */
     public Gateway(
@@ -80,7 +80,7 @@
             GatewaySettings settings,
             Transport upstreams,
             long seed,
-            int mostOpen,
+            int maxOpenRequests,
             LongSupplier clock)
             throws IOException {
         this.loop = loop;
@@ -88,64 +88,78 @@
         this.log = new Log(settings.site());
         long now = clock.getAsLong();
         GatewaySettings.Link link = settings.link();
-        GatewaySettings.Crossing crossing = settings.crossing();
+        GatewaySettings.CrossSite crossSite = settings.crossSite();
         this.tls = link.tls() == null ? null : new LinkTls(link.tls());
-        this.look = link.look();
-        this.own = new Engine(loop, options, seed, mostOpen, upstreams);
-        this.ownSite = new OwnSite(crossing.own(), now);
+        this.certificateCheckNanos = link.certificateCheckNanos();
+        this.localEngine = new Engine(loop, options, seed, maxOpenRequests, upstreams);
+        this.localSite = new OwnSite(crossSite.localSite(), now);
         CrossingBudget budget = new CrossingBudget(
-                crossing.common(),
-                crossing.parts(options.names("profiles"), options.settings().classes()),
+                crossSite.common(),
+                crossSite.classLimits(
+                        options.names("profiles"), options.settings().classes()),
                 now);
-        Split split = settings.plan() == null
+        Split split = settings.sitePlan() == null
                 ? Split.NONE
-                : Split.of(settings.plan(), settings.site(), options.names("profiles"));
-        Router router = new Router(settings.site(), ownSite, budget, crossing.leastWork(), link.freshness(), split);
-        this.rules = options.settings().limits();
-        this.starts = new StartTimes(settings.clockError() / 1_000_000);
+                : Split.of(settings.sitePlan(), settings.site(), options.names("profiles"));
+        Router router = new Router(
+                settings.site(), localSite, budget, crossSite.minWorkNanos(), link.maxDeliveryNanos(), split);
+        this.safetyLimits = options.settings().limits();
+        this.startTimes = new StartTimes(settings.maxClockErrorNanos() / 1_000_000);
         this.store = settings.store() == null
                 ? null
-                : Sharing.begin(loop, own, settings.store(), options.settings().limits(), seed);
+                : Sharing.begin(
+                        loop, localEngine, settings.store(), options.settings().limits(), seed);
         if (store != null) {
-            store.share(new CrossingParts(settings.site(), crossing.sitePerSecond(), budget, clock));
+            store.share(new SharedCrossSiteBudget(settings.site(), crossSite.sitePerSecond(), budget, clock));
         }
         JobReader reader = new JobReader(options);
         Random random = new Random(seed);
-        Options far = FarSite.options(options, link.freshness());
-        String self = Long.toHexString(random.nextLong());
-        FarSite.Own seen = new FarSite.Own(settings.site(), () -> Views.said(self, ownSite.state()), counts -> {
-            ownSite.others(counts, clock.getAsLong());
-            tellOwnSite();
-        });
+        Options remoteOptions = RemoteSite.engineOptions(options, link.maxDeliveryNanos());
+        String gatewayId = Long.toHexString(random.nextLong());
+        RemoteSite.LocalSiteInfo localSiteInfo = new RemoteSite.LocalSiteInfo(
+                settings.site(), () -> Views.format(gatewayId, localSite.state()), counts -> {
+                    localSite.applyPeerReports(counts, clock.getAsLong());
+                    logLocalSiteState();
+                });
         settings.sites()
-                .forEach((name, addresses) -> others.put(
+                .forEach((name, addresses) -> remoteSites.put(
                         name,
-                        new FarSite(
+                        new RemoteSite(
                                 loop,
-                                seen,
+                                localSiteInfo,
                                 name,
                                 addresses,
                                 link,
-                                far,
-                                new Http2Upstreams(loop, far, link.http2(), dialler(name)),
+                                remoteOptions,
+                                new Http2Upstreams(loop, remoteOptions, link.http2(), dialler(name)),
                                 random.nextLong(),
-                                mostOpen,
+                                maxOpenRequests,
                                 log,
                                 clock)));
         this.dispatcher = new Dispatcher(
-                loop, settings.site(), router, ownSite, own, others, reader, link.freshness(), log, clock);
-        this.frontend = new Frontend(dispatcher, options, mostOpen);
-        GrpcSettings spoken = settings.upstreams().grpc();
-        this.grpc = spoken == null || spoken.listen() == null
+                loop,
+                settings.site(),
+                router,
+                localSite,
+                localEngine,
+                remoteSites,
+                reader,
+                link.maxDeliveryNanos(),
+                log,
+                clock);
+        this.frontend = new Frontend(dispatcher, options, maxOpenRequests);
+        GrpcSettings grpcSettings = settings.upstreams().grpc();
+        this.grpc = grpcSettings == null || grpcSettings.listen() == null
                 ? null
-                : new GrpcFront(loop, spoken, options, dispatcher, Long.toHexString(random.nextLong()), log::warn);
-        this.linkFront = new LinkFront(
+                : new GrpcFront(
+                        loop, grpcSettings, options, dispatcher, Long.toHexString(random.nextLong()), log::warn);
+        this.linkRequestHandler = new LinkRequestHandler(
                 loop, link, tls, settings.sites().keySet(), dispatcher, reader, random.nextLong(), log, clock);
-        dispatcher.whenPressed(linkFront::pressed);
+        dispatcher.onLocalOverload(linkRequestHandler::onLocalOverload);
     }
 
-    private void tellOwnSite() {
-        dispatcher.tellOwnSite();
+    private void logLocalSiteState() {
+        dispatcher.logLocalSiteState();
     }
 
     private Dialler dialler(String site) {
@@ -154,36 +168,39 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .handler(tls == null ? initializer : secured(site, initializer))
+                .handler(tls == null ? initializer : withTls(site, initializer))
                 .connect(address);
     }
 
-    private ChannelHandler secured(String site, ChannelInitializer<Channel> above) {
+    private ChannelHandler withTls(String site, ChannelInitializer<Channel> next) {
         return new ChannelInitializer<>() {
             @Override
-            protected void initChannel(Channel made) {
-                made.pipeline().addLast(tls.client(made, site), above);
+            protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(tls.clientHandler(channel, site), next);
             }
         };
     }
 
-    /** Where a gateway listens for clients, and where for other sites. */
+    /** The addresses on which a gateway listens for clients and for other sites. */
     public record Doors(InetSocketAddress clients, InetSocketAddress sites) {}
 
     /**
-     * Begins with the list of servers as it was last known, and listens for clients and for other sites; on
-     * its loop. The future is told on the loop, with an {@link IOException} where listening fails.
+     * Starts with the last received server list and listens for clients and for other sites; to be called on
+     * its loop. The future completes on the loop, with an {@link IOException} if listening fails.
      */
-    public CompletableFuture<Doors> start(Directory source, List<Target> known, InetSocketAddress listen) {
-        List<Target> held = starts.held(ListKind.CACHED, known, System.currentTimeMillis());
-        note(ListKind.CACHED, held);
-        own.start(source, held);
+    public CompletableFuture<Doors> start(Directory discovery, List<Target> initialServers, InetSocketAddress listen) {
+        List<Target> localized =
+                startTimes.withLocalStartTimes(ListKind.CACHED, initialServers, System.currentTimeMillis());
+        recordServers(ListKind.CACHED, localized);
+        localEngine.start(discovery, localized);
         CompletableFuture<Doors> started = new CompletableFuture<>();
-        ChannelFuture forSites = linkFront.listen();
+        ChannelFuture forSites = linkRequestHandler.listen();
         ChannelFuture forClients = frontend.listen(loop, listen);
         ChannelFuture forGrpc = grpc == null ? forClients : grpc.listen();
-        forSites.addListener(done -> forClients.addListener(also -> forGrpc.addListener(third -> {
-            Throwable cause = !done.isSuccess() ? done.cause() : also.isSuccess() ? third.cause() : also.cause();
+        forSites.addListener(sitesBound -> forClients.addListener(clientsBound -> forGrpc.addListener(grpcBound -> {
+            Throwable cause = !sitesBound.isSuccess()
+                    ? sitesBound.cause()
+                    : clientsBound.isSuccess() ? grpcBound.cause() : clientsBound.cause();
             if (cause != null) {
                 started.completeExceptionally(new IOException("listening failed: " + cause.getMessage()));
                 return;
@@ -193,110 +210,118 @@
                 grpc.ready(true);
             }
             if (tls != null) {
-                loop.scheduleWithFixedDelay(this::refresh, look, look, TimeUnit.NANOSECONDS);
+                loop.scheduleWithFixedDelay(
+                        this::refreshCertificates, certificateCheckNanos, certificateCheckNanos, TimeUnit.NANOSECONDS);
             }
-            Doors doors = new Doors((InetSocketAddress) forClients.channel().localAddress(), (InetSocketAddress)
+            Doors addresses = new Doors((InetSocketAddress) forClients.channel().localAddress(), (InetSocketAddress)
                     forSites.channel().localAddress());
-            log.info("started", "", "clients at " + doors.clients + ", sites at " + doors.sites);
-            started.complete(doors);
+            log.info("started", "", "clients at " + addresses.clients + ", sites at " + addresses.sites);
+            started.complete(addresses);
         })));
         return started;
     }
 
-    private void refresh() {
+    private void refreshCertificates() {
         try {
             if (tls.refresh()) {
-                certificatesTaken++;
-                log.info("certificates", "", "new ones are taken for new connections");
+                certificateReloads++;
+                log.info("certificates", "", "reloaded for new connections");
             }
         } catch (IOException e) {
-            certificatesRefused++;
+            certificateReloadFailures++;
             log.warn("certificates", "", e.getMessage());
         }
     }
 
-    /** News of the list of the own site's servers. */
+    /** Applies an update of the local site's server list. */
     public void listed(ListKind kind, List<Target> targets) {
-        List<Target> held = starts.held(kind, targets, System.currentTimeMillis());
-        note(kind, held);
-        own.listed(kind, held);
+        List<Target> localized = startTimes.withLocalStartTimes(kind, targets, System.currentTimeMillis());
+        recordServers(kind, localized);
+        localEngine.listed(kind, localized);
     }
 
-    private void note(ListKind kind, List<Target> targets) {
+    private void recordServers(ListKind kind, List<Target> targets) {
         if (kind == ListKind.FULL) {
             servers.clear();
         }
         targets.forEach(target -> servers.put(target.uid(), target));
         servers.values().removeIf(each -> each.state() == State.GONE);
-        LongSummaryStatistics started = servers.values().stream()
+        LongSummaryStatistics startMillis = servers.values().stream()
                 .filter(each -> each.state() == State.READY)
                 .mapToLong(Target::startedMs)
                 .summaryStatistics();
-        long now = System.currentTimeMillis();
-        if (kind != ListKind.FAILED && started.getCount() == 0) {
-            ownSite.noneReady(clock.getAsLong());
-        } else if (started.getCount() > 0
-                && started.getMax() != lastStart
-                && now - started.getMin() < rules.rampTime() / 1_000_000) {
-            lastStart = started.getMax();
-            ownSite.started(
-                    clock.getAsLong() - Math.max(0, now - lastStart) * 1_000_000, rules.coldShare(), rules.rampTime());
+        long nowMillis = System.currentTimeMillis();
+        if (kind != ListKind.FAILED && startMillis.getCount() == 0) {
+            localSite.noServerReady(clock.getAsLong());
+        } else if (startMillis.getCount() > 0
+                && startMillis.getMax() != latestStartMillis
+                && nowMillis - startMillis.getMin() < safetyLimits.rampTime() / 1_000_000) {
+            latestStartMillis = startMillis.getMax();
+            localSite.serversStarted(
+                    clock.getAsLong() - Math.max(0, nowMillis - latestStartMillis) * 1_000_000,
+                    safetyLimits.coldShare(),
+                    safetyLimits.rampTime());
         }
-        tellOwnSite();
+        logLocalSiteState();
     }
 
-    /** Where it stands, for whoever shows it: counts by name. */
+    /** Counters and gauges by name. */
     public Map<String, Long> counts() {
         Dispatcher.Counts counts = dispatcher.counts();
-        Map<String, Long> shown = new LinkedHashMap<>();
-        shown.put("asked", counts.asked);
-        shown.put("served", counts.served);
-        shown.put("refused", counts.refused);
-        shown.put("failed", counts.failed);
-        shown.put("crossed", counts.crossed);
-        shown.put("crossed_served", counts.crossedServed);
-        shown.put("by_link", counts.byLink);
-        shown.put("open", (long) dispatcher.open());
-        shown.put(
+        Map<String, Long> result = new LinkedHashMap<>();
+        result.put("asked", counts.received);
+        result.put("served", counts.served);
+        result.put("refused", counts.refused);
+        result.put("failed", counts.failed);
+        result.put("crossed", counts.crossed);
+        result.put("crossed_served", counts.crossedServed);
+        result.put("by_link", counts.fromLink);
+        result.put("open", (long) dispatcher.openRequests());
+        result.put(
                 "links_up",
-                others.values().stream().mapToLong(FarSite::gatewaysUp).sum());
-        shown.put("repeats", linkFront.repeats());
-        shown.put("remembered", (long) linkFront.remembered());
-        shown.put("remembered_bytes", linkFront.rememberedBytes());
-        shown.put("certificates_taken", certificatesTaken);
-        shown.put("certificates_refused", certificatesRefused);
-        shown.put("link_connections", (long) linkFront.connections());
-        shown.put("link_held_bytes", linkFront.heldBytes());
+                remoteSites.values().stream()
+                        .mapToLong(RemoteSite::readyGateways)
+                        .sum());
+        result.put("repeats", linkRequestHandler.deduplicated());
+        result.put("remembered", (long) linkRequestHandler.cachedResponses());
+        result.put("remembered_bytes", linkRequestHandler.cachedBytes());
+        result.put("certificates_taken", certificateReloads);
+        result.put("certificates_refused", certificateReloadFailures);
+        result.put("link_connections", (long) linkRequestHandler.connections());
+        result.put("link_held_bytes", linkRequestHandler.heldBytes());
         if (store != null) {
-            store.counts().forEach((name, count) -> shown.put("store_" + name, count));
+            store.counts().forEach((name, count) -> result.put("store_" + name, count));
         }
-        return shown;
+        return result;
     }
 
-    /** Whether nothing is open any more. */
+    /** Whether no request is open. */
     public boolean idle() {
-        return dispatcher.open() == 0 && own.idle();
+        return dispatcher.openRequests() == 0 && localEngine.idle();
     }
 
-    /** From now on answers end their connections, and other sites' new requests are turned away unseen. */
+    /**
+     * From now on responses close their connections, and new requests of other sites are rejected
+     * unprocessed.
+     */
     public void drain() {
-        linkFront.drain();
+        linkRequestHandler.drain();
         frontend.drain();
         if (grpc != null) {
             grpc.drain();
         }
     }
 
-    /** Ends the listening and the links; what is open there ends with them. */
+    /** Stops listening and closes the links; requests open there end with them. */
     public void close() {
         frontend.close();
-        linkFront.close();
+        linkRequestHandler.close();
         if (grpc != null) {
             grpc.close();
         }
         if (store != null) {
             store.close();
         }
-        others.values().forEach(FarSite::close);
+        remoteSites.values().forEach(RemoteSite::close);
     }
 }
--- a/src/main/java/pondridge/gateway/GatewaySettings.java
+++ b/src/main/java/pondridge/gateway/GatewaySettings.java
@@ -21,151 +21,166 @@
 import pondridge.transport.TransportSettings;
 
 /**
- * What a gateway is set to, besides what a sidecar is; times in nanoseconds.
+ * Settings of a gateway in addition to those of a sidecar; times are in nanoseconds.
  *
- * @param file as messages name it
+ * @param file its name in messages
  * @param site this site's name, as its certificates name it
- * @param platform the file with what a sidecar is told: listening, discovery, classes, rules
- * @param clockError how far the list's clock may be from this machine's when a gateway starts
- * @param link how links are
- * @param crossing how much may cross, and when
+ * @param platform the file with the settings shared with sidecars: listening, discovery, classes, limits
+ * @param maxClockErrorNanos greatest difference between the server list's clock and this machine's when a
+ *     gateway starts
+ * @param link settings of links
+ * @param crossSite limits of requests sent to other sites
  * @param sites the other sites' gateways, by the site's name
- * @param upstreams how the own site's servers are spoken to
- * @param store what is shared with the site's other gateways; null for nothing
- * @param plan what a plan for the loss of sites rests on; null for none
+ * @param upstreams transport to the local site's servers
+ * @param store the store shared with the site's other gateways; null for none
+ * @param sitePlan the site topology for planning the loss of sites; null for none
  */
 public record GatewaySettings(
         String file,
         String site,
         Path platform,
-        long clockError,
+        long maxClockErrorNanos,
         Link link,
-        Crossing crossing,
+        CrossSite crossSite,
         Map<String, List<InetSocketAddress>> sites,
         TransportSettings upstreams,
         StoreSettings store,
-        Topology plan) {
+        Topology sitePlan) {
     /**
-     * The link.
+     * Settings of links.
      *
-     * @param listen where other sites' gateways come in
+     * @param listen address for other sites' gateways
      * @param tls the certificates; null for plain text, on loopback only
-     * @param beat how often each gateway of another site is asked for a stamp and its credit
-     * @param stall the shortest silence that counts as a stall
-     * @param stallFactor how many usual round trips of silence are a stall, where that is more
-     * @param freshness what has been on its way for longer is dropped at the other end
-     * @param streams requests at a time on one connection that comes in
-     * @param connections that may come in
-     * @param credit requests at a time that are taken from one other site
-     * @param idle how long a connection that comes in may say nothing
-     * @param transfer how long a request may take to come whole, and an answer to go
-     * @param heldBytes of requests and answers on their way over links, one connection a quarter of it
-     * @param look how often the certificates' files are looked at
-     * @param lanes entries that a far gateway has in the module's list, each with a limit learned by itself
-     * @param answers remembered answers to keyed requests
-     * @param answerBytes of all of them
-     * @param http2 the connections that go out
+     * @param heartbeatNanos interval of heartbeats to each gateway of another site, which return a timestamp
+     *     and credit
+     * @param minStallNanos the shortest silence that counts as a stall
+     * @param stallFactor the multiple of the round-trip estimate that counts as a stall, where that is longer
+     * @param maxDeliveryNanos a request that was on its way for longer is rejected by the receiving gateway
+     * @param maxStreamsPerConnection requests at a time on one accepted connection
+     * @param maxConnections accepted connections
+     * @param maxCreditPerSite requests at a time that are taken from one other site
+     * @param idleTimeoutNanos how long an accepted connection may be silent
+     * @param transferTimeoutNanos how long a request may take to arrive, and a response to be sent
+     * @param maxHeldBytes bytes of requests and responses in transfer over links; one connection may hold a
+     *     quarter of it
+     * @param certificateCheckNanos interval of checks whether the certificates' files have changed
+     * @param entriesPerGateway entries that a remote gateway has in the engine's endpoint list, each with a
+     *     limit learned separately
+     * @param maxCachedResponses cached responses to keyed requests
+     * @param maxCachedResponseBytes bytes of all of them
+     * @param http2 settings of outgoing connections
      */
     public record Link(
             InetSocketAddress listen,
             Tls tls,
-            long beat,
-            long stall,
+            long heartbeatNanos,
+            long minStallNanos,
             double stallFactor,
-            long freshness,
-            int streams,
-            int connections,
-            int credit,
-            long idle,
-            long transfer,
-            int heldBytes,
-            long look,
-            int lanes,
-            int answers,
-            int answerBytes,
+            long maxDeliveryNanos,
+            int maxStreamsPerConnection,
+            int maxConnections,
+            int maxCreditPerSite,
+            long idleTimeoutNanos,
+            long transferTimeoutNanos,
+            int maxHeldBytes,
+            long certificateCheckNanos,
+            int entriesPerGateway,
+            int maxCachedResponses,
+            int maxCachedResponseBytes,
             Http2Options http2) {}
 
-    /** Files with certificates in PEM: the own chain, its key in PKCS 8, and whom to trust. */
+    /** PEM files: this gateway's certificate chain, its key in PKCS 8, and the trusted authorities. */
     public record Tls(Path certificate, Path key, Path authorities) {}
 
     /**
-     * What may cross.
+     * Limits of requests sent to other sites.
      *
      * @param common over all classes: this gateway's part
      * @param sitePerSecond requests in a second over all gateways of the site
-     * @param classes what is set of a class, by its name; its part of the common burst that it leaves behind
-     *     is below 0 where that follows from its worth
-     * @param leastWork what must be left of a request's time to be of use to a server
-     * @param own how the own site is judged
+     * @param classes configured limits by class name; the reserved fraction is below 0 where it follows from
+     *     the class's worth
+     * @param minWorkNanos a request with less time left is of no use to a server
+     * @param localSite thresholds for the state of the local site
      */
-    record Crossing(
+    record CrossSite(
             CrossingBudget.Rate common,
             double sitePerSecond,
-            Map<String, CrossingBudget.Part> classes,
-            long leastWork,
-            OwnSite.Limits own) {
-        /** The parts by the classes' numbers. */
-        List<CrossingBudget.Part> parts(List<String> names, List<RequestClass> all) {
-            List<CrossingBudget.Part> parts = new ArrayList<>();
+            Map<String, CrossingBudget.ClassLimit> classes,
+            long minWorkNanos,
+            OwnSite.Limits localSite) {
+        /** The limits by class number. */
+        List<CrossingBudget.ClassLimit> classLimits(List<String> names, List<RequestClass> requestClasses) {
+            List<CrossingBudget.ClassLimit> limits = new ArrayList<>();
             for (int i = 0; i < names.size(); i++) {
-                CrossingBudget.Part set = classes.get(names.get(i));
-                double kept = set == null || set.kept() < 0 ? CrossingBudget.usuallyKept(all, i) : set.kept();
-                parts.add(new CrossingBudget.Part(set == null ? null : set.own(), kept));
+                CrossingBudget.ClassLimit configured = classes.get(names.get(i));
+                double reservedFraction = configured == null || configured.reservedFraction() < 0
+                        ? CrossingBudget.defaultReservedFraction(requestClasses, i)
+                        : configured.reservedFraction();
+                limits.add(
+                        new CrossingBudget.ClassLimit(configured == null ? null : configured.rate(), reservedFraction));
             }
-            return parts;
+            return limits;
         }
     }
 
-    /** Whether it goes with what the platform tells; a mistake is a {@link SettingsException}. */
-    public void agree(Options told) {
-        List<String> known = told.names("profiles");
-        crossing.classes.keySet().stream()
-                .filter(name -> !known.contains(name))
+    /**
+     * Checks that the settings are consistent with the platform's options; throws {@link SettingsException}
+     * if not.
+     */
+    public void agree(Options platformOptions) {
+        List<String> platformClasses = platformOptions.names("profiles");
+        crossSite.classes.keySet().stream()
+                .filter(name -> !platformClasses.contains(name))
                 .findFirst()
                 .ifPresent(name -> {
                     throw new SettingsException(
                             file,
                             "crossing_classes." + name,
-                            "the platform's file has no such class; it has " + String.join(", ", known));
+                            "the platform's file has no such class; it has " + String.join(", ", platformClasses));
+                });
+        List<String> plannedClasses = sitePlan == null
+                ? platformClasses
+                : sitePlan.classes().stream().map(Topology.Kind::name).toList();
+        platformClasses.stream()
+                .filter(name -> !plannedClasses.contains(name))
+                .findFirst()
+                .ifPresent(name -> {
+                    throw new SettingsException(
+                            file,
+                            "site_plan.classes",
+                            "the platform's file has the class " + name + ", but the plan does not");
                 });
-        List<String> planned = plan == null
-                ? known
-                : plan.classes().stream().map(Topology.Kind::name).toList();
-        known.stream().filter(name -> !planned.contains(name)).findFirst().ifPresent(name -> {
-            throw new SettingsException(
-                    file, "site_plan.classes", "the platform's file has the class " + name + ", the plan has not");
-        });
     }
 
-    /** Reads a whole file; any mistake is a {@link pondridge.settings.SettingsException}. */
+    /** Reads a whole file; throws {@link pondridge.settings.SettingsException} for any mistake. */
     public static GatewaySettings read(Path path) {
         SettingsFile file = SettingsFile.read(path);
-        GatewaySettings read = of(file, path.toAbsolutePath().getParent());
+        GatewaySettings settings = of(file, path.toAbsolutePath().getParent());
         file.finish();
-        return read;
+        return settings;
     }
 
-    /** Paths in it are taken from this folder. */
+    /** Reads the settings; relative paths are resolved against {@code folder}. */
     public static GatewaySettings of(SettingsFile file, Path folder) {
         Section gateway = file.section("gateway");
         String site = gateway.text("site", null);
         Path platform = folder.resolve(gateway.text("platform", null));
         Section crossing = file.section("crossing");
-        CrossingBudget.Rate whole = rate(crossing, 200, 200);
+        CrossingBudget.Rate ofSite = rate(crossing, 200, 200);
         int gateways = crossing.number("gateways", 1, 1, 1000);
         CrossingBudget.Rate common = new CrossingBudget.Rate(
-                whole.perSecond() / gateways, Math.max(1, whole.burst() / gateways), whole.share());
-        Map<String, CrossingBudget.Part> classes = new LinkedHashMap<>();
+                ofSite.perSecond() / gateways, Math.max(1, ofSite.burst() / gateways), ofSite.arrivalShare());
+        Map<String, CrossingBudget.ClassLimit> classes = new LinkedHashMap<>();
         file.section("crossing_classes")
                 .sections()
                 .forEach((name, section) -> classes.put(
                         name,
-                        new CrossingBudget.Part(
+                        new CrossingBudget.ClassLimit(
                                 rate(section, common.perSecond(), common.burst()),
                                 section.fraction("kept", -1, 0, 1))));
-        Crossing limits = new Crossing(
+        CrossSite crossSite = new CrossSite(
                 common,
-                whole.perSecond(),
+                ofSite.perSecond(),
                 classes,
                 crossing.time("least_work", "10ms", "1ms", "10s"),
                 new OwnSite.Limits(
@@ -174,10 +189,10 @@
                         crossing.time("steady", "1s", "10ms", "10min"),
                         crossing.fraction("return_share", 0.05, 0.001, 1),
                         crossing.time("doubling", "1s", "10ms", "10min")));
-        Map<String, List<InetSocketAddress>> sites = new LinkedHashMap<>();
+        Map<String, List<InetSocketAddress>> remoteSites = new LinkedHashMap<>();
         file.section("sites").sections().forEach((name, section) -> {
             if (name.equals(site)) {
-                throw section.contradiction("gateways", "this is the own site");
+                throw section.contradiction("gateways", "this is the local site");
             }
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (String each : section.texts("gateways")) {
@@ -186,61 +201,61 @@
             if (addresses.isEmpty() || new HashSet<>(addresses).size() < addresses.size()) {
                 throw section.contradiction("gateways", "expected at least one address, each once");
             }
-            sites.put(name, addresses);
+            remoteSites.put(name, addresses);
         });
-        long clockError = gateway.time("clock_error", "1s", "0ms", "10min");
-        Topology plan = file.has("site_plan") ? SitePlanSettings.of(file) : null;
-        List<String> planned = plan == null
+        long maxClockErrorNanos = gateway.time("clock_error", "1s", "0ms", "10min");
+        Topology sitePlan = file.has("site_plan") ? SitePlanSettings.of(file) : null;
+        List<String> plannedSites = sitePlan == null
                 ? List.of()
-                : plan.sites().stream().map(Topology.Site::name).toList();
-        if (plan != null && !(planned.contains(site) && planned.containsAll(sites.keySet()))) {
+                : sitePlan.sites().stream().map(Topology.Site::name).toList();
+        if (sitePlan != null && !(plannedSites.contains(site) && plannedSites.containsAll(remoteSites.keySet()))) {
             throw file.section("site_plan").contradiction("sites", "expected " + site + " and all of [sites]");
         }
         return new GatewaySettings(
                 file.name(),
                 site,
                 platform,
-                clockError,
+                maxClockErrorNanos,
                 link(file, folder),
-                limits,
-                sites,
+                crossSite,
+                remoteSites,
                 TransportSettings.of(file, folder),
                 file.has("store") ? StoreSettings.of(file, folder) : null,
-                plan);
+                sitePlan);
     }
 
-    private static CrossingBudget.Rate rate(Section section, double perSecond, double burst) {
+    private static CrossingBudget.Rate rate(Section section, double defaultPerSecond, double defaultBurst) {
         return new CrossingBudget.Rate(
-                section.fraction("per_second", perSecond, 0, 1e6),
-                section.fraction("burst", burst, 1, 1e6),
+                section.fraction("per_second", defaultPerSecond, 0, 1e6),
+                section.fraction("burst", defaultBurst, 1, 1e6),
                 section.fraction("share", 1, 0, 1));
     }
 
     private static Link link(SettingsFile file, Path folder) {
         Section section = file.section("link");
         InetSocketAddress listen = address(section, "listen", section.text("listen", null));
-        boolean plain = "plain".equals(section.word("security", "mutual-tls", List.of("mutual-tls", "plain")));
-        if (plain && !listen.getAddress().isLoopbackAddress()) {
+        boolean plainText = "plain".equals(section.word("security", "mutual-tls", List.of("mutual-tls", "plain")));
+        if (plainText && !listen.getAddress().isLoopbackAddress()) {
             throw section.contradiction("security", "plain text is for loopback addresses only");
         }
-        Tls tls = plain
+        Tls tls = plainText
                 ? null
                 : new Tls(
                         folder.resolve(section.text("certificate", null)),
                         folder.resolve(section.text("key", null)),
                         folder.resolve(section.text("authorities", null)));
-        long beat = section.time("beat", "50ms", "5ms", "10s");
-        long freshness = section.time("freshness", "400ms", "20ms", "10s");
-        if (freshness < 2 * beat) {
-            throw section.contradiction("freshness", "less than two beats: stamps would be too old");
+        long heartbeatNanos = section.time("beat", "50ms", "5ms", "10s");
+        long maxDeliveryNanos = section.time("freshness", "400ms", "20ms", "10s");
+        if (maxDeliveryNanos < 2 * heartbeatNanos) {
+            throw section.contradiction("freshness", "less than two heartbeat intervals: timestamps would be too old");
         }
         return new Link(
                 listen,
                 tls,
-                beat,
+                heartbeatNanos,
                 section.time("stall", "150ms", "5ms", "10s"),
                 section.fraction("stall_factor", 4, 1, 100),
-                freshness,
+                maxDeliveryNanos,
                 section.number("streams", 200, 1, 10_000),
                 section.number("connections", 64, 1, 10_000),
                 section.number("credit", 400, 1, 100_000),
--- a/src/main/java/pondridge/gateway/LinkHeaders.java
+++ b/src/main/java/pondridge/gateway/LinkHeaders.java
@@ -2,34 +2,34 @@
 
 import pondridge.core.Evidence;
 
-/** The headers of the link between two gateways; none of them goes on to a client or a server. */
+/** Headers of the link between two gateways; none of them is passed on to a client or a server. */
 final class LinkHeaders {
-    /** All of them begin so. */
+    /** The prefix of all link headers. */
     static final String PREFIX = "bankflow-";
-    /** The version of what is said by them; a gateway that does not know it turns requests away unseen. */
+    /** The protocol version; a gateway rejects requests of an unknown version unprocessed. */
     static final String VERSION = "bankflow-link";
-    /** What this program speaks. */
-    static final String SPOKEN = "1";
-    /** The sender's site; must be the one that its certificate names. */
+    /** The version that this program supports. */
+    static final String SUPPORTED_VERSION = "1";
+    /** The sender's site; must be named by its certificate. */
     static final String SITE = "bankflow-site";
-    /** How many links the request has come by, this one included. */
+    /** The number of links that the request has passed, this one included. */
     static final String HOPS = "bankflow-hops";
-    /** The far gateway's own stamp, echoed by the near one; see {@link Stamps}. */
-    static final String STAMP = "bankflow-stamp";
-    /** How long in whole milliseconds the far site may take from when it has the request. */
-    static final String LEFT = "bankflow-left-ms";
-    /** With an answer: how many more requests the far gateway takes from this site just now. */
+    /** The receiving gateway's own timestamp, echoed by the sender; see {@link Stamps}. */
+    static final String TIMESTAMP = "bankflow-stamp";
+    /** The time in whole milliseconds that the receiving site may use once it has the request. */
+    static final String TIME_LEFT = "bankflow-left-ms";
+    /** On responses: how many more requests the gateway takes from the requesting site now. */
     static final String CREDIT = "bankflow-credit";
-    /** With a beat: how the sender sees its own site, see {@link Views}; an older version says nothing. */
-    static final String VIEW = "bankflow-view";
-    /** With a beat's answer: how the other gateways of the asking site see it. */
-    static final String OTHERS = "bankflow-others";
-    /** With an answer: the one a request gave before, with no second run. */
+    /** On heartbeats: how the sender sees its own site, see {@link Views}; missing from older versions. */
+    static final String SITE_STATE = "bankflow-view";
+    /** On heartbeat responses: how the other gateways of the requesting site see that site. */
+    static final String PEER_STATES = "bankflow-others";
+    /** On responses: the response of an earlier run, without a second run. */
     static final String REPLAYED = "bankflow-replayed";
-    /** With an answer that says that nothing of the request has run: as servers say it. */
-    static final String NEVER_RAN = Evidence.DECLINED;
-    /** The path of a beat: asks for nothing but a stamp and credit. */
-    static final String BEAT = "/bankflow/beat";
+    /** On responses: the request was not executed; the same header that servers set. */
+    static final String NOT_EXECUTED = Evidence.DECLINED;
+    /** The path of heartbeats, which return a timestamp and credit. */
+    static final String HEARTBEAT_PATH = "/bankflow/beat";
 
     private LinkHeaders() {}
 }
--- a/src/main/java/pondridge/gateway/LinkDoor.java
+++ b/src/main/java/pondridge/gateway/LinkListener.java
@@ -22,135 +22,139 @@
 import pondridge.http2.HeldBytes;
 
 /**
- * Where other sites' gateways come in: a {@link Door}, and on each stream how long a request may take to come
- * and an answer to go. On the event loop only.
+ * Listens for other sites' gateways by a {@link Door} and bounds on each stream the time and the memory that
+ * receiving a request may take. On the event loop only.
  */
-final class LinkDoor {
-    private static final int LARGEST_BODY = 1 << 16;
-    private static final int LARGEST_HEADERS = 16 << 10;
+final class LinkListener {
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final int MAX_HEADER_BYTES = 16 << 10;
 
     private final GatewaySettings.Link link;
     private final Log log;
-    private final Door door;
+    private final Door listener;
 
     /**
-     * A door that is shut so far.
+     * A listener that does not listen yet.
      *
-     * @param visits makes the handler of one stream, which takes whole requests
+     * @param exchanges makes the handler of one stream, which receives whole requests
      */
-    LinkDoor(
+    LinkListener(
             EventLoop loop,
             GatewaySettings.Link link,
             LinkTls tls,
             Log log,
             LongSupplier clock,
-            Function<HeldBytes.Share, ChannelHandler> visits) {
+            Function<HeldBytes.Share, ChannelHandler> exchanges) {
         this.link = link;
         this.log = log;
-        this.door = new Door(
+        this.listener = new Door(
                 loop,
                 new Door.Limits(
                         link.listen(),
-                        link.connections(),
-                        link.streams(),
-                        link.idle(),
-                        LARGEST_HEADERS,
+                        link.maxConnections(),
+                        link.maxStreamsPerConnection(),
+                        link.idleTimeoutNanos(),
+                        MAX_HEADER_BYTES,
                         link.http2().controlFrames(),
-                        link.heldBytes(),
+                        link.maxHeldBytes(),
                         0,
                         0),
                 "link",
-                tls == null ? null : tls::server,
+                tls == null ? null : tls::serverHandler,
                 log::warn,
                 clock,
-                (stream, share) -> opened(stream, share, visits));
+                (stream, share) -> streamOpened(stream, share, exchanges));
     }
 
-    private void opened(Channel stream, HeldBytes.Share share, Function<HeldBytes.Share, ChannelHandler> visits) {
+    private void streamOpened(
+            Channel stream, HeldBytes.Share share, Function<HeldBytes.Share, ChannelHandler> exchanges) {
         stream.pipeline()
                 .addLast(
                         new Http2StreamFrameToHttpObjectCodec(true),
-                        new Arrival(share),
-                        new HttpObjectAggregator(LARGEST_BODY),
-                        visits.apply(share));
+                        new RequestGuard(share),
+                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                        exchanges.apply(share));
     }
 
     ChannelFuture listen() {
-        return door.listen();
+        return listener.listen();
     }
 
-    /** Connections that are in. */
+    /** Open connections. */
     int connections() {
-        return door.connections();
+        return listener.connections();
     }
 
-    /** Bytes of requests and answers that are held for links. */
+    /** Bytes of requests and responses that are held for links. */
     long heldBytes() {
-        return door.heldBytes();
+        return listener.heldBytes();
     }
 
     void close() {
-        door.close();
+        listener.close();
     }
 
-    /** One request on its way in: has so long to come, and counts as held until its stream ends. */
-    private final class Arrival extends ChannelInboundHandlerAdapter {
+    /** Bounds how long one request may take to arrive and counts its bytes as held until its stream ends. */
+    private final class RequestGuard extends ChannelInboundHandlerAdapter {
         private final HeldBytes.Share share;
-        private Future<?> timer;
-        private long its;
+        private Future<?> timeout;
+        private long heldBytes;
 
-        Arrival(HeldBytes.Share share) {
+        RequestGuard(HeldBytes.Share share) {
             this.share = share;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            timer = context.executor()
+            timeout = context.executor()
                     .schedule(
                             () -> {
                                 log.warn(
                                         "link_slow",
                                         String.valueOf(
                                                 context.channel().parent().remoteAddress()),
-                                        "a request did not come whole in time");
-                                refuse(context);
+                                        "a request was not complete within the transfer timeout");
+                                refuseStream(context);
                             },
-                            link.transfer(),
+                            link.transferTimeoutNanos(),
                             TimeUnit.NANOSECONDS);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof HttpContent content) {
-                int more = content.content().readableBytes();
-                if (more > 0 && !share.take(more)) {
+                int contentBytes = content.content().readableBytes();
+                if (contentBytes > 0 && !share.take(contentBytes)) {
                     ReferenceCountUtil.release(message);
                     log.warn(
                             "link_held",
                             String.valueOf(context.channel().parent().remoteAddress()),
-                            "more of requests at a time than may be held");
-                    refuse(context);
+                            "more bytes of requests at a time than may be held");
+                    refuseStream(context);
                     return;
                 }
-                its += more;
+                heldBytes += contentBytes;
             }
             if (message instanceof LastHttpContent) {
-                timer.cancel(false);
+                timeout.cancel(false);
             }
             context.fireChannelRead(message);
         }
 
-        /** Nothing of it has run, and the other side may know that (RFC 9113, section 8.7). */
-        private void refuse(ChannelHandlerContext context) {
+        /**
+         * Nothing of the request has been processed, and this error code tells the peer so (RFC 9113, section
+         * 8.7).
+         */
+        private void refuseStream(ChannelHandlerContext context) {
             context.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.REFUSED_STREAM))
                     .addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
         public void handlerRemoved(ChannelHandlerContext context) {
-            timer.cancel(false);
-            share.give(its);
-            its = 0;
+            timeout.cancel(false);
+            share.give(heldBytes);
+            heldBytes = 0;
         }
     }
 }
--- a/src/main/java/pondridge/gateway/LinkTimes.java
+++ b/src/main/java/pondridge/gateway/LinkTimes.java
@@ -1,63 +1,67 @@
 package pondridge.gateway;
 
 /**
- * What the link to one site takes there and back, and whether it stalls. Smoothed as TCP does (RFC 6298,
- * section 2), from round trips that involve no server's work. Times in nanoseconds.
+ * Estimates the round-trip time of the link to one gateway and detects stalls. Smoothed as in TCP (RFC 6298,
+ * section 2), from round trips that involve no server's work. Times are in nanoseconds.
  */
 final class LinkTimes {
-    private final long least;
+    private final long minStallNanos;
     private final double stallFactor;
-    private double smoothed = -1;
-    private double variation;
-    private long heardAt;
-    private boolean waiting;
-    private long waitingSince;
+    private double smoothedRttNanos = -1;
+    private double rttVariationNanos;
+    private long receivedAt;
+    private boolean responsePending;
+    private long pendingSince;
 
     /**
-     * A link of which nothing is known.
+     * A link without measurements.
      *
-     * @param least the shortest silence that counts as a stall
-     * @param stallFactor how many usual round trips of silence are a stall, where that is more
+     * @param minStallNanos the shortest silence that counts as a stall
+     * @param stallFactor the multiple of the round-trip estimate that counts as a stall, where that is longer
      */
-    LinkTimes(long least, double stallFactor, long now) {
-        this.least = least;
+    LinkTimes(long minStallNanos, double stallFactor, long now) {
+        this.minStallNanos = minStallNanos;
         this.stallFactor = stallFactor;
-        this.heardAt = now;
+        this.receivedAt = now;
     }
 
-    /** A round trip has been measured. */
-    void roundTrip(long took, long now) {
-        if (smoothed < 0) {
-            smoothed = took;
-            variation = took / 2.0;
+    /** Adds a measured round trip. */
+    void addRoundTrip(long tookNanos, long now) {
+        if (smoothedRttNanos < 0) {
+            smoothedRttNanos = tookNanos;
+            rttVariationNanos = tookNanos / 2.0;
         } else {
-            variation = 0.75 * variation + 0.25 * Math.abs(smoothed - took);
-            smoothed = 0.875 * smoothed + 0.125 * took;
+            rttVariationNanos = 0.75 * rttVariationNanos + 0.25 * Math.abs(smoothedRttNanos - tookNanos);
+            smoothedRttNanos = 0.875 * smoothedRttNanos + 0.125 * tookNanos;
         }
-        heard(now);
+        received(now);
     }
 
-    /** Anything has come. */
-    void heard(long now) {
-        heardAt = now;
-        waitingSince = now;
+    /** Records that something was received. */
+    void received(long now) {
+        receivedAt = now;
+        pendingSince = now;
     }
 
-    /** Whether the other side owes something: an answer to a ping, or room for what waits to be sent. */
-    void owed(boolean something, long now) {
-        if (something && !waiting) {
-            waitingSince = now;
+    /** Records whether a response from the other side is outstanding. */
+    void setResponsePending(boolean pending, long now) {
+        if (pending && !responsePending) {
+            pendingSince = now;
         }
-        waiting = something;
+        responsePending = pending;
     }
 
-    /** There and back, with what it varies by; a guess of {@code least} before the first measurement. */
-    long estimate() {
-        return smoothed < 0 ? least : (long) (smoothed + 4 * variation);
+    /**
+     * The smoothed round trip plus four times its variation; {@code minStallNanos} before the first
+     * measurement.
+     */
+    long roundTripNanos() {
+        return smoothedRttNanos < 0 ? minStallNanos : (long) (smoothedRttNanos + 4 * rttVariationNanos);
     }
 
-    /** Whether the other side owes something and has been silent for longer than this link ever takes. */
-    boolean stalled(long now) {
-        return waiting && now - Math.max(heardAt, waitingSince) > Math.max(least, stallFactor * estimate());
+    /** Whether a response is outstanding and the other side has been silent for longer than this link takes. */
+    boolean isStalled(long now) {
+        return responsePending
+                && now - Math.max(receivedAt, pendingSince) > Math.max(minStallNanos, stallFactor * roundTripNanos());
     }
 }
--- a/src/main/java/pondridge/gateway/LinkTls.java
+++ b/src/main/java/pondridge/gateway/LinkTls.java
@@ -38,27 +38,27 @@
 import javax.net.ssl.SSLPeerUnverifiedException;
 
 /**
- * Mutual TLS for links, by the JDK's own provider. Both ends show a certificate that an authority of the
- * settings has issued; the one that connects checks that it names the site it wants (RFC 6125, as a DNS
- * name), the other reads from it which site has come. Contexts are made anew when a file has changed; a file
- * that can't be used changes nothing. Safe on any thread.
+ * Mutual TLS for links, by the JDK's provider. Both ends present a certificate issued by a configured
+ * authority. The connecting end checks that the certificate names the site it wants (RFC 6125, as a DNS
+ * name); the accepting end checks that it names the site that the peer claims to be. The contexts are rebuilt
+ * when a file has changed; a file that can't be used changes nothing. Safe on any thread.
  */
 final class LinkTls {
-    private static final long HANDSHAKE_MS = 2_000;
+    private static final long HANDSHAKE_TIMEOUT_MS = 2_000;
     private static final byte[] PROBE = {1, 2, 3, 4};
 
-    private record Contexts(SslContext client, SslContext server, List<FileTime> changed) {}
+    private record Contexts(SslContext client, SslContext server, List<FileTime> modifiedTimes) {}
 
     private final GatewaySettings.Tls files;
     private volatile Contexts contexts;
 
-    /** Reads the files; throws {@link IOException} that says which can't be used. */
+    /** Reads the files; throws {@link IOException} that names the files if one can't be used. */
     LinkTls(GatewaySettings.Tls files) throws IOException {
         this.files = files;
-        this.contexts = make();
+        this.contexts = createContexts();
     }
 
-    private List<FileTime> changed() throws IOException {
+    private List<FileTime> modifiedTimes() throws IOException {
         List<FileTime> times = new ArrayList<>();
         for (Path file : List.of(files.certificate(), files.key(), files.authorities())) {
             times.add(Files.getLastModifiedTime(file));
@@ -66,17 +66,17 @@
         return times;
     }
 
-    private Contexts make() throws IOException {
-        List<FileTime> times = changed();
+    private Contexts createContexts() throws IOException {
+        List<FileTime> times = modifiedTimes();
         try {
-            checkPair();
+            checkKeyMatchesCertificate();
             return new Contexts(
-                    common(SslContextBuilder.forClient()
+                    configure(SslContextBuilder.forClient()
                                     .keyManager(
                                             files.certificate().toFile(),
                                             files.key().toFile()))
                             .build(),
-                    common(SslContextBuilder.forServer(
+                    configure(SslContextBuilder.forServer(
                                     files.certificate().toFile(), files.key().toFile()))
                             .clientAuth(ClientAuth.REQUIRE)
                             .build(),
@@ -87,38 +87,38 @@
     }
 
     /**
-     * Files are replaced one after the other: a key that does not fit the certificate beside it would be
-     *  taken
-     * by the JDK and fail every handshake from then on. What the key signs, the certificate must verify.
+     * Checks that the key belongs to the certificate. Files are replaced one after the other, and the JDK
+     * would accept a key that does not match the certificate beside it and fail every handshake from then on.
+     * The certificate must verify what the key signs.
      */
-    private void checkPair() throws IOException, GeneralSecurityException {
-        PublicKey open;
+    private void checkKeyMatchesCertificate() throws IOException, GeneralSecurityException {
+        PublicKey publicKey;
         try (InputStream in = Files.newInputStream(files.certificate())) {
-            open = CertificateFactory.getInstance("X.509")
+            publicKey = CertificateFactory.getInstance("X.509")
                     .generateCertificate(in)
                     .getPublicKey();
         }
         String pem = Files.readString(files.key()).replaceAll("-----[^-]*-----|\\s", "");
-        PrivateKey secret = KeyFactory.getInstance(open.getAlgorithm())
+        PrivateKey privateKey = KeyFactory.getInstance(publicKey.getAlgorithm())
                 .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(pem)));
-        String way =
-                switch (open.getAlgorithm()) {
+        String algorithm =
+                switch (publicKey.getAlgorithm()) {
                     case "EC" -> "SHA256withECDSA";
                     case "RSA" -> "SHA256withRSA";
-                    default -> open.getAlgorithm();
+                    default -> publicKey.getAlgorithm();
                 };
-        Signature signing = Signature.getInstance(way);
-        signing.initSign(secret);
-        signing.update(PROBE);
-        byte[] signed = signing.sign();
-        signing.initVerify(open);
-        signing.update(PROBE);
-        if (!signing.verify(signed)) {
-            throw new GeneralSecurityException("the key is not the certificate's");
+        Signature signature = Signature.getInstance(algorithm);
+        signature.initSign(privateKey);
+        signature.update(PROBE);
+        byte[] signed = signature.sign();
+        signature.initVerify(publicKey);
+        signature.update(PROBE);
+        if (!signature.verify(signed)) {
+            throw new GeneralSecurityException("the key does not match the certificate");
         }
     }
 
-    private SslContextBuilder common(SslContextBuilder builder) {
+    private SslContextBuilder configure(SslContextBuilder builder) {
         return builder.sslProvider(SslProvider.JDK)
                 .trustManager(files.authorities().toFile())
                 .protocols("TLSv1.3", "TLSv1.2")
@@ -130,34 +130,34 @@
                         ApplicationProtocolNames.HTTP_2));
     }
 
-    /** Takes changed files over for connections made from now on; true if there were any. */
+    /** Reloads changed files for new connections; true if there were any. */
     boolean refresh() throws IOException {
-        if (changed().equals(contexts.changed)) {
+        if (modifiedTimes().equals(contexts.modifiedTimes)) {
             return false;
         }
-        contexts = make();
+        contexts = createContexts();
         return true;
     }
 
-    /** For a connection to a gateway of this site. */
-    SslHandler client(Channel channel, String site) {
+    /** The handler of a connection to a gateway of this site. */
+    SslHandler clientHandler(Channel channel, String site) {
         SslHandler handler = contexts.client.newHandler(channel.alloc(), site, 0);
         SSLParameters parameters = handler.engine().getSSLParameters();
         parameters.setEndpointIdentificationAlgorithm("HTTPS");
         handler.engine().setSSLParameters(parameters);
-        handler.setHandshakeTimeout(HANDSHAKE_MS, TimeUnit.MILLISECONDS);
+        handler.setHandshakeTimeout(HANDSHAKE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         return handler;
     }
 
-    /** For a connection that has come in. */
-    SslHandler server(Channel channel) {
+    /** The handler of an accepted connection. */
+    SslHandler serverHandler(Channel channel) {
         SslHandler handler = contexts.server.newHandler(channel.alloc());
-        handler.setHandshakeTimeout(HANDSHAKE_MS, TimeUnit.MILLISECONDS);
+        handler.setHandshakeTimeout(HANDSHAKE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         return handler;
     }
 
-    /** Whether the peer's certificate names this site; after the handshake. */
-    static boolean names(SslHandler handler, String site) {
+    /** Whether the peer's certificate names this site; to be called after the handshake. */
+    static boolean certificateNames(SslHandler handler, String site) {
         try {
             for (Certificate each : handler.engine().getSession().getPeerCertificates()) {
                 if (each instanceof X509Certificate leaf) {
--- a/src/main/java/pondridge/gateway/LinkTransport.java
+++ b/src/main/java/pondridge/gateway/LinkTransport.java
@@ -12,90 +12,95 @@
 import pondridge.http2.Http2Upstreams;
 
 /**
- * The way to another site's gateways: HTTP/2, with the newest stamp of the gateway on each request. What the
- * list says of a gateway here is only whether new requests go there: its connections stay up for beats.
+ * Sends requests to another site's gateways over HTTP/2 and adds the gateway's newest timestamp to each. The
+ * endpoint list only decides whether a gateway gets new requests; its connection stays open for heartbeats.
  */
 final class LinkTransport implements Transport {
-    private final Http2Upstreams way;
+    private final Http2Upstreams connections;
     private final LongSupplier clock;
-    private final Map<InetSocketAddress, Long> gateways = new HashMap<>();
-    /** The gateway that each entry of the module's list stands for; the first entry's number is its own. */
-    private final Map<Long, Long> gatewayOf = new HashMap<>();
+    private final Map<InetSocketAddress, Long> gatewayByAddress = new HashMap<>();
+    /** The gateway that each endpoint entry stands for; a gateway is identified by its first entry's number. */
+    private final Map<Long, Long> gatewayByEndpoint = new HashMap<>();
 
-    private final Map<Long, String> stamps = new HashMap<>();
+    private final Map<Long, String> timestamps = new HashMap<>();
     private final Map<Long, Integer> inFlight = new HashMap<>();
-    private final BiConsumer<InetSocketAddress, Long> listedNew;
+    private final BiConsumer<InetSocketAddress, Long> newGatewayListener;
 
-    /** {@code listedNew} is told of each gateway that is listed for the first time, and its number here. */
-    LinkTransport(Http2Upstreams way, LongSupplier clock, BiConsumer<InetSocketAddress, Long> listedNew) {
-        this.way = way;
+    /**
+     * {@code newGatewayListener} receives the address and number of each gateway that is listed for the first
+     * time.
+     */
+    LinkTransport(
+            Http2Upstreams connections, LongSupplier clock, BiConsumer<InetSocketAddress, Long> newGatewayListener) {
+        this.connections = connections;
         this.clock = clock;
-        this.listedNew = listedNew;
+        this.newGatewayListener = newGatewayListener;
     }
 
     @Override
     public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
-        if (gatewayOf.containsKey(upstream)) {
+        if (gatewayByEndpoint.containsKey(upstream)) {
             return;
         }
-        if (gateways.putIfAbsent(address, upstream) == null) {
-            way.listed(upstream, address, startedMs, true);
-            listedNew.accept(address, upstream);
+        if (gatewayByAddress.putIfAbsent(address, upstream) == null) {
+            connections.listed(upstream, address, startedMs, true);
+            newGatewayListener.accept(address, upstream);
         }
-        gatewayOf.put(upstream, gateways.get(address));
+        gatewayByEndpoint.put(upstream, gatewayByAddress.get(address));
     }
 
     @Override
     public void gone(long upstream) {
-        // The list of another site's gateways is its settings: none goes while the program runs.
+        // The gateways of another site are set in the configuration: none is removed while the program runs.
     }
 
     @Override
-    public Attempt send(long upstream, Job job, long wait, Listener listener) {
-        long left = ((CrossingHeaders) job.headers()).left(clock.getAsLong()) / 1_000_000;
-        long gateway = gatewayOf.get(upstream);
-        if (left <= 0 || !stamps.containsKey(gateway)) {
+    public Attempt send(long upstream, Job job, long timeoutNanos, Listener listener) {
+        long timeLeftMillis = ((CrossSiteHeaders) job.headers()).timeLeftNanos(clock.getAsLong()) / 1_000_000;
+        long gateway = gatewayByEndpoint.get(upstream);
+        if (timeLeftMillis <= 0 || !timestamps.containsKey(gateway)) {
             listener.ended(Outcome.NEVER_SENT, null, LoadReports.NONE);
             return Attempt.ENDED;
         }
-        // One attempt of a request is on its way at a time, so its headers are this one's.
-        job.headers().set(LinkHeaders.STAMP, stamps.get(gateway)).set(LinkHeaders.LEFT, left);
+        // A request has one attempt in progress at a time, so its headers can be set for this attempt.
+        job.headers().set(LinkHeaders.TIMESTAMP, timestamps.get(gateway)).set(LinkHeaders.TIME_LEFT, timeLeftMillis);
         inFlight.merge(gateway, 1, Integer::sum);
-        return way.send(gateway, job, wait, listener.after(outcome -> inFlight.merge(gateway, -1, Integer::sum)));
+        return connections.send(
+                gateway, job, timeoutNanos, listener.after(outcome -> inFlight.merge(gateway, -1, Integer::sum)));
     }
 
-    /** Sends a beat, which is no request: it needs no stamp and counts as nothing in flight. */
-    void beat(long gateway, Job job, long wait, Listener listener) {
-        way.send(gateway, job, wait, listener);
+    /** Sends a heartbeat, which needs no timestamp and does not count as in flight. */
+    void sendHeartbeat(long gateway, Job job, long timeoutNanos, Listener listener) {
+        connections.send(gateway, job, timeoutNanos, listener);
     }
 
-    /** The gateway's newest stamp. */
-    void stamp(long gateway, String stamp) {
-        stamps.put(gateway, stamp);
+    /** Sets the gateway's newest timestamp. */
+    void setTimestamp(long gateway, String timestamp) {
+        timestamps.put(gateway, timestamp);
     }
 
-    /** Whether a gateway has given a stamp, without which it takes nothing. */
-    boolean stamped(long gateway) {
-        return stamps.containsKey(gateway);
+    /** Whether a gateway has sent a timestamp, without which it accepts no requests. */
+    boolean hasTimestamp(long gateway) {
+        return timestamps.containsKey(gateway);
     }
 
-    /** Requests that are out to a gateway. */
+    /** Requests in flight to a gateway. */
     int inFlight(long gateway) {
         return inFlight.getOrDefault(gateway, 0);
     }
 
-    /** Gateways are probed by beats, all the time. */
+    /** Passes a probe on; heartbeats probe the gateways continuously anyway. */
     @Override
     public void probe(long upstream, Listener listener) {
-        way.probe(gatewayOf.get(upstream), listener);
+        connections.probe(gatewayByEndpoint.get(upstream), listener);
     }
 
     @Override
     public void closeIdle(long upstream) {
-        way.closeIdle(gatewayOf.get(upstream));
+        connections.closeIdle(gatewayByEndpoint.get(upstream));
     }
 
     void close() {
-        way.close();
+        connections.close();
     }
 }
--- a/src/main/java/pondridge/gateway/Log.java
+++ b/src/main/java/pondridge/gateway/Log.java
@@ -8,71 +8,72 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The gateway's log: JSON lines with stable field names, one {@code event} each. Of one kind of event only so
- * many lines a second are written; the next one that is says how many were not. On any thread.
+ * The gateway's log: JSON lines with stable field names, one {@code event} each. Each kind of event is
+ * limited to a number of lines in a second; the next line that is written states how many were left out. On
+ * any thread.
  */
 final class Log {
-    private static final Logger LINES = LoggerFactory.getLogger("bankflow.gateway");
-    private static final int PER_SECOND = 5;
-    private static final long SECOND = 1_000_000_000;
+    private static final Logger LOGGER = LoggerFactory.getLogger("bankflow.gateway");
+    private static final int MAX_LINES_PER_SECOND = 5;
+    private static final long WINDOW_NANOS = 1_000_000_000;
 
-    /** How often one kind of event may be told, and how many were left out since. */
+    /** Limits the lines of one kind of event and counts those left out. */
     static final class LineBudget {
-        private long began;
-        private int told;
-        private int leftOut;
+        private long windowStart;
+        private int written;
+        private int suppressed;
 
-        /** How many were left out before this one; -1 if this one is, too. */
-        int take(long now) {
-            if (told == 0 || now - began >= SECOND) {
-                began = now;
-                told = 0;
+        /** Returns how many lines were left out before this one; -1 if this one is left out too. */
+        int acquire(long now) {
+            if (written == 0 || now - windowStart >= WINDOW_NANOS) {
+                windowStart = now;
+                written = 0;
             }
-            if (told >= PER_SECOND) {
-                leftOut++;
+            if (written >= MAX_LINES_PER_SECOND) {
+                suppressed++;
                 return -1;
             }
-            told++;
-            int before = leftOut;
-            leftOut = 0;
-            return before;
+            written++;
+            int suppressedBefore = suppressed;
+            suppressed = 0;
+            return suppressedBefore;
         }
     }
 
     private final String site;
-    private final Map<String, LineBudget> budgets = new HashMap<>();
+    private final Map<String, LineBudget> limiters = new HashMap<>();
 
     Log(String site) {
         this.site = site;
     }
 
-    /** Something that went as it should. */
+    /** Logs a normal event. */
     void info(String event, String peer, String detail) {
-        int leftOut = admit(event);
-        if (leftOut >= 0) {
-            LINES.info("{}", event, fields(event, peer, detail, leftOut));
+        int suppressed = admit(event);
+        if (suppressed >= 0) {
+            LOGGER.info("{}", event, fields(event, peer, detail, suppressed));
         }
     }
 
-    /** Something that an operator should know. */
+    /** Logs an event that needs an operator's attention. */
     void warn(String event, String peer, String detail) {
-        int leftOut = admit(event);
-        if (leftOut >= 0) {
-            LINES.warn("{}", event, fields(event, peer, detail, leftOut));
+        int suppressed = admit(event);
+        if (suppressed >= 0) {
+            LOGGER.warn("{}", event, fields(event, peer, detail, suppressed));
         }
     }
 
-    private Object fields(String event, String peer, String detail, int leftOut) {
+    private Object fields(String event, String peer, String detail, int suppressed) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("event", event);
         fields.put("site", site);
         fields.put("peer", peer);
         fields.put("detail", detail);
-        fields.put("left_out", leftOut);
+        fields.put("left_out", suppressed);
         return StructuredArguments.entries(fields);
     }
 
     private synchronized int admit(String event) {
-        return budgets.computeIfAbsent(event, each -> new LineBudget()).take(System.nanoTime());
+        return limiters.computeIfAbsent(event, each -> new LineBudget()).acquire(System.nanoTime());
     }
 }
--- a/src/main/java/pondridge/gateway/OwnSite.java
+++ b/src/main/java/pondridge/gateway/OwnSite.java
@@ -1,13 +1,13 @@
 package pondridge.gateway;
 
 /**
- * Whether this site's own servers can be reached. Out of reach after a run of tries that came to nothing or
- * with no server ready; then tried now and then; back by a trickle that doubles, since servers may be cold
- * and queues full; each relapse makes the next return wait longer, so that a flapping link brings no storm.
- * Times in nanoseconds.
+ * Health of this site's own servers as this gateway sees it. The site is cut after a run of attempts that
+ * reached no server, or when no server is listed as ready. A cut site is tried at intervals. Traffic then
+ * returns as a share that doubles, since servers may be cold and queues full. Each relapse lengthens the wait
+ * before the next return, so that a flapping link does not cause load surges. Times are in nanoseconds.
  */
 final class OwnSite {
-    /** Where the site is. */
+    /** State of the local site. The names are part of the heartbeat, see {@link Views}. */
     enum State {
         IN,
         CUT,
@@ -15,154 +15,165 @@
     }
 
     /**
-     * How it is judged.
+     * Thresholds for the state changes.
      *
-     * @param misses tries in a row that came to nothing before the site counts as cut
-     * @param trial how often a cut site is tried
-     * @param steady how long trials must go well before the return begins
-     * @param firstShare the part of requests that return first
-     * @param doubling how long until that part doubles
+     * @param failureThreshold consecutive attempts that reached no server before the site counts as cut
+     * @param trialIntervalNanos how often a cut site is tried
+     * @param steadyNanos how long trials must succeed before the return begins
+     * @param initialShare the fraction of requests that returns first
+     * @param doublingNanos the time in which that fraction doubles
      */
-    record Limits(int misses, long trial, long steady, double firstShare, long doubling) {}
+    record Limits(
+            int failureThreshold, long trialIntervalNanos, long steadyNanos, double initialShare, long doublingNanos) {}
 
-    private static final int MOST_RELAPSES = 4;
-    private static final int FEWEST_MISSES = 2;
+    private static final int MAX_RELAPSE_DOUBLINGS = 4;
+    private static final int MIN_FAILURES_WITH_PEER_REPORT = 2;
     private final Limits limits;
     private State state = State.IN;
-    private int missesInRow;
+    private int consecutiveFailures;
     private int relapses;
-    private long since;
-    private long nextTrial;
-    private long goodSince = -1;
-    private double owedToOwn;
+    private long stateSince;
+    private long nextTrialAt;
+    private long trialsSucceedingSince = -1;
+    private double admissionCredit;
 
-    private String why = "";
-    private long coldAt;
-    private double coldShare;
-    private long coldRamp;
+    private String reason = "";
+    private long coldStartAt;
+    private double coldCapacityFraction;
+    private long rampNanos;
 
     OwnSite(Limits limits, long now) {
         this.limits = limits;
-        this.since = now;
+        this.stateSince = now;
     }
 
     State state() {
         return state;
     }
 
-    /** Why it is cut or returning, in words for the log. */
-    String why() {
-        return why;
+    /** The reason for the last state change, for the log. */
+    String reason() {
+        return reason;
     }
 
-    /** No server is ready: nothing needs to be tried to know that the site is cut. */
-    void noneReady(long now) {
-        why = "no server of it is listed as ready";
-        cut(now);
+    /** Marks the site as cut because no server is listed as ready; no failed attempt is needed. */
+    void noServerReady(long now) {
+        reason = "no server is listed as ready";
+        markCut(now);
     }
 
-    /** A try at the own site has ended; {@code reached} unless no server could be reached in time. */
-    void ended(boolean reached, long now) {
+    /**
+     * Records the end of an attempt at the local site; {@code reached} is false if no server could be reached
+     * in time.
+     */
+    void attemptEnded(boolean reached, long now) {
         if (!reached) {
-            missesInRow++;
-            goodSince = -1;
-            if (missesInRow >= limits.misses() || state == State.RETURNING) {
-                why = missesInRow + " tries in a row reached no server";
-                cut(now);
+            consecutiveFailures++;
+            trialsSucceedingSince = -1;
+            if (consecutiveFailures >= limits.failureThreshold() || state == State.RETURNING) {
+                reason = consecutiveFailures + " consecutive attempts reached no server";
+                markCut(now);
             }
             return;
         }
-        missesInRow = 0;
+        consecutiveFailures = 0;
         if (state == State.CUT) {
-            goodSince = goodSince < 0 ? now : goodSince;
-            if (now - goodSince >= limits.steady() << Math.min(relapses, MOST_RELAPSES)) {
-                why = "trials of it went well";
-                returning(now);
+            trialsSucceedingSince = trialsSucceedingSince < 0 ? now : trialsSucceedingSince;
+            if (now - trialsSucceedingSince >= limits.steadyNanos() << Math.min(relapses, MAX_RELAPSE_DOUBLINGS)) {
+                reason = "trials succeeded";
+                startReturn(now);
             }
         }
     }
 
     /**
-     * What the site's other gateways say of it, through other sites: a hint beside own evidence, never in
-     * its place. Who has seen a trial go well returns with those who return already, and who has missed twice
-     * goes with those who hold it for cut; so views differ for some beats and a trial, and not for as long as
-     * each takes by itself.
+     * Applies what the site's other gateways report of it through other sites. A report supplements this
+     * gateway's own evidence and never replaces it. A gateway that has seen a trial succeed starts its return
+     * once another is returning or in; a gateway with two failures marks the site as cut once another has.
+     * The views of the gateways thus differ for a few heartbeats and one trial, not for as long as each would
+     * need alone.
      */
-    void others(Views.Counts counts, long now) {
-        if (state == State.CUT && goodSince >= 0 && counts.returning() + counts.in() > 0) {
-            why = "a trial of it went well and another gateway returns";
-            returning(now);
-        } else if (state == State.IN && missesInRow >= FEWEST_MISSES && counts.cut() > 0) {
-            why = missesInRow + " tries in a row reached no server and another gateway holds it for cut";
-            cut(now);
+    void applyPeerReports(Views.StateCounts counts, long now) {
+        if (state == State.CUT && trialsSucceedingSince >= 0 && counts.returning() + counts.in() > 0) {
+            reason = "a trial succeeded and another gateway reports the site as returning or in";
+            startReturn(now);
+        } else if (state == State.IN && consecutiveFailures >= MIN_FAILURES_WITH_PEER_REPORT && counts.cut() > 0) {
+            reason = consecutiveFailures
+                    + " consecutive attempts reached no server and another gateway reports the site as cut";
+            markCut(now);
         }
     }
 
     /**
-     * All servers of the site have just started. Danger: each gateway would send them all it has from one
-     * moment to the next, and wait in line before cold servers while others have room; so the site takes its
-     * load as it grows warm, from {@code share} of it, evenly over {@code ramp}.
+     * Records that all servers of the site have just started. Without a limit each gateway would send them
+     * its whole load at once, and requests would queue at cold servers while other sites have capacity. The
+     * site therefore takes a share of its load that grows evenly from {@code coldFraction} to all of it over
+     * {@code coldRampNanos}.
      */
-    void started(long now, double share, long ramp) {
-        coldAt = now;
-        coldShare = share;
-        coldRamp = ramp;
+    void serversStarted(long now, double coldFraction, long coldRampNanos) {
+        coldStartAt = now;
+        coldCapacityFraction = coldFraction;
+        rampNanos = coldRampNanos;
         if (state == State.IN) {
-            why = "all its servers have just started";
-            returning(now);
-            // They answer, so it begins with what they can do.
-            double doublings = Math.log(Math.max(1, share / limits.firstShare())) / Math.log(2);
-            since -= (long) (limits.doubling() * doublings);
+            reason = "all servers have just started";
+            startReturn(now);
+            // The servers respond, so the return starts at the cold capacity and not at the initial share.
+            double doublings = Math.log(Math.max(1, coldFraction / limits.initialShare())) / Math.log(2);
+            stateSince -= (long) (limits.doublingNanos() * doublings);
         }
     }
 
-    /** The part of its load that a site whose servers have just started can do. */
-    private double warmth(long now) {
-        return coldRamp == 0 ? 1 : coldShare + (1 - coldShare) * (now - coldAt) / coldRamp;
+    /** The fraction of its load that the site can serve while its servers warm up. */
+    private double warmCapacityFraction(long now) {
+        return rampNanos == 0 ? 1 : coldCapacityFraction + (1 - coldCapacityFraction) * (now - coldStartAt) / rampNanos;
     }
 
-    private void returning(long now) {
+    private void startReturn(long now) {
         state = State.RETURNING;
-        since = now;
-        owedToOwn = 0;
+        stateSince = now;
+        admissionCredit = 0;
     }
 
-    private void cut(long now) {
-        goodSince = -1;
+    private void markCut(long now) {
+        trialsSucceedingSince = -1;
         if (state != State.CUT) {
             relapses += state == State.RETURNING ? 1 : 0;
             state = State.CUT;
-            since = now;
-            nextTrial = now + limits.trial();
+            stateSince = now;
+            nextTrialAt = now + limits.trialIntervalNanos();
         }
     }
 
-    /** Whether the next request should try the own site; asked once for each, since the trickle counts. */
-    boolean accepts(long now) {
+    /**
+     * Whether the next request should try the local site. Call once for each request, since the returning
+     * share counts calls.
+     */
+    boolean admits(long now) {
         switch (state) {
             case IN -> {
                 return true;
             }
             case CUT -> {
-                if (now - nextTrial < 0) {
+                if (now - nextTrialAt < 0) {
                     return false;
                 }
-                nextTrial = now + limits.trial();
+                nextTrialAt = now + limits.trialIntervalNanos();
                 return true;
             }
             default -> {
                 double share = Math.min(
-                        warmth(now), limits.firstShare() * Math.pow(2, (now - since) / (double) limits.doubling()));
+                        warmCapacityFraction(now),
+                        limits.initialShare() * Math.pow(2, (now - stateSince) / (double) limits.doublingNanos()));
                 if (share >= 1) {
                     state = State.IN;
                     relapses = 0;
                     return true;
                 }
-                owedToOwn += share;
-                if (owedToOwn < 1) {
+                admissionCredit += share;
+                if (admissionCredit < 1) {
                     return false;
                 }
-                owedToOwn--;
+                admissionCredit--;
                 return true;
             }
         }
--- a/src/main/java/pondridge/gateway/Pressure.java
+++ b/src/main/java/pondridge/gateway/Pressure.java
@@ -1,21 +1,25 @@
 package pondridge.gateway;
 
 /**
- * Whether the own clients suffer: more than one in twenty of their requests was not answered in time by the
- * own site. What other sites send then has to be less; who has lost nothing comes first. Counts only.
+ * Detects that local clients suffer: more than one in twenty of their requests was not answered in time by
+ * the local site. Other sites' requests then have to be reduced, since the clients of a site that has failed
+ * nowhere take precedence. Uses counts only, no times.
  */
 final class Pressure {
-    private static final double FORGIVEN = 0.05;
-    private static final double ENOUGH = 2;
-    private double troubles;
+    private static final double TOLERATED_MISS_RATE = 0.05;
+    private static final double OVERLOAD_SCORE = 2;
+    private double missScore;
 
-    /** One of the own clients' requests has ended at the own site; true if that is one too many. */
-    boolean ended(boolean inTime) {
-        troubles = Math.max(0, troubles + (inTime ? -FORGIVEN : 1));
-        boolean enough = troubles >= ENOUGH;
-        if (enough) {
-            troubles = 0;
+    /**
+     * Records the end of a local client's request at the local site; true when the misses exceed the
+     * tolerated rate.
+     */
+    boolean requestEnded(boolean inTime) {
+        missScore = Math.max(0, missScore + (inTime ? -TOLERATED_MISS_RATE : 1));
+        boolean overloaded = missScore >= OVERLOAD_SCORE;
+        if (overloaded) {
+            missScore = 0;
         }
-        return enough;
+        return overloaded;
     }
 }
--- a/src/main/java/pondridge/gateway/Router.java
+++ b/src/main/java/pondridge/gateway/Router.java
@@ -11,194 +11,218 @@
 import pondridge.siteloss.Split;
 
 /**
- * Where a request goes next, by its class and by what is known of it so far: to the own site's servers, to
- * another site, or back with its final answer. Which server it is, is each site's own decision module's to
- * say. No I/O; time is an argument, in nanoseconds.
+ * Decides the next step of a request from its class and its attempts so far: the local site's servers,
+ * another site, or the final response. Which server handles it is up to the balancer of the site it goes to.
+ * No I/O; time is an argument, in nanoseconds.
  */
 final class Router {
-    /** The next step. */
-    sealed interface Step permits Own, Across, Wait, Refuse, Fail {}
+    /** The next step of a request. */
+    sealed interface Step permits Local, Remote, Wait, Refuse, Fail {}
 
-    /** To the own servers, for so long. */
-    record Own(long left) implements Step {}
+    /** Send to the local servers, with this time left. */
+    record Local(long timeLeftNanos) implements Step {}
 
     /**
-     * To another site.
+     * Send to another site.
      *
-     * @param left what that site may take from when it has it
-     * @param window how long from now it may be sent to servers there; without bound where nothing of it may
-     *     have run so far
+     * @param timeLeftNanos the time that site may use once it has received the request
+     * @param keyWindowNanos how long from now the request may be sent to servers there; unbounded where no
+     *     attempt may have executed
      */
-    record Across(String site, long left, long window) implements Step {}
+    record Remote(String site, long timeLeftNanos, long keyWindowNanos) implements Step {}
 
     /**
-     * Asked again after so long: it may have run, its repeat is allowed, and no way to it is there just now.
-     * A link that has broken comes up again within some beats.
+     * Ask again after a delay: the request may have executed, a repeat is allowed, and no site for it is
+     * reachable now. A broken link is usually up again within a few heartbeats.
      */
-    record Wait(long delay) implements Step {}
+    record Wait(long delayNanos) implements Step {}
 
-    /** The final answer: trying again is harmless. */
+    /** Final response: the request did not take effect or is repeatable, so the client may safely retry it. */
     record Refuse() implements Step {}
 
-    /** The final answer: failed, with no promise about effects. */
+    /** Final response: the request failed and may have taken effect. */
     record Fail() implements Step {}
 
     /**
-     * Another site as it is seen from here.
+     * Another site as seen from this gateway.
      *
-     * @param up some gateway there can be reached
-     * @param credit how many more it takes just now, besides those that are {@code taken}
+     * @param reachable some gateway there can be reached
+     * @param credit how many more requests it takes now, besides the {@code inFlight} ones
      */
-    record Site(LinkTimes link, boolean up, int credit, int taken) {
-        /** Whether there is credit for a class that leaves such a part of it behind for others. */
-        private boolean takes(double kept) {
-            return credit > 0 && credit > kept * (credit + taken);
+    record SiteSnapshot(LinkTimes link, boolean reachable, int credit, int inFlight) {
+        /** Whether there is credit for a class that leaves this part of it to other classes. */
+        private boolean admits(double reservedFraction) {
+            return credit > 0 && credit > reservedFraction * (credit + inFlight);
         }
     }
 
     /**
-     * A request goes to the own site once, and to another one twice, there by another of its gateways; once
-     * more after each wait.
+     * A request is sent at most once to the local site and twice to another one, the second time by another
+     * of its gateways, and once more after each wait.
      */
-    private static final int MOST_ACROSS = 2;
+    private static final int MAX_ATTEMPTS_PER_REMOTE_SITE = 2;
 
-    private static final int MOST_WAITS = 4;
-    private static final long FIRST_WAIT = 50_000_000;
-    private final String own;
-    private final OwnSite ownSite;
+    private static final int MAX_WAITS = 4;
+    private static final long INITIAL_WAIT_NANOS = 50_000_000;
+    private final String localName;
+    private final OwnSite localSite;
     private final CrossingBudget budget;
-    private final long leastWork;
-    private final long freshness;
+    private final long minWorkNanos;
+    private final long maxDeliveryNanos;
     private final Split split;
 
     /**
-     * A router.
+     * A router of one gateway.
      *
-     * @param own this site's name
+     * @param localName this site's name
+     * @param minWorkNanos a request with less time left is of no use to a server
+     * @param maxDeliveryNanos the other side rejects requests that were on their way for longer than this
      * @param split which site a request goes to by the plan, {@link Split#NONE} for the nearest
-     * @param freshness the other side drops what has been on its way for longer than this
-     * @param leastWork what is left of a request's time must be more than this to be of use to a server
      */
-    Router(String own, OwnSite ownSite, CrossingBudget budget, long leastWork, long freshness, Split split) {
+    Router(
+            String localName,
+            OwnSite localSite,
+            CrossingBudget budget,
+            long minWorkNanos,
+            long maxDeliveryNanos,
+            Split split) {
         this.split = split;
-        this.own = own;
-        this.ownSite = ownSite;
+        this.localName = localName;
+        this.localSite = localSite;
         this.budget = budget;
-        this.leastWork = leastWork;
-        this.freshness = freshness;
+        this.minWorkNanos = minWorkNanos;
+        this.maxDeliveryNanos = maxDeliveryNanos;
     }
 
-    /** A client's request has come; one from another site does not count for the budget. */
-    void came(Trail trail) {
-        if (!trail.byLink()) {
-            budget.came(trail.requestClass());
+    /** Records the arrival of a request; one from another site does not count towards the budget. */
+    void requestArrived(Trail history) {
+        if (!history.fromLink()) {
+            budget.requestArrived(history.requestClass());
         }
     }
 
     /**
-     * The next step of a request that is nowhere just now.
+     * The next step of a request that has no attempt in progress.
      *
-     * @param deadline by when the client must have its answer
-     * @param sites the others, by name
+     * @param deadline by when the client must have its response
+     * @param sites the other sites, by name
      */
-    Step next(long now, RequestClass kind, long deadline, Trail trail, Map<String, Site> sites) {
-        long left = deadline - now;
-        boolean ownPossible = left > leastWork && trail.timesAt(own) == 0 && allowed(now, kind, trail, own, 0);
-        if (ownPossible && (trail.byLink() || ownSite.accepts(now))) {
-            return new Own(left);
+    Step nextStep(long now, RequestClass requestClass, long deadline, Trail history, Map<String, SiteSnapshot> sites) {
+        long timeLeftNanos = deadline - now;
+        boolean localAllowed = timeLeftNanos > minWorkNanos
+                && history.attemptsAt(localName) == 0
+                && retryAllowed(now, requestClass, history, localName, 0);
+        if (localAllowed && (history.fromLink() || localSite.admits(now))) {
+            return new Local(timeLeftNanos);
         }
-        // Danger: what goes beyond the plan finds no room there and takes it from who would. Who has been on
-        // his way before, and who finds the own site full while it stands, is not measured by the plan.
-        Set<String> reached = reached(now, sites);
-        boolean planned = ownSite.state() != OwnSite.State.CUT
-                || !trail.fresh()
-                || split.admits(trail.requestClass(), trail.key(), reached);
-        if (!trail.byLink() && planned) {
-            Across across = across(now, left, kind, trail, sites, reached);
-            if (across != null) {
-                return across;
+        // Requests beyond the plan would find no capacity at the other site and take it from requests within
+        // the plan. The plan does not apply to requests with earlier attempts, nor to those that find the local
+        // site full while it is not cut.
+        Set<String> reachable = reachableSites(now, sites);
+        boolean admittedByPlan = localSite.state() != OwnSite.State.CUT
+                || !history.isUnsent()
+                || split.admits(history.requestClass(), history.affinityKey(), reachable);
+        if (!history.fromLink() && admittedByPlan) {
+            Remote remote = chooseRemote(now, timeLeftNanos, requestClass, history, sites, reachable);
+            if (remote != null) {
+                return remote;
             }
-            if (ownPossible) {
-                // The own site is cut or only just back, but nothing else is there to be tried.
-                return new Own(left);
+            if (localAllowed) {
+                // The local site is cut or returning, but no other site can be tried.
+                return new Local(timeLeftNanos);
             }
         }
-        boolean harmless = trail.doubt() == null || kind.semantics() == Semantics.REPEATABLE;
-        if (harmless) {
+        boolean safeToRetry = history.firstUncertain() == null || requestClass.semantics() == Semantics.REPEATABLE;
+        if (safeToRetry) {
             return new Refuse();
         }
-        long delay = FIRST_WAIT << trail.waits();
-        if (!trail.byLink() && trail.waits() < MOST_WAITS && mayCrossLater(now + delay, kind, deadline, trail, sites)) {
-            trail.waited();
-            return new Wait(delay);
+        long delayNanos = INITIAL_WAIT_NANOS << history.waitCount();
+        if (!history.fromLink()
+                && history.waitCount() < MAX_WAITS
+                && mayRetryRemotelyLater(now + delayNanos, requestClass, deadline, history, sites)) {
+            history.recordWait();
+            return new Wait(delayNanos);
         }
         return new Fail();
     }
 
-    private boolean mayCrossLater(long then, RequestClass kind, long deadline, Trail trail, Map<String, Site> sites) {
+    private boolean mayRetryRemotelyLater(
+            long afterWait, RequestClass requestClass, long deadline, Trail history, Map<String, SiteSnapshot> sites) {
         return sites.entrySet().stream().anyMatch(each -> {
-            long trip = each.getValue().link.estimate();
-            return trail.timesAt(each.getKey()) <= MOST_ACROSS + trail.waits()
-                    && deadline - then - trip > leastWork
-                    && allowed(then, kind, trail, each.getKey(), trip + freshness);
+            long roundTripNanos = each.getValue().link.roundTripNanos();
+            return history.attemptsAt(each.getKey()) <= MAX_ATTEMPTS_PER_REMOTE_SITE + history.waitCount()
+                    && deadline - afterWait - roundTripNanos > minWorkNanos
+                    && retryAllowed(afterWait, requestClass, history, each.getKey(), roundTripNanos + maxDeliveryNanos);
         });
     }
 
-    private static Set<String> reached(long now, Map<String, Site> sites) {
+    private static Set<String> reachableSites(long now, Map<String, SiteSnapshot> sites) {
         return sites.entrySet().stream()
-                .filter(each -> each.getValue().up && !each.getValue().link.stalled(now))
+                .filter(each ->
+                        each.getValue().reachable && !each.getValue().link.isStalled(now))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    /** The site that the plan gives it, else the nearest that can take it; its crossing is then paid for. */
-    private Across across(
-            long now, long left, RequestClass kind, Trail trail, Map<String, Site> sites, Set<String> reached) {
-        double kept = budget.kept(trail.requestClass());
-        Map<String, Long> able = new TreeMap<>();
-        for (Map.Entry<String, Site> each : new TreeMap<>(sites).entrySet()) {
-            Site site = each.getValue();
-            long trip = site.link.estimate();
-            if (reached.contains(each.getKey())
-                    && site.takes(kept)
-                    && left - trip > leastWork
-                    && trail.timesAt(each.getKey()) < MOST_ACROSS + trail.waits()
-                    && allowed(now, kind, trail, each.getKey(), trip + freshness)) {
-                able.put(each.getKey(), trip);
+    /**
+     * Chooses the site given by the plan, else the nearest that can take the request, and takes a token of
+     * the budget.
+     */
+    private Remote chooseRemote(
+            long now,
+            long timeLeftNanos,
+            RequestClass requestClass,
+            Trail history,
+            Map<String, SiteSnapshot> sites,
+            Set<String> reachable) {
+        double reservedFraction = budget.reservedFraction(history.requestClass());
+        Map<String, Long> roundTripBySite = new TreeMap<>();
+        for (Map.Entry<String, SiteSnapshot> each : new TreeMap<>(sites).entrySet()) {
+            SiteSnapshot site = each.getValue();
+            long roundTripNanos = site.link.roundTripNanos();
+            if (reachable.contains(each.getKey())
+                    && site.admits(reservedFraction)
+                    && timeLeftNanos - roundTripNanos > minWorkNanos
+                    && history.attemptsAt(each.getKey()) < MAX_ATTEMPTS_PER_REMOTE_SITE + history.waitCount()
+                    && retryAllowed(now, requestClass, history, each.getKey(), roundTripNanos + maxDeliveryNanos)) {
+                roundTripBySite.put(each.getKey(), roundTripNanos);
             }
         }
-        String planned = split.pick(trail.requestClass(), trail.key(), able.keySet(), reached);
-        String chosen = planned != null
-                ? planned
-                : able.entrySet().stream()
+        String plannedSite =
+                split.pick(history.requestClass(), history.affinityKey(), roundTripBySite.keySet(), reachable);
+        String chosen = plannedSite != null
+                ? plannedSite
+                : roundTripBySite.entrySet().stream()
                         .min(Map.Entry.comparingByValue())
                         .map(Map.Entry::getKey)
                         .orElse(null);
-        if (chosen == null || !budget.take(trail.requestClass(), now)) {
+        if (chosen == null || !budget.tryTake(history.requestClass(), now)) {
             return null;
         }
-        long trip = able.get(chosen);
-        return new Across(chosen, left - trip, window(now, kind, trail) - trip);
+        long roundTripNanos = roundTripBySite.get(chosen);
+        return new Remote(
+                chosen, timeLeftNanos - roundTripNanos, keyWindowNanos(now, requestClass, history) - roundTripNanos);
     }
 
-    private static long window(long now, RequestClass kind, Trail trail) {
-        Trail.Doubt doubt = trail.doubt();
-        return doubt == null || kind.semantics() != Semantics.BY_KEY
+    private static long keyWindowNanos(long now, RequestClass requestClass, Trail history) {
+        Trail.UncertainAttempt uncertain = history.firstUncertain();
+        return uncertain == null || requestClass.semantics() != Semantics.BY_KEY
                 ? Long.MAX_VALUE
-                : doubt.since() + kind.keyTtl() - now;
+                : uncertain.sentAt() + requestClass.keyTtl() - now;
     }
 
-    /** Whether the class allows a sending to a site, which takes {@code way} at most to get there. */
-    private static boolean allowed(long now, RequestClass kind, Trail trail, String site, long way) {
-        Trail.Doubt doubt = trail.doubt();
-        if (doubt == null) {
+    /** Whether the class allows an attempt at a site, which takes {@code deliveryNanos} at most to arrive. */
+    private static boolean retryAllowed(
+            long now, RequestClass requestClass, Trail history, String site, long deliveryNanos) {
+        Trail.UncertainAttempt uncertain = history.firstUncertain();
+        if (uncertain == null) {
             return true;
         }
-        return switch (kind.semantics()) {
+        return switch (requestClass.semantics()) {
             case REPEATABLE -> true;
             case ONCE -> false;
-            case BY_KEY -> now + way < doubt.since() + kind.keyTtl()
-                    && (kind.scope() == Scope.ALL || doubt.site().equals(site));
+            case BY_KEY -> now + deliveryNanos < uncertain.sentAt() + requestClass.keyTtl()
+                    && (requestClass.scope() == Scope.ALL || uncertain.site().equals(site));
         };
     }
 }
--- a/src/main/java/pondridge/gateway/Stamps.java
+++ b/src/main/java/pondridge/gateway/Stamps.java
@@ -1,44 +1,44 @@
 package pondridge.gateway;
 
 /**
- * Stamps of a gateway's own clock, by which it knows how long at most a request has been on its way to it:
- * the other side echoes the newest it has seen, so a stamp is never younger than its request. Only one clock
- * is read, by the one who set it; the other may be wrong by any amount. A restart voids all stamps before
- * it. Times in nanoseconds.
+ * Issues timestamps of this gateway's own clock and bounds the age of requests by them. The other side echoes
+ * the newest timestamp it has received, so a timestamp is never younger than its request. Only the issuer's
+ * clock is read; the peer's clock may be off by any amount. A restart invalidates all earlier timestamps.
+ * Times are in nanoseconds.
  */
 final class Stamps {
-    private static final int LONGEST = 40;
+    private static final int MAX_LENGTH = 40;
     private final long epoch;
-    private final long freshness;
+    private final long maxAgeNanos;
 
     /**
-     * Stamps of one run of the program.
+     * Timestamps of one run of the program.
      *
-     * @param epoch a number drawn at random at its start
-     * @param freshness how old a stamp may be
+     * @param epoch a random number drawn at startup
+     * @param maxAgeNanos the greatest age of a timestamp that counts as fresh
      */
-    Stamps(long epoch, long freshness) {
+    Stamps(long epoch, long maxAgeNanos) {
         this.epoch = epoch;
-        this.freshness = freshness;
+        this.maxAgeNanos = maxAgeNanos;
     }
 
-    /** A stamp of now. */
+    /** A timestamp for the current time. */
     String issue(long now) {
         return Long.toHexString(epoch) + '.' + Long.toHexString(now);
     }
 
-    /** Whether an echoed stamp is one of this run and not too old; any other text is not. */
-    boolean fresh(String echoed, long now) {
-        if (echoed == null || echoed.length() > LONGEST) {
+    /** Whether an echoed timestamp is of this run and not too old; false for any other text. */
+    boolean isFresh(String text, long now) {
+        if (text == null || text.length() > MAX_LENGTH) {
             return false;
         }
-        int dot = echoed.indexOf('.');
+        int dot = text.indexOf('.');
         try {
-            if (dot < 1 || Long.parseUnsignedLong(echoed, 0, dot, 16) != epoch) {
+            if (dot < 1 || Long.parseUnsignedLong(text, 0, dot, 16) != epoch) {
                 return false;
             }
-            long age = now - Long.parseUnsignedLong(echoed, dot + 1, echoed.length(), 16);
-            return age >= 0 && age <= freshness;
+            long age = now - Long.parseUnsignedLong(text, dot + 1, text.length(), 16);
+            return age >= 0 && age <= maxAgeNanos;
         } catch (NumberFormatException e) {
             return false;
         }
--- a/src/main/java/pondridge/gateway/StartTimes.java
+++ b/src/main/java/pondridge/gateway/StartTimes.java
@@ -11,42 +11,47 @@
 import pondridge.core.Target;
 
 /**
- * When servers started, by this machine's clock and not by the clock of whoever wrote the list: the two may
- * differ by any amount, and a cold server taken for a warm one is pushed over. Who is listed for the first
- * time, or with another start than before, has started when that is seen here, never earlier; only of the
- * first list that is told, where all is new, the times are believed, within {@code error}. Safe on one side:
- * a server may count as cold for longer than it is. No I/O; times in milliseconds.
+ * Tracks when servers started by this machine's clock instead of the clock of the list's author. The two may
+ * differ by any amount, and a cold server taken for a warm one would be overloaded. A server that is listed
+ * for the first time, or with a different start time than before, counts as started when this is received,
+ * never earlier. Only the times in the first list are used, within {@code maxClockErrorMillis}, since all its
+ * entries are new. The error is on the safe side: a server may count as cold for longer than it is. No I/O;
+ * times are in milliseconds.
  */
 final class StartTimes {
-    private record Seen(long told, long held) {}
+    private record Observed(long listedMillis, long localMillis) {}
 
-    private final long error;
-    private final Map<String, Seen> seen = new HashMap<>();
-    private boolean listed;
+    private final long maxClockErrorMillis;
+    private final Map<String, Observed> observedByUid = new HashMap<>();
+    private boolean receivedList;
 
-    /** {@code error}: how far the two clocks may be apart when this program starts. */
-    StartTimes(long error) {
-        this.error = error;
+    /** {@code maxClockErrorMillis}: the greatest difference of the two clocks when this program starts. */
+    StartTimes(long maxClockErrorMillis) {
+        this.maxClockErrorMillis = maxClockErrorMillis;
     }
 
-    /** The same entries with the start times to go by; {@code now} in Unix milliseconds of this machine. */
-    List<Target> held(ListKind kind, List<Target> targets, long now) {
+    /** The same entries with start times by this machine's clock; {@code nowMillis} is its Unix time. */
+    List<Target> withLocalStartTimes(ListKind kind, List<Target> targets, long nowMillis) {
         if (kind == ListKind.FULL) {
-            Set<String> named = targets.stream().map(Target::uid).collect(Collectors.toSet());
-            seen.keySet().retainAll(named);
+            Set<String> listedUids = targets.stream().map(Target::uid).collect(Collectors.toSet());
+            observedByUid.keySet().retainAll(listedUids);
         }
-        List<Target> held = new ArrayList<>(targets.size());
+        List<Target> result = new ArrayList<>(targets.size());
         for (Target target : targets) {
-            Seen before = seen.get(target.uid());
-            long started = before != null && before.told == target.startedMs()
-                    ? before.held
-                    : listed ? now : target.startedMs() == 0 ? 0 : Math.min(now, target.startedMs() + error);
+            Observed previous = observedByUid.get(target.uid());
+            long startedMillis = previous != null && previous.listedMillis == target.startedMs()
+                    ? previous.localMillis
+                    : receivedList
+                            ? nowMillis
+                            : target.startedMs() == 0
+                                    ? 0
+                                    : Math.min(nowMillis, target.startedMs() + maxClockErrorMillis);
             if (target.state() == State.GONE) {
-                seen.remove(target.uid());
+                observedByUid.remove(target.uid());
             } else {
-                seen.put(target.uid(), new Seen(target.startedMs(), started));
+                observedByUid.put(target.uid(), new Observed(target.startedMs(), startedMillis));
             }
-            held.add(new Target(
+            result.add(new Target(
                     target.uid(),
                     target.endpoint(),
                     target.zone(),
@@ -54,10 +59,10 @@
                     target.cell(),
                     target.state(),
                     target.weight(),
-                    started));
+                    startedMillis));
         }
-        // A cached list may be of any age: what has changed since may have changed long ago.
-        listed |= kind == ListKind.FULL || kind == ListKind.DELTA;
-        return held;
+        // A cached list may be of any age, so a change after it is not evidence of a recent start.
+        receivedList |= kind == ListKind.FULL || kind == ListKind.DELTA;
+        return result;
     }
 }
--- a/src/main/java/pondridge/gateway/Trail.java
+++ b/src/main/java/pondridge/gateway/Trail.java
@@ -4,91 +4,96 @@
 import java.util.List;
 
 /**
- * Where one request has been sent, and what of that may have run. Times in nanoseconds on this gateway's
- * clock; nothing of them travels.
+ * The attempts of one request and which of them may have executed. Times are in nanoseconds on this gateway's
+ * clock and are not sent to other gateways.
  */
 final class Trail {
-    private static final class Sending {
+    private static final class Attempt {
         private final String site;
-        private final long at;
-        private boolean neverRan;
+        private final long sentAt;
+        private boolean provenNotExecuted;
 
-        Sending(String site, long at) {
+        Attempt(String site, long sentAt) {
             this.site = site;
-            this.at = at;
+            this.sentAt = sentAt;
         }
     }
 
-    /** The first sending that may have run: its site, and when it left here. */
-    record Doubt(String site, long since) {}
+    /** The first attempt that may have executed: its site, and when it was sent. */
+    record UncertainAttempt(String site, long sentAt) {}
 
-    private final List<Sending> sendings = new ArrayList<>(2);
+    private final List<Attempt> attempts = new ArrayList<>(2);
     private final int requestClass;
-    private final boolean byLink;
-    private final long key;
-    private int waits;
+    private final boolean fromLink;
+    private final long affinityKey;
+    private int waitCount;
 
     /**
-     * A trail's begin.
+     * A request without attempts.
      *
-     * @param byLink the request came from another site
-     * @param key stays the same where its client asks again
+     * @param fromLink the request was received from another site
+     * @param affinityKey stays the same when the client repeats its request
      */
-    Trail(int requestClass, boolean byLink, long key) {
+    Trail(int requestClass, boolean fromLink, long affinityKey) {
         this.requestClass = requestClass;
-        this.byLink = byLink;
-        this.key = key;
+        this.fromLink = fromLink;
+        this.affinityKey = affinityKey;
     }
 
-    /** It goes to a site now; until its end is told it may run there. */
-    void sent(String site, long now) {
-        sendings.add(new Sending(site, now));
+    /** Records an attempt at a site; it counts as possibly executed until its end is reported. */
+    void attemptSent(String site, long now) {
+        attempts.add(new Attempt(site, now));
     }
 
-    /** The last sending has ended; {@code neverRan} only where that is proven, by an authenticated peer. */
-    void ended(boolean neverRan) {
-        sendings.get(sendings.size() - 1).neverRan = neverRan;
+    /**
+     * Records the end of the last attempt; {@code provenNotExecuted} only if an authenticated peer has proven
+     * it.
+     */
+    void attemptEnded(boolean provenNotExecuted) {
+        attempts.get(attempts.size() - 1).provenNotExecuted = provenNotExecuted;
     }
 
-    /** How often it has waited for a way to be there. */
-    int waits() {
-        return waits;
+    /** How often it has waited for a site to become reachable. */
+    int waitCount() {
+        return waitCount;
     }
 
-    /** It waits once more. */
-    void waited() {
-        waits++;
+    /** Records another wait. */
+    void recordWait() {
+        waitCount++;
     }
 
-    /** The number of its class. */
     int requestClass() {
         return requestClass;
     }
 
-    boolean byLink() {
-        return byLink;
+    boolean fromLink() {
+        return fromLink;
     }
 
-    /** Stays the same where its client asks again. */
-    long key() {
-        return key;
+    /** Stays the same when the client repeats its request. */
+    long affinityKey() {
+        return affinityKey;
     }
 
-    /** Whether it has gone nowhere yet. */
-    boolean fresh() {
-        return sendings.isEmpty();
+    /** Whether there was no attempt yet. */
+    boolean isUnsent() {
+        return attempts.isEmpty();
     }
 
-    /** How often it went to a site. */
-    long timesAt(String site) {
-        return sendings.stream().filter(each -> each.site.equals(site)).count();
+    /** The number of attempts at a site. */
+    long attemptsAt(String site) {
+        return attempts.stream().filter(each -> each.site.equals(site)).count();
     }
 
-    /** The first doubt, from which windows count; null where nothing may have run. */
-    Doubt doubt() {
-        for (Sending each : sendings) {
-            if (!each.neverRan) {
-                return new Doubt(each.site, each.at);
+    /**
+     * The first attempt that may have executed, from which the idempotency window counts; null if none may
+     * have.
+     */
+    UncertainAttempt firstUncertain() {
+        for (Attempt each : attempts) {
+            if (!each.provenNotExecuted) {
+                return new UncertainAttempt(each.site, each.sentAt);
             }
         }
         return null;
--- a/src/main/java/pondridge/gateway/Views.java
+++ b/src/main/java/pondridge/gateway/Views.java
@@ -6,32 +6,33 @@
 import java.util.Map;
 
 /**
- * What the gateways of other sites say of their own site, as their beats bring it: gateways of one site have
- * no way to each other, so each other site tells each of them what the rest says. Told as counts, aged here
- * by this gateway's own clock, so no clocks are compared. Bounded: so many gateways of a site, the oldest go
- * first. A hint; see {@link OwnSite#others}. Times in nanoseconds.
+ * Collects how gateways of other sites see their own site, as their heartbeats report it. Gateways of one
+ * site have no connection to each other, so each other site returns to each of them what the rest report.
+ * Reports are sent on as counts and expire by this gateway's own clock, so no clocks are compared. The number
+ * of gateways kept for a site is bounded; the oldest report is dropped first. The counts only supplement a
+ * gateway's own evidence, see {@link OwnSite#applyPeerReports}. Times are in nanoseconds.
  */
 final class Views {
-    private static final int MOST_GATEWAYS = 64;
-    private static final int LONGEST_NAME = 32;
-    private static final long LASTS = 500_000_000;
+    private static final int MAX_GATEWAYS_PER_SITE = 64;
+    private static final int MAX_FIELD_LENGTH = 32;
+    private static final long REPORT_LIFETIME_NANOS = 500_000_000;
 
-    /** How many gateways see their site in which way. */
-    record Counts(int in, int cut, int returning) {
-        static final Counts NONE = new Counts(0, 0, 0);
+    /** The number of gateways that report each state of their site. */
+    record StateCounts(int in, int cut, int returning) {
+        static final StateCounts NONE = new StateCounts(0, 0, 0);
 
-        /** As a header; {@link #read} reads it. */
-        String text() {
+        /** The header value; {@link #parse} reads it. */
+        String toHeader() {
             return in + "," + cut + ',' + returning;
         }
 
-        /** {@link #NONE} where it makes no sense, as from an older version. */
-        static Counts read(String text) {
-            String[] parts = text == null || text.length() > LONGEST_NAME ? new String[0] : text.split(",");
+        /** Parses a header value; {@link #NONE} if it is malformed or missing, as from an older version. */
+        static StateCounts parse(String text) {
+            String[] parts = text == null || text.length() > MAX_FIELD_LENGTH ? new String[0] : text.split(",");
             try {
                 return parts.length != 3
                         ? NONE
-                        : new Counts(
+                        : new StateCounts(
                                 Integer.parseUnsignedInt(parts[0]),
                                 Integer.parseUnsignedInt(parts[1]),
                                 Integer.parseUnsignedInt(parts[2]));
@@ -41,37 +42,40 @@
         }
     }
 
-    private record Said(OwnSite.State state, long at) {}
+    private record Report(OwnSite.State state, long receivedAt) {}
 
-    private final Map<String, Map<String, Said>> bySite = new HashMap<>();
+    private final Map<String, Map<String, Report>> reportsBySite = new HashMap<>();
 
-    /** As a header: who says what; {@link #heard} reads it. */
-    static String said(String gateway, OwnSite.State state) {
+    /** The header value of a gateway's report; {@link #recordAndCount} reads it. */
+    static String format(String gateway, OwnSite.State state) {
         return gateway + ' ' + state.name().toLowerCase(Locale.ROOT);
     }
 
-    /** A beat of a known site says this; what makes no sense is passed over. Counts what the others say. */
-    Counts heard(String site, String said, long now) {
-        Map<String, Said> all = bySite.computeIfAbsent(site, each -> new HashMap<>());
-        all.values().removeIf(each -> now - each.at >= LASTS);
-        String[] parts = said == null ? new String[0] : said.split(" ");
-        if (parts.length != 2 || parts[0].length() > LONGEST_NAME) {
-            return Counts.NONE;
+    /**
+     * Records the report in a heartbeat of a known site and counts the reports of that site's other gateways.
+     * A malformed report is ignored.
+     */
+    StateCounts recordAndCount(String site, String report, long now) {
+        Map<String, Report> reports = reportsBySite.computeIfAbsent(site, each -> new HashMap<>());
+        reports.values().removeIf(each -> now - each.receivedAt >= REPORT_LIFETIME_NANOS);
+        String[] parts = report == null ? new String[0] : report.split(" ");
+        if (parts.length != 2 || parts[0].length() > MAX_FIELD_LENGTH) {
+            return StateCounts.NONE;
         }
         for (OwnSite.State state : OwnSite.State.values()) {
             if (state.name().toLowerCase(Locale.ROOT).equals(parts[1])) {
-                all.put(parts[0], new Said(state, now));
+                reports.put(parts[0], new Report(state, now));
             }
         }
-        if (all.size() > MOST_GATEWAYS) {
-            all.entrySet().stream()
-                    .min((one, two) -> Long.compare(one.getValue().at, two.getValue().at))
+        if (reports.size() > MAX_GATEWAYS_PER_SITE) {
+            reports.entrySet().stream()
+                    .min((first, second) -> Long.compare(first.getValue().receivedAt, second.getValue().receivedAt))
                     .map(Map.Entry::getKey)
-                    .ifPresent(all::remove);
+                    .ifPresent(reports::remove);
         }
         Map<OwnSite.State, Integer> counts = new EnumMap<>(OwnSite.State.class);
-        all.forEach((gateway, each) -> counts.merge(each.state, gateway.equals(parts[0]) ? 0 : 1, Integer::sum));
-        return new Counts(
+        reports.forEach((gateway, each) -> counts.merge(each.state, gateway.equals(parts[0]) ? 0 : 1, Integer::sum));
+        return new StateCounts(
                 counts.getOrDefault(OwnSite.State.IN, 0),
                 counts.getOrDefault(OwnSite.State.CUT, 0),
                 counts.getOrDefault(OwnSite.State.RETURNING, 0));
--- a/src/main/java/pondridge/gateway/package-info.java
+++ b/src/main/java/pondridge/gateway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The gateway between sites, in work: so far what decides, without I/O. {@link pondridge.gateway.Router} says
- * where a request goes next; see docs/gateway/design.md.
+ * The gateway between sites: links to other sites' gateways, and the decision where a request goes.
+ * {@link pondridge.gateway.Router} makes that decision without I/O; see docs/gateway/design.md.
  */
 package pondridge.gateway;
--- a/src/test/java/pondridge/gateway/AnswerTable.java
+++ b/src/test/java/pondridge/gateway/AnswerTable.java
@@ -4,34 +4,34 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Fills the memory of answers to its bound, for the benchmark. */
+/** Fills the idempotency cache to its bound, for the benchmark. */
 public final class AnswerTable {
     private AnswerTable() {}
 
     /**
-     * What a full memory holds of the heap in bytes, by what is in use after collections before and after.
+     * The heap that a full cache uses in bytes, measured after collections before and after filling it.
      *
-     * @param answers that it is set to hold
-     * @param size of each, in bytes
+     * @param responses capacity of the cache
+     * @param sizeBytes of each response
      */
-    public static long heap(int answers, int size) {
-        long before = used();
-        AnswerMemory<Integer, byte[]> memory = new AnswerMemory<>(answers, (long) answers * size, 8);
-        for (int i = 0; i < answers + answers / 2; i++) {
+    public static long heap(int responses, int sizeBytes) {
+        long bytesBefore = usedHeapBytes();
+        AnswerMemory<Integer, byte[]> cache = new AnswerMemory<>(responses, (long) responses * sizeBytes, 8);
+        for (int i = 0; i < responses + responses / 2; i++) {
             String key = "0/0/a-key-of-a-usual-length-" + i;
-            if (memory.ask(key, "x".repeat(60) + i % 10_000, i, i) == AnswerMemory.Verdict.RUN) {
-                memory.ended(key, new byte[size], size, Long.MAX_VALUE / 2, i);
+            if (cache.admit(key, "x".repeat(60) + i % 10_000, i, i) == AnswerMemory.Decision.RUN) {
+                cache.complete(key, new byte[sizeBytes], sizeBytes, Long.MAX_VALUE / 2, i);
             }
         }
-        long held = used() - before;
-        List<Long> kept = new ArrayList<>(List.of((long) memory.size(), memory.bytes()));
-        if (kept.get(0) > answers) {
-            throw new IllegalStateException("over its bound: " + kept);
+        long heapBytes = usedHeapBytes() - bytesBefore;
+        List<Long> entriesAndBytes = new ArrayList<>(List.of((long) cache.size(), cache.bytes()));
+        if (entriesAndBytes.get(0) > responses) {
+            throw new IllegalStateException("cache exceeds its bound: " + entriesAndBytes);
         }
-        return held;
+        return heapBytes;
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
--- a/src/test/java/pondridge/gateway/LinkSecurityTest.java
+++ b/src/test/java/pondridge/gateway/LinkSecurityTest.java
@@ -27,58 +27,66 @@
 import pondridge.settings.SettingsFile;
 import pondridge.standin.EffectLedger.Verdict;
 
-/** Who may use a link: gateways that show what the other side trusts, and nobody else. */
+/** Tests that only gateways with trusted certificates can use a link. */
 class LinkSecurityTest {
     private static final long MS = 1_000_000;
-    private static final int WAIT_MS = 3_000;
+    private static final int CLIENT_TIMEOUT_MS = 3_000;
 
     @TempDir
     private Path folder;
 
     private static Sites sites(Function<String, String> security) throws IOException {
         return new Sites(
-                new Sites.Shape(List.of("a", "b"), 2, 1, 5 * MS, 5 * MS, MS, ""), Usual.options(WAIT_MS), 1, security);
+                new Sites.Shape(List.of("a", "b"), 2, 1, 5 * MS, 5 * MS, MS, ""),
+                Usual.options(CLIENT_TIMEOUT_MS),
+                1,
+                security);
     }
 
     private static Verdict load(Sites sites, int requests) throws Exception {
         sites.site("a").list(State.DRAINING);
-        sites.load("a", requests).start(Fleet.mixed(requests, 100, WAIT_MS)).get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+        sites.load("a", requests)
+                .start(Fleet.mixed(requests, 100, CLIENT_TIMEOUT_MS))
+                .get(Fleet.LIMIT_S, TimeUnit.SECONDS);
         Verdict verdict = sites.ledger().verdict();
         assertTrue(verdict.clean(), verdict::toString);
         return verdict;
     }
 
-    private interface Naming {
+    private interface CertificateSettings {
         String site(String name) throws IOException;
     }
 
-    private static Function<String, String> lines(Naming naming) {
+    private static Function<String, String> toFunction(CertificateSettings certificateSettings) {
         return name -> {
             try {
-                return naming.site(name);
+                return certificateSettings.site(name);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         };
     }
 
-    /** Both show good certificates; what is no link gets nothing, and does no harm to the one that is. */
+    /**
+     * With valid certificates at both ends requests are served; other connections get no HTTP response and do
+     * not affect the link.
+     */
     @Test
-    void goodCertificatesCarryAndNothingElseDoes() throws Exception {
+    void onlyValidCertificatesAreAccepted() throws Exception {
         Certificates certificates = new Certificates(folder);
-        try (Sites sites = sites(lines(certificates::site))) {
+        try (Sites sites = sites(toFunction(certificates::site))) {
             Direct.until(() -> sites.site("a").count("links_up") == 1, "the link");
-            InetSocketAddress door = sites.site("b").links().get(0).address();
-            for (String said :
+            InetSocketAddress address = sites.site("b").links().get(0).address();
+            for (String input :
                     List.of("GET / HTTP/1.1\r\n\r\n", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "\u0016\u0003\u0001x")) {
-                try (Socket scan = new Socket(door.getAddress(), door.getPort())) {
-                    scan.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
-                    Stub.write(scan, said);
-                    scan.shutdownOutput();
-                    String answer = new String(scan.getInputStream().readAllBytes());
-                    assertTrue(!answer.contains("HTTP"), "told nothing: " + answer);
+                try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+                    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+                    Stub.write(socket, input);
+                    socket.shutdownOutput();
+                    String response = new String(socket.getInputStream().readAllBytes());
+                    assertTrue(!response.contains("HTTP"), "expected no HTTP response: " + response);
                 } catch (IOException e) {
-                    // Reset is as good as closed.
+                    // A reset counts as closed.
                     assertTrue(e.getMessage() != null);
                 }
             }
@@ -87,20 +95,23 @@
         }
     }
 
-    /** Expired, of another site, of a foreign authority: nothing at all gets through, and nothing has run. */
+    /**
+     * With a certificate that is expired, of another site or of a foreign authority no request gets through,
+     * and no server has run any.
+     */
     @Test
-    void badCertificatesGetNothingThrough() throws Exception {
+    void invalidCertificatesAreRejected() throws Exception {
         Path foreign = Files.createDirectory(folder.resolve("foreign"));
         Certificates certificates = new Certificates(folder);
         Certificates others = new Certificates(foreign);
         Instant later = Instant.now().plus(1, ChronoUnit.DAYS);
-        List<Naming> bad = List.of(
+        List<CertificateSettings> bad = List.of(
                 name -> certificates.site(name, name, Instant.now().minus(1, ChronoUnit.HOURS)),
                 name -> certificates.site(name, name.equals("a") ? "c" : "b", later),
                 name -> certificates.site(name, name.equals("b") ? "c" : "a", later),
                 name -> name.equals("a") ? others.site(name) : certificates.site(name));
-        for (Naming naming : bad) {
-            try (Sites sites = sites(lines(naming))) {
+        for (CertificateSettings certificateSettings : bad) {
+            try (Sites sites = sites(toFunction(certificateSettings))) {
                 Verdict verdict = load(sites, 40);
                 assertEquals(40, verdict.refused(), verdict::toString);
                 assertEquals(0, sites.site("b").count("by_link"));
@@ -114,14 +125,14 @@
     }
 
     /**
-     * Files change while gateways run: nonsense and a key that is another certificate's change nothing; those
-     * of a new authority are taken, and then the old ones get nothing through.
+     * Certificate files change while gateways run. Malformed files and a key of another certificate change
+     * nothing. Certificates of a new authority are loaded and replace the old ones.
      */
     @Test
-    void newCertificatesAreTakenWhileItRuns() throws Exception {
+    void certificatesAreReloadedAtRuntime() throws Exception {
         Certificates first = new Certificates(folder);
         try (Sites sites =
-                sites(name -> "look = \"20ms\"\n" + lines(first::site).apply(name))) {
+                sites(name -> "look = \"20ms\"\n" + toFunction(first::site).apply(name))) {
             Direct.until(() -> sites.site("a").count("links_up") == 1, "the link");
             byte[] key = Files.readAllBytes(folder.resolve("a.key"));
             Files.writeString(folder.resolve("a.key"), Files.readString(folder.resolve("b.key")));
@@ -129,10 +140,10 @@
             Direct.until(
                     () -> sites.site("a").count("certificates_refused") > 0
                             && sites.site("b").count("certificates_refused") > 0,
-                    "both looked");
+                    "both gateways have checked the files");
             sites.site("b").links().get(0).reset();
-            Verdict held = load(sites, 60);
-            assertTrue(held.served() > 30, "the old ones hold: " + held);
+            Verdict before = load(sites, 60);
+            assertTrue(before.served() > 30, "the old certificates remain in use: " + before);
             Files.write(folder.resolve("a.key"), key);
             Certificates second = new Certificates(folder);
             second.site("a");
@@ -140,32 +151,32 @@
             Direct.until(
                     () -> sites.site("a").count("certificates_taken") > 0
                             && sites.site("b").count("certificates_taken") > 0,
-                    "both have taken new ones");
+                    "both have loaded the new certificates");
             sites.site("b").links().get(0).reset();
-            Direct.until(() -> sites.site("a").count("links_up") == 1, "the link, by the new ones");
-            Verdict taken = load(sites, 61);
-            assertTrue(taken.served() > held.served() + 30, taken::toString);
+            Direct.until(() -> sites.site("a").count("links_up") == 1, "the link, with the new certificates");
+            Verdict after = load(sites, 61);
+            assertTrue(after.served() > before.served() + 30, after::toString);
         }
     }
 
-    /** A mistake is told with file, key and what was expected; plain text is for loopback alone. */
+    /** A settings error names file and key and the expected value; plain text is allowed on loopback only. */
     @Test
-    void mistakesInSettingsAreNamed() {
-        String good = "[gateway]\nsite = \"a\"\nplatform = \"p\"\n[link]\nlisten = \"127.0.0.1:1\"\n"
+    void settingsErrorsNameTheirKey() {
+        String valid = "[gateway]\nsite = \"a\"\nplatform = \"p\"\n[link]\nlisten = \"127.0.0.1:1\"\n"
                 + "security = \"plain\"\n";
-        GatewaySettings.of(SettingsFile.parse("x", good), folder);
+        GatewaySettings.of(SettingsFile.parse("x", valid), folder);
         List.of(
-                        List.of(good.replace("site = \"a\"\n", ""), "gateway.site"),
-                        List.of(good.replace("127.0.0.1", "10.0.0.1"), "loopback"),
-                        List.of(good.replace("security = \"plain\"\n", ""), "link.certificate"),
-                        List.of(good.replace("127.0.0.1:1", "somewhere"), "link.listen"),
-                        List.of(good + "[sites.a]\ngateways = [\"127.0.0.1:2\"]", "sites.a.gateways"),
-                        List.of(good + "[sites.b]\ngateways = []", "sites.b.gateways"),
-                        List.of(good + "[sites.b]\ngateways = [\"127.0.0.1:2\"]\nweight = 1", "sites.b.weight"),
-                        List.of(good + "freshness = \"60ms\"", "link.freshness"),
-                        List.of(good + "[crossing]\nshare = 2.0", "crossing.share"))
+                        List.of(valid.replace("site = \"a\"\n", ""), "gateway.site"),
+                        List.of(valid.replace("127.0.0.1", "10.0.0.1"), "loopback"),
+                        List.of(valid.replace("security = \"plain\"\n", ""), "link.certificate"),
+                        List.of(valid.replace("127.0.0.1:1", "somewhere"), "link.listen"),
+                        List.of(valid + "[sites.a]\ngateways = [\"127.0.0.1:2\"]", "sites.a.gateways"),
+                        List.of(valid + "[sites.b]\ngateways = []", "sites.b.gateways"),
+                        List.of(valid + "[sites.b]\ngateways = [\"127.0.0.1:2\"]\nweight = 1", "sites.b.weight"),
+                        List.of(valid + "freshness = \"60ms\"", "link.freshness"),
+                        List.of(valid + "[crossing]\nshare = 2.0", "crossing.share"))
                 .forEach(each -> {
-                    SettingsException told = assertThrows(
+                    SettingsException thrown = assertThrows(
                             SettingsException.class,
                             () -> {
                                 SettingsFile file = SettingsFile.parse("x", each.get(0));
@@ -173,7 +184,7 @@
                                 file.finish();
                             },
                             each.get(1));
-                    assertTrue(told.getMessage().contains(each.get(1)), told.getMessage());
+                    assertTrue(thrown.getMessage().contains(each.get(1)), thrown.getMessage());
                 });
     }
 }
--- a/src/test/java/pondridge/gateway/RawHttp2.java
+++ b/src/test/java/pondridge/gateway/RawHttp2Client.java
@@ -16,48 +16,48 @@
 import pondridge.http1.Stub;
 
 /**
- * Frames of HTTP/2 written by hand (RFC 9113, section 4.1), so that they may be any nonsense. What a write
- * meets on a connection that has ended is what is wanted, and is passed over.
+ * HTTP/2 frames written by hand (RFC 9113, section 4.1), so that they may be invalid. Write errors on a
+ * connection that the peer has closed are expected and ignored.
  */
-final class RawHttp2 implements AutoCloseable {
+final class RawHttp2Client implements AutoCloseable {
     private static final int HEADERS = 1;
     private static final int END_STREAM = 1;
     private static final int END_HEADERS = 4;
-    private static final int HEAD = 9;
+    private static final int FRAME_HEADER_BYTES = 9;
     private static final int PING = 6;
-    private static final int FLOOD_S = 5;
-    private static final long PAUSE = 1_000_000;
+    private static final int FLOOD_SECONDS = 5;
+    private static final long WRITE_INTERVAL_NANOS = 1_000_000;
     private final Socket socket;
     private final OutputStream out;
     private final DataInputStream in;
-    private volatile boolean broken;
+    private volatile boolean closedByPeer;
     private boolean flooded;
     private int nextStream = 1;
 
-    RawHttp2(int port) throws IOException {
+    RawHttp2Client(int port) throws IOException {
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
         out = socket.getOutputStream();
         in = new DataInputStream(socket.getInputStream());
     }
 
-    RawHttp2 bytes(String text) {
+    RawHttp2Client sendText(String text) {
         return write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private synchronized RawHttp2 write(byte[] bytes) {
+    private synchronized RawHttp2Client write(byte[] bytes) {
         try {
             out.write(bytes);
             out.flush();
         } catch (IOException e) {
-            // The other side has ended it.
+            // The peer has closed the connection.
             return this;
         }
         return this;
     }
 
     private static byte[] frame(int type, int flags, int stream, byte[] payload) {
-        return ByteBuffer.allocate(HEAD + payload.length)
+        return ByteBuffer.allocate(FRAME_HEADER_BYTES + payload.length)
                 .put((byte) (payload.length >> 16))
                 .putShort((short) payload.length)
                 .put((byte) type)
@@ -68,54 +68,53 @@
     }
 
     /**
-     * Many of the same, for as long as the other side takes them and some seconds at most, with all that it
-     *  says
-     * read and forgotten; keeps whether it ended the connection meanwhile.
+     * Sends the same frame repeatedly until the peer closes the connection, for some seconds at most, and
+     * discards all that is received. Records whether the peer closed it.
      */
-    private RawHttp2 flood(byte[] frame) {
-        byte[] some = new byte[100 * frame.length];
+    private RawHttp2Client flood(byte[] frame) {
+        byte[] batch = new byte[100 * frame.length];
         for (int i = 0; i < 100; i++) {
-            System.arraycopy(frame, 0, some, i * frame.length, frame.length);
+            System.arraycopy(frame, 0, batch, i * frame.length, frame.length);
         }
         Stub.thread(() -> {
             try {
                 in.transferTo(OutputStream.nullOutputStream());
             } catch (IOException e) {
-                broken = true;
+                closedByPeer = true;
             }
         });
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FLOOD_S);
-        while (System.nanoTime() - until < 0 && !broken) {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FLOOD_SECONDS);
+        while (System.nanoTime() - until < 0 && !closedByPeer) {
             try {
-                out.write(some);
-                LockSupport.parkNanos(PAUSE);
+                out.write(batch);
+                LockSupport.parkNanos(WRITE_INTERVAL_NANOS);
             } catch (IOException e) {
-                broken = true;
+                closedByPeer = true;
             }
         }
         flooded = true;
         return this;
     }
 
-    /** Sends a PING now and then, so that the connection is never silent. */
-    RawHttp2 alive() {
+    /** Sends a PING at intervals, so that the connection is never idle. */
+    RawHttp2Client keepAlive() {
         Stub.thread(() -> {
             while (!socket.isClosed()) {
                 write(frame(PING, 0, 0, new byte[8]));
-                LockSupport.parkNanos(50 * PAUSE);
+                LockSupport.parkNanos(50 * WRITE_INTERVAL_NANOS);
             }
         });
         return this;
     }
 
-    /** The preface, and a first SETTINGS. */
-    RawHttp2 hello() {
-        return bytes("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n").write(frame(4, 0, 0, new byte[0]));
+    /** Sends the preface and the first SETTINGS. */
+    RawHttp2Client handshake() {
+        return sendText("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n").write(frame(4, 0, 0, new byte[0]));
     }
 
-    /** The same, with that window for each answer. */
-    RawHttp2 hello(int window) {
-        return bytes("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
+    /** The same with this initial window for each response. */
+    RawHttp2Client handshake(int window) {
+        return sendText("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
                 .write(frame(
                         4,
                         0,
@@ -126,56 +125,56 @@
                                 .array()));
     }
 
-    RawHttp2 pings() {
+    RawHttp2Client floodPings() {
         return flood(frame(PING, 0, 0, new byte[8]));
     }
 
-    RawHttp2 settings() {
+    RawHttp2Client floodSettings() {
         return flood(frame(4, 0, 0, new byte[0]));
     }
 
-    /** Streams begun and reset at once (CVE-2023-44487). */
-    RawHttp2 resets(int count) {
+    /** Opens streams and resets them at once (CVE-2023-44487). */
+    RawHttp2Client sendResets(int count) {
         for (int i = 0; i < count; i++) {
-            write(frame(HEADERS, END_HEADERS, 2 * i + 1, block(Map.of())));
+            write(frame(HEADERS, END_HEADERS, 2 * i + 1, headerBlock(Map.of())));
             write(frame(3, 0, 2 * i + 1, new byte[4]));
         }
         return this;
     }
 
-    /** Headers that never end. */
-    RawHttp2 continuations() {
-        return write(frame(HEADERS, 0, 1, block(Map.of()))).flood(frame(9, 0, 1, new byte[0]));
+    /** Sends a header block that never ends. */
+    RawHttp2Client floodContinuations() {
+        return write(frame(HEADERS, 0, 1, headerBlock(Map.of()))).flood(frame(9, 0, 1, new byte[0]));
     }
 
-    RawHttp2 headers(int stream, int length) {
-        byte[] block = block(Map.of("x-long", "x".repeat(length / 20)));
+    RawHttp2Client sendLongHeaders(int stream, int length) {
+        byte[] block = headerBlock(Map.of("x-long", "x".repeat(length / 20)));
         write(frame(HEADERS, 0, stream, block));
         for (int i = 0; i < 20; i++) {
-            write(frame(9, i == 19 ? END_HEADERS : 0, stream, field("x-" + i, "x".repeat(length / 20))));
+            write(frame(9, i == 19 ? END_HEADERS : 0, stream, headerField("x-" + i, "x".repeat(length / 20))));
         }
         return this;
     }
 
-    /** Requests with so much of a body that never ends. */
-    RawHttp2 bodies(int count, int length) {
+    /** Sends requests with the start of a body that never ends. */
+    RawHttp2Client sendEndlessBodies(int count, int length) {
         for (int i = 0; i < count; i++) {
-            write(frame(HEADERS, END_HEADERS, 2 * i + 1, block(Map.of())));
+            write(frame(HEADERS, END_HEADERS, 2 * i + 1, headerBlock(Map.of())));
             write(frame(0, 0, 2 * i + 1, new byte[length]));
         }
         return this;
     }
 
-    /** Look-ups by the link. */
-    RawHttp2 requests(int count, Map<String, String> link, String stamp) {
+    /** Sends repeatable read requests over the link. */
+    RawHttp2Client sendRequests(int count, Map<String, String> linkHeaders, String timestamp) {
         for (int i = 0; i < count; i++) {
-            Map<String, String> headers = new TreeMap<>(link);
+            Map<String, String> headers = new TreeMap<>(linkHeaders);
             headers.putAll(Map.of(
                     LinkHeaders.HOPS,
                     "1",
-                    LinkHeaders.STAMP,
-                    stamp,
-                    LinkHeaders.LEFT,
+                    LinkHeaders.TIMESTAMP,
+                    timestamp,
+                    LinkHeaders.TIME_LEFT,
                     "2000",
                     "req-kind",
                     "stock-check",
@@ -185,22 +184,22 @@
                     "2500",
                     "req-id",
                     "raw" + i));
-            write(frame(HEADERS, END_HEADERS | END_STREAM, nextStream, block(headers)));
+            write(frame(HEADERS, END_HEADERS | END_STREAM, nextStream, headerBlock(headers)));
             nextStream += 2;
         }
         return this;
     }
 
-    /** Reads until so many streams have been reset, or a GOAWAY or the end has come. */
-    RawHttp2 awaitResets(int count) throws IOException {
+    /** Reads until this many streams have been reset or a GOAWAY was received. */
+    RawHttp2Client awaitResets(int count) throws IOException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
         for (int left = count; left > 0; ) {
             if (System.nanoTime() - until > 0) {
-                throw new IOException("never reset: " + left);
+                throw new IOException("streams not reset: " + left);
             }
             int length = in.readUnsignedByte() << 16 | in.readUnsignedShort();
             int type = in.readUnsignedByte();
-            in.skipNBytes(HEAD - 4L + length);
+            in.skipNBytes(FRAME_HEADER_BYTES - 4L + length);
             left -= type == 3 ? 1 : 0;
             if (type == 7) {
                 return this;
@@ -209,16 +208,16 @@
         return this;
     }
 
-    /** HPACK without tables (RFC 7541, section 6.2.2). */
-    private static byte[] block(Map<String, String> headers) {
+    /** An HPACK header block without tables (RFC 7541, section 6.2.2). */
+    private static byte[] headerBlock(Map<String, String> headers) {
         ByteArrayOutputStream block = new ByteArrayOutputStream();
         Map.of(":method", "GET", ":scheme", "http", ":path", "/api/1", ":authority", "b")
-                .forEach((name, value) -> block.writeBytes(field(name, value)));
-        headers.forEach((name, value) -> block.writeBytes(field(name, value)));
+                .forEach((name, value) -> block.writeBytes(headerField(name, value)));
+        headers.forEach((name, value) -> block.writeBytes(headerField(name, value)));
         return block.toByteArray();
     }
 
-    private static byte[] field(String name, String value) {
+    private static byte[] headerField(String name, String value) {
         ByteArrayOutputStream field = new ByteArrayOutputStream();
         field.write(0);
         for (String each : new String[] {name, value}) {
@@ -238,17 +237,17 @@
         return field.toByteArray();
     }
 
-    /** Whether the other side ends it within a generous time. */
-    boolean ended() {
+    /** Whether the peer closes the connection before the socket timeout. */
+    boolean isClosed() {
         if (flooded) {
-            return broken;
+            return closedByPeer;
         }
         try {
             in.transferTo(OutputStream.nullOutputStream());
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
-            // Reset is as good as closed.
+            // A reset counts as closed.
             return true;
         }
         return true;
