--- a/src/main/java/pondridge/gateway/CreditControl.java
+++ b/src/main/java/pondridge/gateway/CreditControl.java
@@ -1,10 +1,10 @@
 package pondridge.gateway;
 
 /**
- * Limits how many requests of one other site this gateway takes at a time. The limit grows by one for each
- * limit's worth of served requests and halves, at most once per interval, when the local site rejects one. It
- * never falls to 0, since then nobody would find out that the site has recovered. Additive increase,
- * multiplicative decrease (Chiu and Jain, 1989). Times are in nanoseconds.
+ * Limits how many requests of one other site this gateway takes at a time. The limit grows by 1/limit with
+ * each served request and halves, at most once per interval, when the local site rejects one. It never falls
+ * to 0, since then nobody would find out that the site has recovered. Additive increase, multiplicative
+ * decrease (Chiu and Jain, 1989). Times are in nanoseconds.
  */
 final class CreditControl {
     private static final int MIN_LIMIT = 1;
--- a/src/main/java/pondridge/gateway/Dispatcher.java
+++ b/src/main/java/pondridge/gateway/Dispatcher.java
@@ -29,8 +29,8 @@
         long served;
         long refused;
         long failed;
-        long crossed;
-        long crossedServed;
+        long sentToRemoteSites;
+        long servedByRemoteSites;
         long fromLink;
     }
 
@@ -93,7 +93,7 @@
                     switch (now) {
                         case CUT -> "cut, " + localSite.reason();
                         case RETURNING -> "returning, " + localSite.reason();
-                        case IN -> "in, it has all its requests again";
+                        case IN -> "in, it gets all its requests again";
                     });
         }
     }
@@ -198,7 +198,7 @@
                 atRemoteSite = false;
                 submitTo(localEngine, job.within(local.timeLeftNanos()));
             } else if (step instanceof Router.Remote target) {
-                counts.crossed++;
+                counts.sentToRemoteSites++;
                 history.attemptSent(target.site(), now);
                 atRemoteSite = true;
                 long remoteTimeNanos = target.keyWindowNanos() == Long.MAX_VALUE
@@ -248,15 +248,15 @@
         }
 
         @Override
-        public void served(Answer answer) {
+        public void served(Answer response) {
             if (!atRemoteSite) {
                 localSite.attemptEnded(true, clock.getAsLong());
                 localAttemptEnded(this, true);
             }
-            counts.crossedServed += atRemoteSite ? 1 : 0;
+            counts.servedByRemoteSites += atRemoteSite ? 1 : 0;
             counts.served += history.fromLink() ? 0 : 1;
             finish();
-            client.served(answer);
+            client.served(response);
         }
 
         @Override
--- a/src/main/java/pondridge/gateway/Gateway.java
+++ b/src/main/java/pondridge/gateway/Gateway.java
@@ -194,30 +194,35 @@
         recordServers(ListKind.CACHED, localized);
         localEngine.start(discovery, localized);
         CompletableFuture<Doors> started = new CompletableFuture<>();
-        ChannelFuture forSites = linkRequestHandler.listen();
-        ChannelFuture forClients = frontend.listen(loop, listen);
-        ChannelFuture forGrpc = grpc == null ? forClients : grpc.listen();
-        forSites.addListener(sitesBound -> forClients.addListener(clientsBound -> forGrpc.addListener(grpcBound -> {
-            Throwable cause = !sitesBound.isSuccess()
-                    ? sitesBound.cause()
-                    : clientsBound.isSuccess() ? grpcBound.cause() : clientsBound.cause();
-            if (cause != null) {
-                started.completeExceptionally(new IOException("listening failed: " + cause.getMessage()));
-                return;
-            }
-            frontend.ready();
-            if (grpc != null) {
-                grpc.ready(true);
-            }
-            if (tls != null) {
-                loop.scheduleWithFixedDelay(
-                        this::refreshCertificates, certificateCheckNanos, certificateCheckNanos, TimeUnit.NANOSECONDS);
-            }
-            Doors addresses = new Doors((InetSocketAddress) forClients.channel().localAddress(), (InetSocketAddress)
-                    forSites.channel().localAddress());
-            log.info("started", "", "clients at " + addresses.clients + ", sites at " + addresses.sites);
-            started.complete(addresses);
-        })));
+        ChannelFuture linkBinding = linkRequestHandler.listen();
+        ChannelFuture clientBinding = frontend.listen(loop, listen);
+        ChannelFuture grpcBinding = grpc == null ? clientBinding : grpc.listen();
+        linkBinding.addListener(
+                sitesBound -> clientBinding.addListener(clientsBound -> grpcBinding.addListener(grpcBound -> {
+                    Throwable cause = !sitesBound.isSuccess()
+                            ? sitesBound.cause()
+                            : clientsBound.isSuccess() ? grpcBound.cause() : clientsBound.cause();
+                    if (cause != null) {
+                        started.completeExceptionally(new IOException("listening failed: " + cause.getMessage()));
+                        return;
+                    }
+                    frontend.ready();
+                    if (grpc != null) {
+                        grpc.ready(true);
+                    }
+                    if (tls != null) {
+                        loop.scheduleWithFixedDelay(
+                                this::refreshCertificates,
+                                certificateCheckNanos,
+                                certificateCheckNanos,
+                                TimeUnit.NANOSECONDS);
+                    }
+                    Doors addresses = new Doors(
+                            (InetSocketAddress) clientBinding.channel().localAddress(),
+                            (InetSocketAddress) linkBinding.channel().localAddress());
+                    log.info("started", "", "clients at " + addresses.clients + ", sites at " + addresses.sites);
+                    started.complete(addresses);
+                })));
         return started;
     }
 
@@ -273,8 +278,8 @@
         result.put("served", counts.served);
         result.put("refused", counts.refused);
         result.put("failed", counts.failed);
-        result.put("crossed", counts.crossed);
-        result.put("crossed_served", counts.crossedServed);
+        result.put("crossed", counts.sentToRemoteSites);
+        result.put("crossed_served", counts.servedByRemoteSites);
         result.put("by_link", counts.fromLink);
         result.put("open", (long) dispatcher.openRequests());
         result.put(
--- a/src/test/java/pondridge/gateway/CrossSiteTest.java
+++ b/src/test/java/pondridge/gateway/CrossSiteTest.java
@@ -81,13 +81,14 @@
                 .sum();
     }
 
-    private static CompletableFuture<Void> loadOfClass(Sites sites, String site, String kind, int count, double rate) {
-        return sites.load(site, SEED).start(Fleet.plan(count, rate, CLIENT_TIMEOUT_MS, Map.of(kind, 1.0)));
+    private static CompletableFuture<Void> loadOfClass(
+            Sites sites, String site, String requestClass, int count, double rate) {
+        return sites.load(site, SEED).start(Fleet.plan(count, rate, CLIENT_TIMEOUT_MS, Map.of(requestClass, 1.0)));
     }
 
     /** Waits until the gateways of a site have a link. */
-    private static void awaitLink(Sites sites, String from) throws Exception {
-        Direct.until(() -> sites.site(from).count("links_up") > 0, "a link");
+    private static void awaitLink(Sites sites, String site) throws Exception {
+        Direct.until(() -> sites.site(site).count("links_up") > 0, "a link");
     }
 
     /**
--- a/src/test/java/pondridge/gateway/LocalSiteStateTest.java
+++ b/src/test/java/pondridge/gateway/LocalSiteStateTest.java
@@ -36,22 +36,22 @@
         for (long now = 0; now < 30_000 * MS; now += MS) {
             boolean siteUp = now < 1_000 * MS || now > 6_000 * MS;
             for (int i = 0; i < count; i++) {
-                OwnSite own = gateways.get(i);
-                if (now % requestInterval[i] == 0 && own.admits(now)) {
-                    own.attemptEnded(siteUp && random.nextInt(20) > 0, now);
+                OwnSite localSite = gateways.get(i);
+                if (now % requestInterval[i] == 0 && localSite.admits(now)) {
+                    localSite.attemptEnded(siteUp && random.nextInt(20) > 0, now);
                 }
                 if ((now + i * MS) % HEARTBEAT == 0 && exchangeReports && random.nextInt(5) > 0) {
-                    own.applyPeerReports(
+                    localSite.applyPeerReports(
                             Views.StateCounts.parse(otherSites
                                     .get(random.nextInt(2))
-                                    .recordAndCount("a", Views.format("g" + i, own.state()), now)
+                                    .recordAndCount("a", Views.format("g" + i, localSite.state()), now)
                                     .toHeader()),
                             now);
                 }
-                if (own.state() == OwnSite.State.CUT && now < 6_000 * MS && observedAt[0][i] == 0) {
+                if (localSite.state() == OwnSite.State.CUT && now < 6_000 * MS && observedAt[0][i] == 0) {
                     observedAt[0][i] = now;
                 }
-                if (own.state() != OwnSite.State.CUT && now > 6_000 * MS && observedAt[1][i] == 0) {
+                if (localSite.state() != OwnSite.State.CUT && now > 6_000 * MS && observedAt[1][i] == 0) {
                     observedAt[1][i] = now;
                 }
             }
@@ -60,13 +60,13 @@
     }
 
     private static long spread(long[] times) {
-        long least = Long.MAX_VALUE;
-        long most = 0;
+        long earliest = Long.MAX_VALUE;
+        long latest = 0;
         for (long time : times) {
-            least = Math.min(least, time);
-            most = Math.max(most, time);
+            earliest = Math.min(earliest, time);
+            latest = Math.max(latest, time);
         }
-        return most - least;
+        return latest - earliest;
     }
 
     @Test
@@ -91,15 +91,15 @@
     /** A site whose servers all start at once takes its load as they warm up; other sites take the rest. */
     @Test
     void coldSiteTakesItsLoadGradually() {
-        OwnSite own = new OwnSite(LIMITS, 0);
-        own.serversStarted(0, 0.39, 7_400 * MS);
+        OwnSite localSite = new OwnSite(LIMITS, 0);
+        localSite.serversStarted(0, 0.39, 7_400 * MS);
         int[] admitted = new int[10];
         for (int i = 0; i < 1_000; i++) {
-            admitted[i / 100] += own.admits(i * 10 * MS) ? 1 : 0;
+            admitted[i / 100] += localSite.admits(i * 10 * MS) ? 1 : 0;
         }
         assertTrue(admitted[0] > 35 && admitted[0] < 50 && admitted[4] > 70 && admitted[4] < 85, "by their warm-up");
         assertEquals(100, admitted[8], "warm");
-        assertEquals(OwnSite.State.IN, own.state());
+        assertEquals(OwnSite.State.IN, localSite.state());
     }
 
     @Test
--- a/src/test/java/pondridge/gateway/RouterTest.java
+++ b/src/test/java/pondridge/gateway/RouterTest.java
@@ -26,49 +26,49 @@
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
     private static final long MAX_DELIVERY_NANOS = 300 * MS;
-    private static final RequestClass CHECK = kind(1, Semantics.REPEATABLE, Scope.ALL, 0);
-    private static final RequestClass HOLD = kind(3, Semantics.BY_KEY, Scope.ZONE, SECOND);
-    private static final RequestClass CONFIRM = kind(10, Semantics.BY_KEY, Scope.ALL, 7_500 * MS);
-    private static final RequestClass BOOK = kind(10, Semantics.ONCE, Scope.ALL, 0);
+    private static final RequestClass CHECK = newClass(1, Semantics.REPEATABLE, Scope.ALL, 0);
+    private static final RequestClass HOLD = newClass(3, Semantics.BY_KEY, Scope.ZONE, SECOND);
+    private static final RequestClass CONFIRM = newClass(10, Semantics.BY_KEY, Scope.ALL, 7_500 * MS);
+    private static final RequestClass BOOK = newClass(10, Semantics.ONCE, Scope.ALL, 0);
     private static final List<RequestClass> CLASSES = List.of(CHECK, HOLD, CONFIRM, BOOK);
     private static final OwnSite.Limits LIMITS = new OwnSite.Limits(5, 200 * MS, SECOND, 0.05, SECOND);
 
-    private static RequestClass kind(double worth, Semantics semantics, Scope scope, long ttl) {
-        return new RequestClass(500 * MS, 0, 12 * SECOND, worth, 0, semantics, scope, ttl, false);
+    private static RequestClass newClass(double worth, Semantics semantics, Scope scope, long keyTtlNanos) {
+        return new RequestClass(500 * MS, 0, 12 * SECOND, worth, 0, semantics, scope, keyTtlNanos, false);
     }
 
-    private static Router.SiteSnapshot site(long roundTrip, boolean reachable, int credit) {
+    private static Router.SiteSnapshot site(long roundTripNanos, boolean reachable, int credit) {
         LinkTimes link = new LinkTimes(10 * MS, 4, 0);
-        link.addRoundTrip(roundTrip, 0);
+        link.addRoundTrip(roundTripNanos, 0);
         return new Router.SiteSnapshot(link, reachable, credit, 10 - Math.min(10, credit));
     }
 
-    private static Router router(OwnSite own, CrossingBudget budget) {
-        return new Router("a", own, budget, 10 * MS, MAX_DELIVERY_NANOS, Split.NONE);
+    private static Router router(OwnSite localSite, CrossingBudget budget) {
+        return new Router("a", localSite, budget, 10 * MS, MAX_DELIVERY_NANOS, Split.NONE);
     }
 
-    private static CrossingBudget budget(double perSecond, double burst, double share) {
+    private static CrossingBudget budget(double perSecond, double burst, double arrivalShare) {
         List<CrossingBudget.ClassLimit> limits = new ArrayList<>();
         for (int i = 0; i < CLASSES.size(); i++) {
             limits.add(new CrossingBudget.ClassLimit(null, CrossingBudget.defaultReservedFraction(CLASSES, i)));
         }
-        return new CrossingBudget(new CrossingBudget.Rate(perSecond, burst, share), limits, 0);
+        return new CrossingBudget(new CrossingBudget.Rate(perSecond, burst, arrivalShare), limits, 0);
     }
 
     /** An execution of one request: when and where servers received it; evaluated in order of time. */
     private record Execution(String site, long at) {}
 
-    private static int effects(RequestClass kind, List<Execution> executions) {
-        Map<String, Long> until = new HashMap<>();
+    private static int effects(RequestClass requestClass, List<Execution> executions) {
+        Map<String, Long> keyExpiryByScope = new HashMap<>();
         int effects = 0;
         for (Execution execution : executions.stream()
                 .sorted(Comparator.comparingLong(Execution::at))
                 .toList()) {
-            String keyScope = kind.scope() == Scope.ALL ? "" : execution.site;
-            boolean remembered = execution.at < until.getOrDefault(keyScope, Long.MIN_VALUE);
-            if (kind.semantics() != Semantics.BY_KEY || !remembered) {
+            String scopeKey = requestClass.scope() == Scope.ALL ? "" : execution.site;
+            boolean isDuplicate = execution.at < keyExpiryByScope.getOrDefault(scopeKey, Long.MIN_VALUE);
+            if (requestClass.semantics() != Semantics.BY_KEY || !isDuplicate) {
                 effects++;
-                until.put(keyScope, execution.at + kind.keyTtl());
+                keyExpiryByScope.put(scopeKey, execution.at + requestClass.keyTtl());
             }
         }
         return effects;
@@ -78,20 +78,20 @@
     private static Router.Step runRequest(
             Random random,
             Router router,
-            OwnSite own,
-            RequestClass kind,
-            long begin,
+            OwnSite localSite,
+            RequestClass requestClass,
+            long startNanos,
             boolean fromLink,
             List<Execution> executions) {
-        Trail history = new Trail(CLASSES.indexOf(kind), fromLink, 0);
+        Trail history = new Trail(CLASSES.indexOf(requestClass), fromLink, 0);
         router.requestArrived(history);
-        long deadline = begin + 200 * MS + (long) (random.nextDouble() * 11 * SECOND);
-        long now = begin;
+        long deadline = startNanos + 200 * MS + (long) (random.nextDouble() * 11 * SECOND);
+        long now = startNanos;
         while (true) {
             Map<String, Router.SiteSnapshot> sites = Map.of(
                     "b", site(40 * MS, random.nextInt(5) > 0, random.nextInt(3)),
                     "c", site(160 * MS, random.nextInt(5) > 0, random.nextInt(3)));
-            Router.Step step = router.nextStep(now, kind, deadline, history, sites);
+            Router.Step step = router.nextStep(now, requestClass, deadline, history, sites);
             if (step instanceof Router.Refuse || step instanceof Router.Fail) {
                 assertTrue(now <= deadline, "responded in time");
                 return step;
@@ -102,14 +102,14 @@
             }
             boolean atRemoteSite = step instanceof Router.Remote;
             String at = step instanceof Router.Remote remote ? remote.site() : "a";
-            long left = step instanceof Router.Remote remote
+            long timeLeftNanos = step instanceof Router.Remote remote
                     ? remote.timeLeftNanos()
                     : ((Router.Local) step).timeLeftNanos();
             assertFalse(atRemoteSite && fromLink, "at most one link");
-            assertTrue(left > 0 && now + left <= deadline);
+            assertTrue(timeLeftNanos > 0 && now + timeLeftNanos <= deadline);
             history.attemptSent(at, now);
             long deliveryNanos = atRemoteSite ? (long) (random.nextDouble() * MAX_DELIVERY_NANOS) : 0;
-            long durationNanos = deliveryNanos + 1 + (long) (random.nextDouble() * random.nextDouble() * left);
+            long durationNanos = deliveryNanos + 1 + (long) (random.nextDouble() * random.nextDouble() * timeLeftNanos);
             int outcome = random.nextInt(10);
             boolean served = outcome < 3;
             boolean provenNotExecuted = !served && outcome < 6;
@@ -121,7 +121,7 @@
             now = Math.min(deadline, now + durationNanos);
             history.attemptEnded(provenNotExecuted);
             if (!atRemoteSite) {
-                own.attemptEnded(served || random.nextBoolean(), now);
+                localSite.attemptEnded(served || random.nextBoolean(), now);
             }
             if (served) {
                 return step;
@@ -131,34 +131,40 @@
 
     @Test
     void noEffectHappensTwiceWhateverIsLost() {
-        int crossed = 0;
+        int sentToRemoteSite = 0;
         int repeated = 0;
         for (long seed = 0; seed < 2_000; seed++) {
             Random random = new Random(seed);
-            OwnSite own = new OwnSite(LIMITS, 0);
-            Router router = router(own, budget(1e6, 1e6, 1));
+            OwnSite localSite = new OwnSite(LIMITS, 0);
+            Router router = router(localSite, budget(1e6, 1e6, 1));
             for (int i = 0; i < 40; i++) {
-                RequestClass kind = CLASSES.get(random.nextInt(CLASSES.size()));
+                RequestClass requestClass = CLASSES.get(random.nextInt(CLASSES.size()));
                 List<Execution> executions = new ArrayList<>();
                 boolean fromLink = random.nextInt(4) == 0;
-                Router.Step last = runRequest(random, router, own, kind, i * 100 * MS, fromLink, executions);
-                int effects = effects(kind, executions);
-                String description = "seed " + seed + " request " + i + " " + kind.semantics() + " " + executions;
-                assertTrue(kind.semantics() == Semantics.REPEATABLE || effects <= 1, description);
+                Router.Step last =
+                        runRequest(random, router, localSite, requestClass, i * 100 * MS, fromLink, executions);
+                int effects = effects(requestClass, executions);
+                String description =
+                        "seed " + seed + " request " + i + " " + requestClass.semantics() + " " + executions;
+                assertTrue(requestClass.semantics() == Semantics.REPEATABLE || effects <= 1, description);
                 assertFalse(
-                        last instanceof Router.Refuse && effects > 0 && kind.semantics() != Semantics.REPEATABLE,
+                        last instanceof Router.Refuse
+                                && effects > 0
+                                && requestClass.semantics() != Semantics.REPEATABLE,
                         "refused although it was executed: " + description);
-                crossed += executions.stream().anyMatch(execution -> !execution.site.equals("a")) ? 1 : 0;
+                sentToRemoteSite += executions.stream().anyMatch(execution -> !execution.site.equals("a")) ? 1 : 0;
                 repeated += executions.size() > 1 ? 1 : 0;
             }
         }
-        assertTrue(crossed > 5_000 && repeated > 2_000, crossed + " crossed, " + repeated + " repeated");
+        assertTrue(
+                sentToRemoteSite > 5_000 && repeated > 2_000,
+                sentToRemoteSite + " sent to a remote site, " + repeated + " repeated");
     }
 
     @Test
     void uncertainHoldsAreRepeatedOnlyWithinTheirKeyScope() {
-        OwnSite own = new OwnSite(LIMITS, 0);
-        Router router = router(own, budget(100, 100, 1));
+        OwnSite localSite = new OwnSite(LIMITS, 0);
+        Router router = router(localSite, budget(100, 100, 1));
         Map<String, Router.SiteSnapshot> sites = Map.of("b", site(40 * MS, true, 9));
         Trail atLocalSite = new Trail(2, false, 0);
         atLocalSite.attemptSent("a", 0);
@@ -204,9 +210,9 @@
 
     @Test
     void requestsWithoutTimeForTheRoundTripAreNotSent() {
-        OwnSite own = new OwnSite(LIMITS, 0);
-        own.noServerReady(0);
-        Router router = router(own, budget(100, 100, 1));
+        OwnSite localSite = new OwnSite(LIMITS, 0);
+        localSite.noServerReady(0);
+        Router router = router(localSite, budget(100, 100, 1));
         Trail history = new Trail(2, false, 0);
         history.attemptSent("a", 0);
         history.attemptEnded(true);
@@ -277,27 +283,27 @@
 
     @Test
     void returnStartsSmallAndFlappingLengthensTheWait() {
-        OwnSite own = new OwnSite(LIMITS, 0);
+        OwnSite localSite = new OwnSite(LIMITS, 0);
         long now = 0;
         long waited = 0;
         for (int flap = 0; flap < 4; flap++) {
-            own.noServerReady(now);
+            localSite.noServerReady(now);
             long cutAt = now;
-            for (; own.state() == OwnSite.State.CUT; now += 10 * MS) {
-                if (own.admits(now)) {
-                    own.attemptEnded(true, now);
+            for (; localSite.state() == OwnSite.State.CUT; now += 10 * MS) {
+                if (localSite.admits(now)) {
+                    localSite.attemptEnded(true, now);
                 }
             }
             assertTrue(now - cutAt >= waited, "each return waits longer");
             waited = (now - cutAt) * 3 / 2;
             int taken = 0;
             for (int i = 0; i < 100; i++) {
-                taken += own.admits(now) ? 1 : 0;
+                taken += localSite.admits(now) ? 1 : 0;
             }
             assertTrue(taken >= 4 && taken <= 6, "initial share of one twentieth: " + taken);
         }
-        assertTrue(own.admits(now + 5 * SECOND), "the whole load in the end");
-        assertEquals(OwnSite.State.IN, own.state());
+        assertTrue(localSite.admits(now + 5 * SECOND), "the whole load in the end");
+        assertEquals(OwnSite.State.IN, localSite.state());
     }
 
     @Test
@@ -340,9 +346,9 @@
         Map<String, Router.SiteSnapshot> sites = Map.of("b", site(MS, true, 9), "c", site(5 * MS, true, 9));
         List<Router> gateways = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            OwnSite own = new OwnSite(LIMITS, 0);
-            own.noServerReady(0);
-            gateways.add(new Router("a", own, budget(1e6, 1e6, 1), 10 * MS, MAX_DELIVERY_NANOS, split));
+            OwnSite localSite = new OwnSite(LIMITS, 0);
+            localSite.noServerReady(0);
+            gateways.add(new Router("a", localSite, budget(1e6, 1e6, 1), 10 * MS, MAX_DELIVERY_NANOS, split));
         }
         int[] confirmsBySite = new int[3];
         int[] checksBySite = new int[3];
@@ -379,8 +385,9 @@
     }
 
     /** The site that a new request is sent to, "-" for refused. */
-    private static String siteFor(Router router, int kind, long key, Map<String, Router.SiteSnapshot> sites) {
-        Router.Step step = router.nextStep(1, CLASSES.get(kind), SECOND, new Trail(kind, false, key), sites);
+    private static String siteFor(Router router, int classIndex, long key, Map<String, Router.SiteSnapshot> sites) {
+        Router.Step step =
+                router.nextStep(1, CLASSES.get(classIndex), SECOND, new Trail(classIndex, false, key), sites);
         return step instanceof Router.Remote remote ? remote.site() : step instanceof Router.Refuse ? "-" : "own";
     }
 }
