--- a/src/main/java/pondridge/transport/MixedUpstreams.java
+++ b/src/main/java/pondridge/transport/MixedUpstreams.java
@@ -21,46 +21,46 @@
 import pondridge.transport.TransportSettings.Protocol;
 
 /**
- * The way to a fleet of which some speak HTTP/1.1 and some HTTP/2. Attempts to a server whose protocol is
- * being learned wait, in bounded number and until their time is up; nothing is sent twice to find it out. On
- * the event loop only.
+ * A transport for a fleet in which some servers speak HTTP/1.1 and some HTTP/2. While the protocol of a server is
+ * being detected, a limited number of attempts to it wait, each until its deadline. No request is sent twice to
+ * detect a protocol. Must be used on the event loop only.
  */
 public final class MixedUpstreams implements Transport {
     private final EventLoop loop;
     private final Upstreams http1;
     private final Http2Upstreams http2;
-    private final int mostWaiting;
-    private final Map<Long, Server> servers = new HashMap<>();
+    private final int maxWaiting;
+    private final Map<Long, ServerState> servers = new HashMap<>();
 
-    private static final class Server {
-        private final ProtocolChoice choice = new ProtocolChoice();
-        private final Set<Held> waiting = new LinkedHashSet<>();
+    private static final class ServerState {
+        private final ProtocolChoice protocol = new ProtocolChoice();
+        private final Set<PendingAttempt> waiting = new LinkedHashSet<>();
         private InetSocketAddress address;
         private long startedMs;
         private boolean ready;
     }
 
-    MixedUpstreams(EventLoop loop, Upstreams http1, Http2Upstreams http2, int mostWaiting) {
+    MixedUpstreams(EventLoop loop, Upstreams http1, Http2Upstreams http2, int maxWaiting) {
         this.loop = loop;
         this.http1 = http1;
         this.http2 = http2;
-        this.mostWaiting = mostWaiting;
+        this.maxWaiting = maxWaiting;
         http2.onHttp1Wanted(upstream -> {
-            Server server = servers.get(upstream);
+            ServerState server = servers.get(upstream);
             if (server != null) {
-                server.choice.wantsHttp1(System.nanoTime());
+                server.protocol.http1Required(System.nanoTime());
             }
         });
     }
 
     /**
-     * The transport that the settings name; without HTTP/2 in them nothing of it is loaded.
+     * Creates the transport for the configured protocol. Classes for HTTP/2 are loaded only if it is configured.
      *
-     * @param most connections in all; those that HTTP/2 may have are taken off HTTP/1.1's
+     * @param maxConnections total limit of connections; the limit for HTTP/2 is deducted from that for HTTP/1.1
      */
-    public static Transport of(EventLoop loop, Options options, TransportSettings settings, int most) {
+    public static Transport of(EventLoop loop, Options options, TransportSettings settings, int maxConnections) {
         if (settings.protocol() == Protocol.HTTP1) {
-            return new Upstreams(loop, options, most);
+            return new Upstreams(loop, options, maxConnections);
         }
         if (settings.protocol() == Protocol.GRPC) {
             return new Http2Upstreams(loop, options, settings.http2(), new GrpcWording(settings.grpc(), options));
@@ -69,27 +69,28 @@
         if (settings.protocol() == Protocol.HTTP2) {
             return http2;
         }
-        int rest = Math.max(most / 4, most - settings.http2().connections());
+        int http1Connections =
+                Math.max(maxConnections / 4, maxConnections - settings.http2().connections());
         return new MixedUpstreams(
                 loop,
-                new Upstreams(loop, options, rest),
+                new Upstreams(loop, options, http1Connections),
                 http2,
                 settings.http2().waiting());
     }
 
     @Override
     public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
-        Server server = servers.computeIfAbsent(upstream, id -> new Server());
+        ServerState server = servers.computeIfAbsent(upstream, id -> new ServerState());
         if (!address.equals(server.address) || startedMs > server.startedMs) {
             server.address = address;
             server.startedMs = startedMs;
-            server.choice.restarted();
+            server.protocol.restarted();
         }
         server.ready = ready;
         http1.listed(upstream, address, startedMs, ready);
         http2.listed(upstream, address, startedMs, ready);
         if (!ready) {
-            endAll(server, Outcome.CONNECT_FAILED);
+            endWaiting(server, Outcome.CONNECT_FAILED);
         } else if (!server.waiting.isEmpty()) {
             dispatch(upstream, server);
         }
@@ -97,46 +98,46 @@
 
     @Override
     public void gone(long upstream) {
-        Server server = servers.remove(upstream);
+        ServerState server = servers.remove(upstream);
         if (server != null) {
             server.ready = false;
-            endAll(server, Outcome.CONNECT_FAILED);
+            endWaiting(server, Outcome.CONNECT_FAILED);
         }
         http1.gone(upstream);
         http2.gone(upstream);
     }
 
-    private static void endAll(Server server, Outcome outcome) {
-        for (Held held : List.copyOf(server.waiting)) {
-            held.end(outcome);
+    private static void endWaiting(ServerState server, Outcome outcome) {
+        for (PendingAttempt pending : List.copyOf(server.waiting)) {
+            pending.end(outcome);
         }
     }
 
     @Override
-    public Attempt send(long upstream, Job job, long wait, Listener listener) {
-        Server server = servers.get(upstream);
+    public Attempt send(long upstream, Job job, long timeoutNanos, Listener listener) {
+        ServerState server = servers.get(upstream);
         if (server == null || !server.ready) {
-            return http1.send(upstream, job, wait, listener);
+            return http1.send(upstream, job, timeoutNanos, listener);
         }
-        Held held = new Held(server, job, System.nanoTime() + wait, listener);
-        if (server.waiting.size() >= mostWaiting) {
-            held.end(Outcome.REJECTED);
+        PendingAttempt pending = new PendingAttempt(server, job, System.nanoTime() + timeoutNanos, listener);
+        if (server.waiting.size() >= maxWaiting) {
+            pending.end(Outcome.REJECTED);
         } else {
-            server.waiting.add(held);
+            server.waiting.add(pending);
             dispatch(upstream, server);
         }
-        return held;
+        return pending;
     }
 
-    /** Sends what waits, or sees to it that the protocol gets known. */
-    private void dispatch(long upstream, Server server) {
-        switch (server.choice.step()) {
+    /** Sends the waiting attempts, or starts protocol detection if the protocol is unknown. */
+    private void dispatch(long upstream, ServerState server) {
+        switch (server.protocol.step()) {
             case HTTP1 -> forward(upstream, server, http1);
             case HTTP2 -> forward(upstream, server, http2);
-            case LEARN -> http2.learn(upstream, learned -> {
-                server.choice.learned(learned, System.nanoTime());
-                if (learned == Learned.NOBODY) {
-                    endAll(server, Outcome.CONNECT_FAILED);
+            case DETECT -> http2.learn(upstream, result -> {
+                server.protocol.detected(result, System.nanoTime());
+                if (result == Learned.NOBODY) {
+                    endWaiting(server, Outcome.CONNECT_FAILED);
                 } else if (!server.waiting.isEmpty()) {
                     dispatch(upstream, server);
                 }
@@ -145,23 +146,23 @@
         }
     }
 
-    private static void forward(long upstream, Server server, Transport way) {
-        for (Held held : List.copyOf(server.waiting)) {
-            held.send(upstream, way);
+    private static void forward(long upstream, ServerState server, Transport transport) {
+        for (PendingAttempt pending : List.copyOf(server.waiting)) {
+            pending.send(upstream, transport);
         }
     }
 
     @Override
     public void probe(long upstream, Listener listener) {
-        Server server = servers.get(upstream);
-        ProtocolChoice.Step step = server == null ? ProtocolChoice.Step.HTTP1 : server.choice.step();
+        ServerState server = servers.get(upstream);
+        ProtocolChoice.Step step = server == null ? ProtocolChoice.Step.HTTP1 : server.protocol.step();
         switch (step) {
             case HTTP2 -> http2.probe(upstream, listener);
             case HTTP1 -> http1.probe(upstream, listener);
-            default -> http2.learn(upstream, learned -> {
-                // While another one is learning, that one's result is told here, too.
-                server.choice.learned(learned, System.nanoTime());
-                (learned == Learned.HTTP2 ? http2 : http1).probe(upstream, listener);
+            default -> http2.learn(upstream, result -> {
+                // If a detection is already running, its result is reported here as well.
+                server.protocol.detected(result, System.nanoTime());
+                (result == Learned.HTTP2 ? http2 : http1).probe(upstream, listener);
                 if (!server.waiting.isEmpty()) {
                     dispatch(upstream, server);
                 }
@@ -175,40 +176,43 @@
         http2.closeIdle(upstream);
     }
 
-    /** An attempt that waits for its server's protocol to be known, and then stands for the real one. */
-    private final class Held implements Attempt {
-        private final Server server;
+    /** An attempt that waits for protocol detection and then delegates to the attempt that was sent. */
+    private final class PendingAttempt implements Attempt {
+        private final ServerState server;
         private final Job job;
-        private final long endsAt;
+        private final long deadlineNanos;
         private final Listener listener;
         private final Future<?> timer;
-        private Attempt real;
-        private boolean over;
+        private Attempt delegate;
+        private boolean ended;
 
-        Held(Server server, Job job, long endsAt, Listener listener) {
+        PendingAttempt(ServerState server, Job job, long deadlineNanos, Listener listener) {
             this.server = server;
             this.job = job;
-            this.endsAt = endsAt;
+            this.deadlineNanos = deadlineNanos;
             this.listener = listener;
-            this.timer =
-                    loop.schedule(() -> end(Outcome.CONNECT_FAILED), endsAt - System.nanoTime(), TimeUnit.NANOSECONDS);
+            this.timer = loop.schedule(
+                    () -> end(Outcome.CONNECT_FAILED), deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
         }
 
-        private void send(long upstream, Transport way) {
-            if (over || !server.waiting.remove(this)) {
+        private void send(long upstream, Transport transport) {
+            if (ended || !server.waiting.remove(this)) {
                 return;
             }
             timer.cancel(false);
-            long left = Math.max(1, endsAt - System.nanoTime());
-            real = way.send(
-                    upstream, job, left, listener.after(outcome -> server.choice.ended(outcome, System.nanoTime())));
+            long timeLeftNanos = Math.max(1, deadlineNanos - System.nanoTime());
+            delegate = transport.send(
+                    upstream,
+                    job,
+                    timeLeftNanos,
+                    listener.after(outcome -> server.protocol.attemptEnded(outcome, System.nanoTime())));
         }
 
-        /** Ends it unsent. */
+        /** Ends the attempt without sending it. */
         private void end(Outcome outcome) {
             server.waiting.remove(this);
-            if (!over && real == null) {
-                over = true;
+            if (!ended && delegate == null) {
+                ended = true;
                 timer.cancel(false);
                 listener.ended(outcome, null, LoadReports.NONE);
             }
@@ -216,8 +220,8 @@
 
         @Override
         public void cancel() {
-            if (real != null) {
-                real.cancel();
+            if (delegate != null) {
+                delegate.cancel();
             } else {
                 end(Outcome.CANCELLED);
             }
@@ -225,8 +229,8 @@
 
         @Override
         public void withdraw() {
-            if (real != null) {
-                real.withdraw();
+            if (delegate != null) {
+                delegate.withdraw();
             } else {
                 end(Outcome.NEVER_SENT);
             }
--- a/src/main/java/pondridge/transport/ProtocolChoice.java
+++ b/src/main/java/pondridge/transport/ProtocolChoice.java
@@ -4,49 +4,49 @@
 import pondridge.http2.Learned;
 
 /**
- * What is known of the protocol that one server speaks. It is learned once for each start of the server, by a
- * greeting that carries no request, and again when something breaks: the server may have come back as another
- * program. No I/O; times in nanoseconds on one clock.
+ * Tracks which protocol one server speaks. The protocol is detected once for each start of the server, with a
+ * connection preface that carries no request, and again after a connection failure, since the server may have
+ * been replaced by another program. No I/O; times in nanoseconds on one clock.
  */
 final class ProtocolChoice {
-    /** A server that fails steadily is not greeted with each failure. */
-    static final long LEARN_AGAIN = 1_000_000_000;
+    /** Minimum interval between detections, so that a server that keeps failing is not probed on each failure. */
+    static final long MIN_DETECTION_INTERVAL_NANOS = 1_000_000_000;
 
-    /** What is to be done with a request now. */
+    /** How to proceed with a request. */
     enum Step {
         HTTP1,
         HTTP2,
-        LEARN,
+        DETECT,
         WAIT
     }
 
     private enum State {
         UNKNOWN,
-        LEARNING,
+        DETECTING,
         HTTP1,
         HTTP2
     }
 
     private State state = State.UNKNOWN;
-    private long learnedAt;
+    private long detectedAtNanos;
 
-    /** What is to be done now; after {@link Step#LEARN} the caller owes {@link #learned}. */
+    /** Returns how to proceed; after {@link Step#DETECT} the caller must call {@link #detected}. */
     Step step() {
         return switch (state) {
             case HTTP1 -> Step.HTTP1;
             case HTTP2 -> Step.HTTP2;
-            case LEARNING -> Step.WAIT;
+            case DETECTING -> Step.WAIT;
             case UNKNOWN -> {
-                state = State.LEARNING;
-                yield Step.LEARN;
+                state = State.DETECTING;
+                yield Step.DETECT;
             }
         };
     }
 
-    /** The greeting's result; one that a restart has overtaken counts for nothing. */
-    void learned(Learned result, long now) {
-        if (state == State.LEARNING) {
-            learnedAt = now;
+    /** Records the result of a detection; it is ignored if the server was restarted or became known meanwhile. */
+    void detected(Learned result, long nowNanos) {
+        if (state == State.DETECTING) {
+            detectedAtNanos = nowNanos;
             state = switch (result) {
                 case HTTP2 -> State.HTTP2;
                 case OTHER -> State.HTTP1;
@@ -55,23 +55,25 @@
         }
     }
 
-    /** The list tells of a new start: all is forgotten. */
+    /** The endpoint list reports a new start of the server: the protocol is unknown again. */
     void restarted() {
         state = State.UNKNOWN;
     }
 
-    /** The server has said that it wants HTTP/1.1. */
-    void wantsHttp1(long now) {
+    /** The server has requested HTTP/1.1. */
+    void http1Required(long nowNanos) {
         state = State.HTTP1;
-        learnedAt = now;
+        detectedAtNanos = nowNanos;
     }
 
-    /** An attempt has ended. A break may mean that another program is there now. */
-    void ended(Outcome outcome, long now) {
-        boolean broke = outcome == Outcome.RESET
+    /** An attempt has ended. A connection failure may mean that another program has replaced the server. */
+    void attemptEnded(Outcome outcome, long nowNanos) {
+        boolean mayBeReplaced = outcome == Outcome.RESET
                 || outcome == Outcome.CONNECT_FAILED
                 || outcome == Outcome.ERROR && state == State.HTTP1;
-        if (broke && (state == State.HTTP1 || state == State.HTTP2) && now - learnedAt >= LEARN_AGAIN) {
+        if (mayBeReplaced
+                && (state == State.HTTP1 || state == State.HTTP2)
+                && nowNanos - detectedAtNanos >= MIN_DETECTION_INTERVAL_NANOS) {
             state = State.UNKNOWN;
         }
     }
--- a/src/main/java/pondridge/transport/TransportSettings.java
+++ b/src/main/java/pondridge/transport/TransportSettings.java
@@ -8,14 +8,14 @@
 import pondridge.settings.SettingsFile;
 
 /**
- * How servers are spoken to.
+ * Settings of the connections to servers.
  *
- * @param protocol of all servers, or how it is found out
- * @param http2 for those that speak HTTP/2, or gRPC over it
- * @param grpc for those that speak gRPC, and for clients that do; null for none
+ * @param protocol the protocol of all servers, or {@link Protocol#AUTO} to detect it for each
+ * @param http2 settings for servers that speak HTTP/2, or gRPC over it
+ * @param grpc settings for servers and clients that speak gRPC; null if there are none
  */
 public record TransportSettings(Protocol protocol, Http2Options http2, GrpcSettings grpc) {
-    /** What servers speak; AUTO asks each once for each of its starts. */
+    /** The protocol that servers speak; AUTO detects it once for each start of a server. */
     public enum Protocol {
         HTTP1,
         HTTP2,
@@ -23,8 +23,8 @@
         GRPC
     }
 
-    /** Reads sections {@code [upstreams]} and {@code [http2]}. */
-    public static TransportSettings of(SettingsFile file, Path folder) {
+    /** Reads the sections {@code [upstreams]} and {@code [http2]}, and those of gRPC. */
+    public static TransportSettings of(SettingsFile file, Path directory) {
         Section section = file.section("upstreams");
         Protocol protocol =
                 switch (section.word("protocol", "http1", List.of("http1", "http2", "auto", "grpc"))) {
@@ -33,18 +33,18 @@
                     case "grpc" -> Protocol.GRPC;
                     default -> Protocol.HTTP1;
                 };
-        GrpcSettings grpc = GrpcSettings.of(file, folder);
+        GrpcSettings grpc = GrpcSettings.of(file, directory);
         if (protocol == Protocol.GRPC && (grpc == null || grpc.methods().isEmpty())) {
             throw section.contradiction("protocol", "grpc needs [grpc] and methods under [grpc_methods]");
         }
         return new TransportSettings(protocol, Http2Options.of(file.section("http2")), grpc);
     }
 
-    /** Reads a whole file; any mistake is a {@link pondridge.settings.SettingsException}. */
+    /** Reads a whole file; throws {@link pondridge.settings.SettingsException} if it is invalid. */
     public static TransportSettings read(Path path) {
         SettingsFile file = SettingsFile.read(path);
-        TransportSettings read = of(file, path.toAbsolutePath().getParent());
+        TransportSettings settings = of(file, path.toAbsolutePath().getParent());
         file.finish();
-        return read;
+        return settings;
     }
 }
--- a/src/main/java/pondridge/transport/package-info.java
+++ b/src/main/java/pondridge/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Which protocol is spoken to which server, and the way to all of them as one transport. */
+/** Protocol selection for each server, and one transport over all protocols. */
 package pondridge.transport;
--- a/src/test/java/pondridge/transport/MixedFleetTest.java
+++ b/src/test/java/pondridge/transport/MixedFleetTest.java
@@ -19,78 +19,84 @@
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
-/** Servers of both protocols behind one front, which finds out who speaks what. */
+/** Runs servers of both protocols behind one transport, which detects the protocol of each. */
 class MixedFleetTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private static Transport way(EventLoop loop, Options settings) {
+    private static Transport transport(EventLoop loop, Options options) {
         SettingsFile file = SettingsFile.parse("test", "[upstreams]\nprotocol = \"auto\"");
-        return MixedUpstreams.of(loop, settings, TransportSettings.of(file, Path.of(".")), 500);
+        return MixedUpstreams.of(loop, options, TransportSettings.of(file, Path.of(".")), 500);
     }
 
     @Test
-    void halfAndHalfWithServersThatChange() throws Exception {
+    void servesMixedFleetWhileServersChangeProtocol() throws Exception {
         try (Fleet fleet = new Fleet(Fleet.options(1_500))) {
             for (int i = 0; i < 4; i++) {
                 fleet.server(
                         "s" + i,
                         i < 2 ? "a" : "b",
                         i % 2 == 0 ? Protocol.HTTP1 : Protocol.HTTP2,
-                        FaultScript.none(5 * MS));
+                        FaultScript.none(5 * NANOS_PER_MILLI));
             }
-            fleet.start(MixedFleetTest::way);
+            fleet.start(MixedFleetTest::transport);
             CompletableFuture<Void> load = fleet.load(Fleet.mixed(1_600, 400, 1_500), 3, "mixed");
             for (int i = 0; i < 2; i++) {
                 StandinServer changing = fleet.servers().get(i);
-                int before = changing.runs();
-                await(() -> changing.runs() > before + 50);
+                int runsBefore = changing.runs();
+                await(() -> changing.runs() > runsBefore + 50);
                 changing.stop();
                 changing.restart(i == 0 ? Protocol.HTTP2 : Protocol.HTTP1);
                 if (i == 0) {
                     fleet.listRestarted("s0");
                 }
-                // The other one's restart is not told: it shows by what breaks.
-                int then = changing.runs();
-                await(() -> load.isDone() || changing.runs() > then + 20);
+                // The restart of the other server is not announced; it is detected by failing connections.
+                int runsAfterRestart = changing.runs();
+                await(() -> load.isDone() || changing.runs() > runsAfterRestart + 20);
             }
             Fleet.await(load);
             Verdict verdict = fleet.verdict();
             assertTrue(verdict.clean(), verdict::toString);
             assertTrue(verdict.served() > 1_450, verdict::toString);
             fleet.servers().forEach(server -> assertTrue(server.runs() > 100, server.name()));
-            assertTrue(fleet.servers().get(3).mostConnections() <= 2, "one for learning and for work");
+            assertTrue(
+                    fleet.servers().get(3).mostConnections() <= 2,
+                    "at most one connection for protocol detection and one for requests");
         }
     }
 
-    private static void await(BooleanSupplier holds) throws InterruptedException {
-        long limit = System.nanoTime() + Fleet.LIMIT_S * 1_000 * MS;
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() - limit < 0, "never came");
+    private static void await(BooleanSupplier condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + Fleet.LIMIT_S * 1_000 * NANOS_PER_MILLI;
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() - deadlineNanos < 0, "condition not met in time");
             Thread.sleep(2);
         }
     }
 
     @Test
-    void aServerIsAskedOnceAStartAndAgainWhenItBreaks() {
-        ProtocolChoice choice = new ProtocolChoice();
-        assertEquals(ProtocolChoice.Step.LEARN, choice.step());
-        assertEquals(ProtocolChoice.Step.WAIT, choice.step());
-        choice.learned(Learned.NOBODY, 0);
-        assertEquals(ProtocolChoice.Step.LEARN, choice.step(), "nobody was there to learn from");
-        choice.learned(Learned.HTTP2, 0);
-        assertEquals(ProtocolChoice.Step.HTTP2, choice.step());
-        choice.ended(Outcome.RESET, ProtocolChoice.LEARN_AGAIN - 1);
-        choice.ended(Outcome.ERROR, ProtocolChoice.LEARN_AGAIN);
-        choice.ended(Outcome.TIMEOUT, ProtocolChoice.LEARN_AGAIN);
-        assertEquals(ProtocolChoice.Step.HTTP2, choice.step(), "too soon, or no break");
-        choice.ended(Outcome.RESET, ProtocolChoice.LEARN_AGAIN);
-        assertEquals(ProtocolChoice.Step.LEARN, choice.step());
-        choice.restarted();
-        assertEquals(ProtocolChoice.Step.LEARN, choice.step(), "a new start, a new question");
-        choice.learned(Learned.OTHER, ProtocolChoice.LEARN_AGAIN);
-        assertEquals(ProtocolChoice.Step.HTTP1, choice.step());
-        choice.restarted();
-        choice.wantsHttp1(0);
-        assertEquals(ProtocolChoice.Step.HTTP1, choice.step());
+    void detectsProtocolOncePerStartAndAgainAfterFailure() {
+        ProtocolChoice protocol = new ProtocolChoice();
+        assertEquals(ProtocolChoice.Step.DETECT, protocol.step());
+        assertEquals(ProtocolChoice.Step.WAIT, protocol.step());
+        protocol.detected(Learned.NOBODY, 0);
+        assertEquals(
+                ProtocolChoice.Step.DETECT, protocol.step(), "no server was reached, so the protocol is still unknown");
+        protocol.detected(Learned.HTTP2, 0);
+        assertEquals(ProtocolChoice.Step.HTTP2, protocol.step());
+        protocol.attemptEnded(Outcome.RESET, ProtocolChoice.MIN_DETECTION_INTERVAL_NANOS - 1);
+        protocol.attemptEnded(Outcome.ERROR, ProtocolChoice.MIN_DETECTION_INTERVAL_NANOS);
+        protocol.attemptEnded(Outcome.TIMEOUT, ProtocolChoice.MIN_DETECTION_INTERVAL_NANOS);
+        assertEquals(
+                ProtocolChoice.Step.HTTP2,
+                protocol.step(),
+                "too soon after the detection, or not a connection failure");
+        protocol.attemptEnded(Outcome.RESET, ProtocolChoice.MIN_DETECTION_INTERVAL_NANOS);
+        assertEquals(ProtocolChoice.Step.DETECT, protocol.step());
+        protocol.restarted();
+        assertEquals(ProtocolChoice.Step.DETECT, protocol.step(), "a restart requires a new detection");
+        protocol.detected(Learned.OTHER, ProtocolChoice.MIN_DETECTION_INTERVAL_NANOS);
+        assertEquals(ProtocolChoice.Step.HTTP1, protocol.step());
+        protocol.restarted();
+        protocol.http1Required(0);
+        assertEquals(ProtocolChoice.Step.HTTP1, protocol.step());
     }
 }
