--- a/src/main/java/pondridge/pool/Pool.java
+++ b/src/main/java/pondridge/pool/Pool.java
@@ -29,7 +29,7 @@
 
     /** The operations that a pool requests from its owner. */
     public interface Actions<C, T> {
-        /** Creates a connection and starts dialling; its {@code cameUp} or {@code lost} follows after this call. */
+        /** Creates a connection and starts dialling; {@link Pool#cameUp} or {@link Pool#lost} follows later. */
         C dial();
 
         /** Assigns an attempt to a connection with credit, which has less credit when this returns. */
@@ -38,7 +38,7 @@
         /** Ends an attempt that was not assigned to a connection. */
         void end(T attempt, Turned reason);
 
-        /** Closes a connection immediately; its {@code lost} follows, possibly within this call. */
+        /** Closes a connection immediately; {@link Pool#lost} follows, possibly within this call. */
         void close(C connection);
 
         /** Closes a connection once its running attempts have ended. */
--- a/src/main/java/pondridge/siteloss/LossPlan.java
+++ b/src/main/java/pondridge/siteloss/LossPlan.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * Where the load of lost sites goes.
+ * The distribution of the load of lost sites over the surviving ones.
  *
- * @param lost the sites that are gone, in the topology's order
- * @param flows what each other site takes of which class, in requests a second; none of zero
- * @param refused what finds no room, in requests a second; none of zero
- * @param narrow what stands in the way of what is refused: the ways and sites that are full
- * @param unfit survivors whose own clients ask more than they can do
- * @param slack the least part of what the topology says the survivors can do with which all that crosses of
- *     the classes worth
- *     most, and their own of the same, would still fit; above 1 where it doesn't, 0 where there is none of it
+ * @param lost the lost sites, in the topology's order
+ * @param flows the load that each surviving site takes over, by class; entries of zero are omitted
+ * @param refused the load for which there is no capacity, by class; entries of zero are omitted
+ * @param narrow the bottlenecks that cause refusals: links and sites without free capacity
+ * @param unfit survivors whose capacity is below the demand of their own clients
+ * @param slack the smallest fraction of the survivors' stated capacity at which the redirected load of the
+ *     classes of highest utility, together with the survivors' own load of these classes, still fits; above 1
+ *     if it does not fit, 0 if there is no such load
  */
 public record LossPlan(
         Set<String> lost,
@@ -22,25 +22,25 @@
         List<String> narrow,
         List<String> unfit,
         double slack) {
-    /** What one site takes of another's. */
+    /** Load of one class that one site takes over from another, in requests per second. */
     public record Flow(String from, String to, String kind, double perSecond) {}
 
-    /** What of a class of a lost site is refused, of so many asked. */
-    public record Refused(String from, String kind, double perSecond, double asked) {}
+    /** Refused load of one class of a lost site and its total demand, both in requests per second. */
+    public record Refused(String from, String kind, double perSecond, double demandPerSecond) {}
 
-    /** What is taken of a class of a lost site, in requests a second. */
-    public double taken(String from, String kind) {
+    /** Returns how much of a lost site's load of a class is taken over, in requests per second. */
+    public double acceptedPerSecond(String from, String kind) {
         return flows.stream()
                 .filter(flow -> flow.from.equals(from) && flow.kind.equals(kind))
                 .mapToDouble(Flow::perSecond)
                 .sum();
     }
 
-    /** The part of a class of a lost site that finds room; 1 where none is asked. */
+    /** Returns the fraction of a lost site's load of a class that is taken over; 1 if there is no demand. */
     public double admitted(String from, String kind) {
         return refused.stream()
                 .filter(each -> each.from.equals(from) && each.kind.equals(kind))
-                .mapToDouble(each -> 1 - each.perSecond / each.asked)
+                .mapToDouble(each -> 1 - each.perSecond / each.demandPerSecond)
                 .findFirst()
                 .orElse(1);
     }
--- a/src/main/java/pondridge/siteloss/LossPlanner.java
+++ b/src/main/java/pondridge/siteloss/LossPlanner.java
@@ -15,59 +15,55 @@
 import pondridge.siteloss.Topology.Way;
 
 /**
- * Splits what lost sites were asked over the others. The survivors' own clients come first. Then class by
- * class, the one
- * worth most first: shares by room, so that all are loaded alike and an error in one figure hurts least;
- * what finds no
- * room there is moved until nothing more can be placed (a greatest flow, by augmenting paths), so that
- * nothing is
- * refused for which there is room anywhere. The result follows from the topology alone: all who have the
- * same one have
- * the same plan.
+ * Distributes the demand of lost sites over the survivors. The survivors' own clients have priority. The classes
+ * follow in descending order of utility. Each is first distributed in proportion to free capacity, so that all
+ * survivors are loaded equally and an error in one figure has the least effect. Load that does not fit is then
+ * rearranged along augmenting paths until the flow is maximal, so that nothing is refused while any site has
+ * capacity for it. The plan depends on the topology alone: equal topologies result in equal plans.
  */
 public final class LossPlanner {
-    private static final double NOTHING = 1e-9;
-    private static final int ROUNDS = 40;
-    private static final int MOST_PATHS = 10_000;
+    private static final double EPSILON = 1e-9;
+    private static final int SPREAD_ROUNDS = 40;
+    private static final int MAX_AUGMENTING_PATHS = 10_000;
     private final Topology topology;
-    private final List<Site> lost;
-    private final List<Site> left;
-    private final double[] room;
-    private final double[][] ways;
-    private final Way[][] known;
+    private final List<Site> lostSites;
+    private final List<Site> survivors;
+    private final double[] freeWork;
+    private final double[][] freeLinkRate;
+    private final Way[][] links;
 
-    private LossPlanner(Topology topology, Set<String> gone) {
+    private LossPlanner(Topology topology, Set<String> lostNames) {
         this.topology = topology;
-        this.lost = topology.sites().stream()
-                .filter(site -> gone.contains(site.name()))
+        this.lostSites = topology.sites().stream()
+                .filter(site -> lostNames.contains(site.name()))
                 .toList();
-        this.left = topology.sites().stream()
-                .filter(site -> !gone.contains(site.name()))
+        this.survivors = topology.sites().stream()
+                .filter(site -> !lostNames.contains(site.name()))
                 .toList();
-        this.room = left.stream()
+        this.freeWork = survivors.stream()
                 .mapToDouble(
                         site -> Math.max(0, site.capacity() * (1 - topology.reserve()) - topology.ownWork(site, 0)))
                 .toArray();
-        this.ways = new double[lost.size()][left.size()];
-        this.known = new Way[lost.size()][left.size()];
-        for (Way way : topology.ways()) {
-            int from = indexOf(lost, way.from());
-            int to = indexOf(left, way.to());
+        this.freeLinkRate = new double[lostSites.size()][survivors.size()];
+        this.links = new Way[lostSites.size()][survivors.size()];
+        for (Way link : topology.ways()) {
+            int from = indexOf(lostSites, link.from());
+            int to = indexOf(survivors, link.to());
             if (from >= 0 && to >= 0) {
-                known[from][to] = way;
-                ways[from][to] = way.perSecond();
+                links[from][to] = link;
+                freeLinkRate[from][to] = link.requestsPerSecond();
             }
         }
     }
 
-    /** For the loss of these sites together; an unknown name is an {@link IllegalArgumentException}. */
-    public static LossPlan plan(Topology topology, Set<String> gone) {
-        gone.forEach(name -> {
+    /** Plans for the simultaneous loss of these sites; throws {@link IllegalArgumentException} for an unknown name. */
+    public static LossPlan plan(Topology topology, Set<String> lostNames) {
+        lostNames.forEach(name -> {
             if (indexOf(topology.sites(), name) < 0) {
                 throw new IllegalArgumentException("no such site: " + name);
             }
         });
-        return new LossPlanner(topology, gone).plan();
+        return new LossPlanner(topology, lostNames).plan();
     }
 
     private static int indexOf(List<Site> sites, String name) {
@@ -82,164 +78,175 @@
     private LossPlan plan() {
         List<Flow> flows = new ArrayList<>();
         List<Refused> refused = new ArrayList<>();
-        Set<String> narrow = new LinkedHashSet<>();
+        Set<String> bottlenecks = new LinkedHashSet<>();
         List<Kind> order = topology.classes().stream()
                 .sorted(Comparator.comparingDouble(Kind::worth).reversed())
                 .toList();
-        double best = order.get(0).worth();
-        double crossing = 0;
-        double unplaced = 0;
-        for (Kind kind : order) {
-            double[][] placed = place(kind);
-            for (int i = 0; i < lost.size(); i++) {
-                String from = lost.get(i).name();
-                double asked = lost.get(i).asked().getOrDefault(kind.name(), 0.0);
-                double missing = asked - Arrays.stream(placed[i]).sum();
-                for (int j = 0; j < left.size(); j++) {
-                    ways[i][j] -= placed[i][j];
-                    room[j] -= placed[i][j] * kind.work();
-                    if (placed[i][j] > NOTHING) {
-                        flows.add(new Flow(from, left.get(j).name(), kind.name(), placed[i][j]));
+        double highestUtility = order.get(0).worth();
+        double redirectedWork = 0;
+        double unallocated = 0;
+        for (Kind trafficClass : order) {
+            double[][] allocated = allocate(trafficClass);
+            for (int i = 0; i < lostSites.size(); i++) {
+                String from = lostSites.get(i).name();
+                double demand = lostSites.get(i).asked().getOrDefault(trafficClass.name(), 0.0);
+                double refusedRate = demand - Arrays.stream(allocated[i]).sum();
+                for (int j = 0; j < survivors.size(); j++) {
+                    freeLinkRate[i][j] -= allocated[i][j];
+                    freeWork[j] -= allocated[i][j] * trafficClass.work();
+                    if (allocated[i][j] > EPSILON) {
+                        flows.add(new Flow(from, survivors.get(j).name(), trafficClass.name(), allocated[i][j]));
                     }
                 }
-                if (missing > NOTHING * Math.max(1, asked)) {
-                    refused.add(new Refused(from, kind.name(), missing, asked));
-                    narrow.addAll(narrow(kind, i));
+                if (refusedRate > EPSILON * Math.max(1, demand)) {
+                    refused.add(new Refused(from, trafficClass.name(), refusedRate, demand));
+                    bottlenecks.addAll(bottlenecks(trafficClass, i));
                 }
-                boolean dearest = kind.worth() == best;
-                crossing += dearest ? asked * kind.work() : 0;
-                unplaced += dearest ? Math.max(0, missing) : 0;
+                boolean ofHighestUtility = trafficClass.worth() == highestUtility;
+                redirectedWork += ofHighestUtility ? demand * trafficClass.work() : 0;
+                unallocated += ofHighestUtility ? Math.max(0, refusedRate) : 0;
             }
         }
-        List<String> unfit = left.stream()
+        List<String> overloadedSites = survivors.stream()
                 .filter(site -> topology.ownWork(site, 0) > site.capacity())
                 .map(Site::name)
                 .toList();
         return new LossPlan(
-                new LinkedHashSet<>(lost.stream().map(Site::name).toList()),
+                new LinkedHashSet<>(lostSites.stream().map(Site::name).toList()),
                 List.copyOf(flows),
                 List.copyOf(refused),
-                List.copyOf(narrow),
-                unfit,
-                slack(best, crossing, unplaced));
+                List.copyOf(bottlenecks),
+                overloadedSites,
+                requiredCapacityFraction(highestUtility, redirectedWork, unallocated));
     }
 
-    /** Own of the classes worth most and what crosses of them, to what all survivors can do. */
-    private double slack(double best, double crossing, double unplaced) {
-        double own =
-                left.stream().mapToDouble(site -> topology.ownWork(site, best)).sum();
-        double all = left.stream().mapToDouble(Site::capacity).sum() * (1 - topology.reserve());
-        double slack = own + crossing == 0 ? 0 : (own + crossing) / all;
-        return unplaced > NOTHING ? Math.max(slack, 1 + NOTHING) : slack;
+    /** Returns the survivors' own and the redirected load of highest utility, relative to the survivors' capacity. */
+    private double requiredCapacityFraction(double highestUtility, double redirectedWork, double unallocated) {
+        double ownWork = survivors.stream()
+                .mapToDouble(site -> topology.ownWork(site, highestUtility))
+                .sum();
+        double capacity = survivors.stream().mapToDouble(Site::capacity).sum() * (1 - topology.reserve());
+        double fraction = ownWork + redirectedWork == 0 ? 0 : (ownWork + redirectedWork) / capacity;
+        return unallocated > EPSILON ? Math.max(fraction, 1 + EPSILON) : fraction;
     }
 
-    /** Whether an answer by that way can be in time: its aim, less the way, must leave its work. */
-    private boolean inTime(Kind kind, int from, int to) {
-        return known[from][to] != null && kind.aim() - known[from][to].roundTrip() > kind.work();
+    /** Whether a response over this link can meet its SLO: the SLO less the round trip must exceed the work. */
+    private boolean meetsSlo(Kind trafficClass, int from, int to) {
+        return links[from][to] != null && trafficClass.aim() - links[from][to].roundTripSeconds() > trafficClass.work();
     }
 
-    private List<String> narrow(Kind kind, int from) {
-        List<String> full = new ArrayList<>();
-        for (int j = 0; j < left.size(); j++) {
-            String to = left.get(j).name();
-            if (known[from][j] == null) {
-                full.add("no way from " + lost.get(from).name() + " to " + to);
-            } else if (!inTime(kind, from, j)) {
-                full.add("way from " + lost.get(from).name() + " to " + to + " is too long for " + kind.name());
-            } else if (ways[from][j] <= NOTHING * Math.max(1, known[from][j].perSecond())) {
-                full.add("way from " + lost.get(from).name() + " to " + to + " is full");
+    private List<String> bottlenecks(Kind trafficClass, int from) {
+        List<String> reasons = new ArrayList<>();
+        for (int j = 0; j < survivors.size(); j++) {
+            String to = survivors.get(j).name();
+            if (links[from][j] == null) {
+                reasons.add("no way from " + lostSites.get(from).name() + " to " + to);
+            } else if (!meetsSlo(trafficClass, from, j)) {
+                reasons.add("way from " + lostSites.get(from).name() + " to " + to + " is too long for "
+                        + trafficClass.name());
+            } else if (freeLinkRate[from][j] <= EPSILON * Math.max(1, links[from][j].requestsPerSecond())) {
+                reasons.add("way from " + lostSites.get(from).name() + " to " + to + " is full");
             } else {
-                full.add("site " + to + " has no room");
+                reasons.add("site " + to + " has no room");
             }
         }
-        return full;
+        return reasons;
     }
 
-    /** Requests a second of a class from each lost site (first index) to each other one. */
-    private double[][] place(Kind kind) {
-        double[][] placed = new double[lost.size()][left.size()];
-        double[] open = lost.stream()
-                .mapToDouble(site -> site.asked().getOrDefault(kind.name(), 0.0))
+    /** Returns the requests per second of a class from each lost site (first index) to each survivor. */
+    private double[][] allocate(Kind trafficClass) {
+        double[][] allocated = new double[lostSites.size()][survivors.size()];
+        double[] remaining = lostSites.stream()
+                .mapToDouble(site -> site.asked().getOrDefault(trafficClass.name(), 0.0))
                 .toArray();
-        double[] free =
-                Arrays.stream(room).map(work -> Math.max(0, work) / kind.work()).toArray();
-        for (int round = 0; round < ROUNDS; round++) {
-            spread(kind, placed, open, free);
+        double[] freeRate = Arrays.stream(freeWork)
+                .map(work -> Math.max(0, work) / trafficClass.work())
+                .toArray();
+        for (int round = 0; round < SPREAD_ROUNDS; round++) {
+            distributeByFreeCapacity(trafficClass, allocated, remaining, freeRate);
         }
-        // Each path fills something; the bound is against rounding alone.
-        for (int paths = 0; paths < MOST_PATHS && augment(kind, placed, open, free) > NOTHING; paths++) {}
-        return placed;
+        // Each path saturates a link or site; the bound only guards against rounding errors.
+        for (int paths = 0;
+                paths < MAX_AUGMENTING_PATHS && augment(trafficClass, allocated, remaining, freeRate) > EPSILON;
+                paths++) {}
+        return allocated;
     }
 
-    /** All that is open goes out by room; where a site gets too much, all who send there send less. */
-    private void spread(Kind kind, double[][] placed, double[] open, double[] free) {
-        double[][] offered = new double[lost.size()][left.size()];
-        double[] sum = new double[left.size()];
-        for (int i = 0; i < lost.size(); i++) {
-            double all = 0;
-            for (int j = 0; j < left.size(); j++) {
-                all += share(kind, placed, free, i, j);
+    /** Offers remaining demand in proportion to free capacity; an overloaded site scales all offers down equally. */
+    private void distributeByFreeCapacity(
+            Kind trafficClass, double[][] allocated, double[] remaining, double[] freeRate) {
+        double[][] offered = new double[lostSites.size()][survivors.size()];
+        double[] totalOffered = new double[survivors.size()];
+        for (int i = 0; i < lostSites.size(); i++) {
+            double totalUsable = 0;
+            for (int j = 0; j < survivors.size(); j++) {
+                totalUsable += usableRate(trafficClass, allocated, freeRate, i, j);
             }
-            for (int j = 0; j < left.size() && all > 0; j++) {
-                double part = share(kind, placed, free, i, j) / all;
-                offered[i][j] = Math.min(Math.max(0, open[i]) * part, spare(kind, placed, i, j));
-                sum[j] += offered[i][j];
+            for (int j = 0; j < survivors.size() && totalUsable > 0; j++) {
+                double share = usableRate(trafficClass, allocated, freeRate, i, j) / totalUsable;
+                offered[i][j] =
+                        Math.min(Math.max(0, remaining[i]) * share, residualLinkRate(trafficClass, allocated, i, j));
+                totalOffered[j] += offered[i][j];
             }
         }
-        for (int j = 0; j < left.size(); j++) {
-            double part = sum[j] > 0 ? Math.min(1, Math.max(0, free[j]) / sum[j]) : 0;
-            for (int i = 0; i < lost.size(); i++) {
-                move(placed, open, free, i, j, offered[i][j] * part);
+        for (int j = 0; j < survivors.size(); j++) {
+            double acceptedFraction = totalOffered[j] > 0 ? Math.min(1, Math.max(0, freeRate[j]) / totalOffered[j]) : 0;
+            for (int i = 0; i < lostSites.size(); i++) {
+                assign(allocated, remaining, freeRate, i, j, offered[i][j] * acceptedFraction);
             }
         }
     }
 
-    /** The room of a site that can be reached; what rounding leaves behind counts for nothing. */
-    private double share(Kind kind, double[][] placed, double[] free, int from, int to) {
-        return free[to] > NOTHING && spare(kind, placed, from, to) > NOTHING ? free[to] : 0;
+    /** Returns the free capacity of a reachable site; amounts within rounding error count as zero. */
+    private double usableRate(Kind trafficClass, double[][] allocated, double[] freeRate, int from, int to) {
+        return freeRate[to] > EPSILON && residualLinkRate(trafficClass, allocated, from, to) > EPSILON
+                ? freeRate[to]
+                : 0;
     }
 
-    private double spare(Kind kind, double[][] placed, int from, int to) {
-        return inTime(kind, from, to) ? Math.max(0, ways[from][to] - placed[from][to]) : 0;
+    private double residualLinkRate(Kind trafficClass, double[][] allocated, int from, int to) {
+        return meetsSlo(trafficClass, from, to) ? Math.max(0, freeLinkRate[from][to] - allocated[from][to]) : 0;
     }
 
-    private static void move(double[][] placed, double[] open, double[] free, int from, int to, double much) {
-        placed[from][to] += much;
-        open[from] -= much;
-        free[to] -= much;
+    private static void assign(
+            double[][] allocated, double[] remaining, double[] freeRate, int from, int to, double amount) {
+        allocated[from][to] += amount;
+        remaining[from] -= amount;
+        freeRate[to] -= amount;
     }
 
     /**
-     * One augmenting path, by breadth: from a lost site with something open to a site with room, on its way
-     * taking back what
-     * another lost site had placed. Returns what it moved, 0 where there is none.
+     * Finds an augmenting path by breadth-first search: from a lost site with remaining demand to a survivor with
+     * free capacity, possibly displacing load of other lost sites. Returns the amount moved, 0 if there is no path.
      */
-    private double augment(Kind kind, double[][] placed, double[] open, double[] free) {
-        int[] fromSite = new int[left.size()];
-        int[] bySite = new int[lost.size()];
-        Arrays.fill(fromSite, -1);
-        Arrays.fill(bySite, -2);
-        Deque<Integer> next = new ArrayDeque<>();
-        for (int i = 0; i < lost.size(); i++) {
-            if (open[i] > NOTHING) {
-                bySite[i] = -1;
-                next.add(i);
+    private double augment(Kind trafficClass, double[][] allocated, double[] remaining, double[] freeRate) {
+        int[] sourceOfSurvivor = new int[survivors.size()];
+        // -1: start of a path; -2: not visited.
+        int[] previousSurvivor = new int[lostSites.size()];
+        Arrays.fill(sourceOfSurvivor, -1);
+        Arrays.fill(previousSurvivor, -2);
+        Deque<Integer> queue = new ArrayDeque<>();
+        for (int i = 0; i < lostSites.size(); i++) {
+            if (remaining[i] > EPSILON) {
+                previousSurvivor[i] = -1;
+                queue.add(i);
             }
         }
-        while (!next.isEmpty()) {
-            int i = next.poll();
-            for (int j = 0; j < left.size(); j++) {
-                if (fromSite[j] >= 0 || spare(kind, placed, i, j) <= NOTHING) {
+        while (!queue.isEmpty()) {
+            int i = queue.poll();
+            for (int j = 0; j < survivors.size(); j++) {
+                if (sourceOfSurvivor[j] >= 0 || residualLinkRate(trafficClass, allocated, i, j) <= EPSILON) {
                     continue;
                 }
-                fromSite[j] = i;
-                if (free[j] > NOTHING) {
-                    return along(kind, placed, open, free, fromSite, bySite, j);
+                sourceOfSurvivor[j] = i;
+                if (freeRate[j] > EPSILON) {
+                    return augmentAlong(
+                            trafficClass, allocated, remaining, freeRate, sourceOfSurvivor, previousSurvivor, j);
                 }
-                for (int k = 0; k < lost.size(); k++) {
-                    if (bySite[k] == -2 && placed[k][j] > NOTHING) {
-                        bySite[k] = j;
-                        next.add(k);
+                for (int k = 0; k < lostSites.size(); k++) {
+                    if (previousSurvivor[k] == -2 && allocated[k][j] > EPSILON) {
+                        previousSurvivor[k] = j;
+                        queue.add(k);
                     }
                 }
             }
@@ -247,24 +254,32 @@
         return 0;
     }
 
-    private double along(
-            Kind kind, double[][] placed, double[] open, double[] free, int[] fromSite, int[] bySite, int end) {
-        double most = free[end];
-        int first = -1;
-        for (int j = end; j >= 0; j = bySite[first]) {
-            first = fromSite[j];
-            most = Math.min(most, spare(kind, placed, first, j));
-            most = Math.min(most, bySite[first] >= 0 ? placed[first][bySite[first]] : open[first]);
+    private double augmentAlong(
+            Kind trafficClass,
+            double[][] allocated,
+            double[] remaining,
+            double[] freeRate,
+            int[] sourceOfSurvivor,
+            int[] previousSurvivor,
+            int target) {
+        double amount = freeRate[target];
+        int source = -1;
+        for (int j = target; j >= 0; j = previousSurvivor[source]) {
+            source = sourceOfSurvivor[j];
+            amount = Math.min(amount, residualLinkRate(trafficClass, allocated, source, j));
+            amount = Math.min(
+                    amount,
+                    previousSurvivor[source] >= 0 ? allocated[source][previousSurvivor[source]] : remaining[source]);
         }
-        for (int j = end; j >= 0; j = bySite[fromSite[j]]) {
-            int from = fromSite[j];
-            placed[from][j] += most;
-            if (bySite[from] >= 0) {
-                placed[from][bySite[from]] -= most;
+        for (int j = target; j >= 0; j = previousSurvivor[sourceOfSurvivor[j]]) {
+            int from = sourceOfSurvivor[j];
+            allocated[from][j] += amount;
+            if (previousSurvivor[from] >= 0) {
+                allocated[from][previousSurvivor[from]] -= amount;
             }
         }
-        free[end] -= most;
-        open[first] -= most;
-        return most;
+        freeRate[target] -= amount;
+        remaining[source] -= amount;
+        return amount;
     }
 }
--- a/src/main/java/pondridge/siteloss/RefusalOrder.java
+++ b/src/main/java/pondridge/siteloss/RefusalOrder.java
@@ -1,32 +1,31 @@
 package pondridge.siteloss;
 
 /**
- * Which requests of a class are refused where only a part of them finds room: the same ones at every
- * gateway, so that a
- * client that asks again elsewhere draws no new lot. By a hash of the request's key, salted by an epoch that
- * turns now
- * and then, so that nobody is always the one.
+ * Decides which requests of a class are admitted when capacity suffices only for a fraction of them. The decision
+ * is a hash of the request's key, so that all gateways admit the same requests and a client that retries at
+ * another gateway gets the same decision. The hash is salted with an epoch that changes from time to time, so
+ * that the same keys are not refused permanently.
  */
 public final class RefusalOrder {
     private RefusalOrder() {}
 
     /**
-     * Whether it is among the part that finds room.
+     * Whether a request is among the admitted fraction.
      *
-     * @param key stays the same over a client's repeats
-     * @param admitted from 0 to 1; who is in for some part is in for every greater one
+     * @param key the same for all retries of a client
+     * @param admittedFraction from 0 to 1; a key admitted at one fraction is admitted at every greater one
      */
-    public static boolean admits(long key, long epoch, double admitted) {
-        return place(key, epoch) < admitted;
+    public static boolean admits(long key, long epoch, double admittedFraction) {
+        return hashToUnitInterval(key, epoch) < admittedFraction;
     }
 
-    /** From 0 to 1, evenly over keys, anew in each epoch; the finaliser is that of MurmurHash3, 64 bits. */
-    static double place(long key, long epoch) {
-        long hash = mixed(key + mixed(epoch + 0x9e3779b97f4a7c15L));
+    /** Maps a key to [0, 1), uniformly and independently per epoch, with the 64-bit finaliser of MurmurHash3. */
+    static double hashToUnitInterval(long key, long epoch) {
+        long hash = mix(key + mix(epoch + 0x9e3779b97f4a7c15L));
         return (hash >>> 11) * 0x1.0p-53;
     }
 
-    private static long mixed(long value) {
+    private static long mix(long value) {
         long hash = (value ^ value >>> 33) * 0xff51afd7ed558ccdL;
         hash = (hash ^ hash >>> 33) * 0xc4ceb9fe1a85ec53L;
         return hash ^ hash >>> 33;
--- a/src/main/java/pondridge/siteloss/Split.java
+++ b/src/main/java/pondridge/siteloss/Split.java
@@ -12,115 +12,118 @@
 import pondridge.siteloss.Topology.Site;
 
 /**
- * The plan for the loss of one's own site, as a gateway there acts on it: which site a request goes to, and
- * whether it goes at all. By a hash of its key, so all gateways of the site send the same request the same
- * way, and their sum keeps to the plan's parts whoever of them lives.
+ * Applies the plan for the loss of the local site at a gateway: decides whether a request is admitted and which
+ * site it is sent to. Both depend on a hash of the request's key, so that all gateways of the site make the same
+ * decision for the same request, and their total follows the shares of the plan whichever of them are running.
  */
 public final class Split {
-    /** Rests on no plan: the caller's own order, and all may go. */
+    /** Without a plan: the caller chooses the site, and all requests are admitted. */
     public static final Split NONE = new Split(null, "", List.of());
 
-    private static final long WHERE = 1;
-    private static final long WHETHER = 2;
-    /** Plans that are kept; with up to seven sites that is one for each set of sites that can be reached. */
-    private static final int MOST_PLANS = 64;
+    private static final long SITE_SELECTION_EPOCH = 1;
+    private static final long ADMISSION_EPOCH = 2;
+    /** With up to seven sites, this is one plan for each set of reachable sites. */
+    private static final int MAX_CACHED_PLANS = 64;
 
     private final Topology topology;
-    private final String own;
+    private final String localSite;
     private final List<String> classes;
     private final Map<Set<String>, Plan> plans = new HashMap<>();
 
-    /** By the classes' numbers: what goes to which site, and what part of all has room. */
-    private record Plan(List<Map<String, Double>> parts, List<Double> admitted) {}
+    /** Rate to each site and admitted fraction, both indexed by class number. */
+    private record Plan(List<Map<String, Double>> ratesByClass, List<Double> admittedFractions) {}
 
-    private Split(Topology topology, String own, List<String> classes) {
+    private Split(Topology topology, String localSite, List<String> classes) {
         this.topology = topology;
-        this.own = own;
+        this.localSite = localSite;
         this.classes = classes;
     }
 
     /**
-     * From the plans for the loss of one site, one for each set of other sites that can be reached from it.
-     * What can't be reached is not held to be lost: its own clients are no burden to the others. Not safe on
-     * several threads.
+     * Creates an instance that plans for the loss of one site, once for each set of sites reachable from it. An
+     * unreachable site is not considered lost: its own clients add no load to the others. Not thread-safe.
      *
-     * @param classes names by the classes' numbers; one that the topology doesn't know is an
-     *     {@link IllegalArgumentException}, as is an unknown site
+     * @param classes class names, indexed by class number; a name or site that the topology does not contain
+     *     results in an {@link IllegalArgumentException}
      */
-    public static Split of(Topology topology, String own, List<String> classes) {
+    public static Split of(Topology topology, String localSite, List<String> classes) {
         for (String name : classes) {
             if (topology.classes().stream().map(Kind::name).noneMatch(name::equals)) {
                 throw new IllegalArgumentException("the plan has no class " + name);
             }
         }
-        Split split = new Split(topology, own, List.copyOf(classes));
+        Split split = new Split(topology, localSite, List.copyOf(classes));
         split.plan(topology.sites().stream().map(Site::name).collect(Collectors.toSet()));
         return split;
     }
 
-    private Plan plan(Set<String> reached) {
-        Plan known = plans.get(reached);
-        if (known == null) {
-            if (plans.size() == MOST_PLANS) {
+    private Plan plan(Set<String> reachable) {
+        Plan cached = plans.get(reachable);
+        if (cached == null) {
+            if (plans.size() == MAX_CACHED_PLANS) {
                 plans.clear();
             }
-            known = made(reached);
-            plans.put(Set.copyOf(reached), known);
+            cached = computePlan(reachable);
+            plans.put(Set.copyOf(reachable), cached);
         }
-        return known;
+        return cached;
     }
 
-    private Plan made(Set<String> reached) {
-        Topology seen = new Topology(
+    private Plan computePlan(Set<String> reachable) {
+        Topology reachableTopology = new Topology(
                 topology.sites(),
                 topology.classes(),
                 topology.ways().stream()
-                        .filter(way -> !way.from().equals(own) || reached.contains(way.to()))
+                        .filter(link -> !link.from().equals(localSite) || reachable.contains(link.to()))
                         .toList(),
                 topology.reserve());
-        LossPlan plan = LossPlanner.plan(seen, Set.of(own));
-        List<Map<String, Double>> parts = new ArrayList<>();
-        List<Double> admitted = new ArrayList<>();
+        LossPlan plan = LossPlanner.plan(reachableTopology, Set.of(localSite));
+        List<Map<String, Double>> ratesByClass = new ArrayList<>();
+        List<Double> admittedFractions = new ArrayList<>();
         for (String name : classes) {
-            Map<String, Double> part = new TreeMap<>();
+            Map<String, Double> rates = new TreeMap<>();
             plan.flows().stream()
                     .filter(flow -> flow.kind().equals(name))
-                    .forEach(flow -> part.put(flow.to(), flow.perSecond()));
-            parts.add(part);
-            admitted.add(plan.admitted(own, name));
+                    .forEach(flow -> rates.put(flow.to(), flow.perSecond()));
+            ratesByClass.add(rates);
+            admittedFractions.add(plan.admitted(localSite, name));
         }
-        return new Plan(parts, admitted);
+        return new Plan(ratesByClass, admittedFractions);
     }
 
-    /** Whether a request is among those for which there is room at the sites that can be reached. */
-    public boolean admits(int kind, long key, Set<String> reached) {
+    /** Whether a request is among those for which the reachable sites have capacity. */
+    public boolean admits(int classNumber, long key, Set<String> reachable) {
         return topology == null
-                || RefusalOrder.admits(key, WHETHER, plan(reached).admitted.get(kind));
+                || RefusalOrder.admits(
+                        key, ADMISSION_EPOCH, plan(reachable).admittedFractions.get(classNumber));
     }
 
     /**
-     * One of the sites that can take it, by their parts; null where the plan gives none of them a part. The
-     * part of one that can't goes to the others as they have parts; only that one's requests move.
+     * Selects one of the sites that can accept the request, with a probability proportional to their rates in
+     * the plan. Returns null if the plan sends nothing to any of them. Load of a site that cannot accept requests
+     * is distributed over the others in proportion to their rates; requests to other sites do not move.
      *
-     * @param reached sites that can be reached, whether they can take this one or not
+     * @param reachable reachable sites, including those that cannot accept this request
      */
-    public String pick(int kind, long key, Collection<String> able, Set<String> reached) {
+    public String pick(int classNumber, long key, Collection<String> candidates, Set<String> reachable) {
         if (topology == null) {
             return null;
         }
-        String best = null;
-        double least = Double.MAX_VALUE;
-        for (Map.Entry<String, Double> each : plan(reached).parts.get(kind).entrySet()) {
-            if (each.getValue() > 0 && able.contains(each.getKey())) {
-                // Weighted rendezvous hashing: the least of exponential draws with the parts as rates.
-                double draw = RefusalOrder.place(key ^ each.getKey().hashCode() * 0x9e3779b97f4a7c15L, WHERE);
-                double time = -Math.log(1 - draw) / each.getValue();
-                if (time < least) {
-                    least = time;
-                    best = each.getKey();
+        String selected = null;
+        double smallest = Double.MAX_VALUE;
+        for (Map.Entry<String, Double> siteRate :
+                plan(reachable).ratesByClass.get(classNumber).entrySet()) {
+            if (siteRate.getValue() > 0 && candidates.contains(siteRate.getKey())) {
+                // Weighted rendezvous hashing: the minimum of exponential variates with the plan's rates.
+                double uniform = RefusalOrder.hashToUnitInterval(
+                        key ^ siteRate.getKey().hashCode() * 0x9e3779b97f4a7c15L, SITE_SELECTION_EPOCH);
+                double variate = -Math.log(1 - uniform) / siteRate.getValue();
+                if (variate < smallest) {
+                    smallest = variate;
+                    selected = siteRate.getKey();
                 }
             }
         }
-        return best;
+        return selected;
     }
 }
--- a/src/main/java/pondridge/siteloss/Topology.java
+++ b/src/main/java/pondridge/siteloss/Topology.java
@@ -5,21 +5,21 @@
 import java.util.Objects;
 
 /**
- * What a plan rests on: sites with what they can do and are asked, classes with their worth and work, and
- * the ways between
- * sites. Figures are the operators'; how wrong they may be {@link LossPlan#slack} says.
+ * The input of a plan: sites with their capacity and demand, request classes with their utility and work, and the
+ * network links between sites. The figures are provided by the operators; {@link LossPlan#slack} shows how far
+ * they may be off.
  *
- * @param sites at least one, each name once
- * @param classes at least one, each name once
- * @param ways a pair of sites without one can't send to one another
- * @param reserve part of a site's capacity that no other site's load may take, from 0 to 1
+ * @param sites at least one, with distinct names
+ * @param classes at least one, with distinct names
+ * @param ways network links; a site can send only to sites to which it has a link
+ * @param reserve fraction of a site's capacity that load of other sites may not use, from 0 to 1
  */
 public record Topology(List<Site> sites, List<Kind> classes, List<Way> ways, double reserve) {
     /**
      * A site.
      *
-     * @param capacity seconds of work a second, over all its servers: as many as they have threads
-     * @param asked requests a second by class, of its own clients; a class that is not there is not asked
+     * @param capacity seconds of work per second over all its servers, which is their number of threads
+     * @param asked requests per second of its own clients, by class; 0 for a class that is absent
      */
     public record Site(String name, double capacity, Map<String, Double> asked) {
         public Site {
@@ -34,9 +34,9 @@
     /**
      * A class of requests.
      *
-     * @param worth of an answer in time; what is worth less is refused first
-     * @param work seconds that a request takes a server's thread
-     * @param aim seconds within which an answer is of worth
+     * @param worth utility of a response within the SLO; classes of lower utility are refused first
+     * @param work seconds for which a request occupies a server thread
+     * @param aim latency SLO in seconds; a later response has no utility
      */
     public record Kind(String name, double worth, double work, double aim) {
         public Kind {
@@ -47,17 +47,17 @@
     }
 
     /**
-     * The way from one site to another, one direction.
+     * A one-directional network link from one site to another.
      *
-     * @param perSecond requests a second that it takes, whatever their class
-     * @param roundTrip seconds there and back
+     * @param requestsPerSecond the limit of requests over this link, for all classes together
+     * @param roundTripSeconds round-trip time
      */
-    public record Way(String from, String to, double perSecond, double roundTrip) {
+    public record Way(String from, String to, double requestsPerSecond, double roundTripSeconds) {
         public Way {
             require(
-                    perSecond >= 0
-                            && roundTrip >= 0
-                            && Double.isFinite(perSecond + roundTrip)
+                    requestsPerSecond >= 0
+                            && roundTripSeconds >= 0
+                            && Double.isFinite(requestsPerSecond + roundTripSeconds)
                             && !Objects.equals(from, to),
                     "way from " + from + " to " + to);
         }
@@ -68,30 +68,34 @@
         classes = List.copyOf(classes);
         ways = List.copyOf(ways);
         require(reserve >= 0 && reserve <= 1, "reserve");
-        List<String> names = sites.stream().map(Site::name).toList();
-        List<String> kinds = classes.stream().map(Kind::name).toList();
-        require(!sites.isEmpty() && names.stream().distinct().count() == names.size(), "sites");
-        require(!classes.isEmpty() && kinds.stream().distinct().count() == kinds.size(), "classes");
+        List<String> siteNames = sites.stream().map(Site::name).toList();
+        List<String> classNames = classes.stream().map(Kind::name).toList();
+        require(!sites.isEmpty() && siteNames.stream().distinct().count() == siteNames.size(), "sites");
+        require(!classes.isEmpty() && classNames.stream().distinct().count() == classNames.size(), "classes");
         require(
-                ways.stream().allMatch(way -> names.contains(way.from) && names.contains(way.to)),
+                ways.stream().allMatch(link -> siteNames.contains(link.from) && siteNames.contains(link.to)),
                 "ways: unknown site");
         require(
-                ways.stream().map(way -> List.of(way.from, way.to)).distinct().count() == ways.size(),
+                ways.stream()
+                                .map(link -> List.of(link.from, link.to))
+                                .distinct()
+                                .count()
+                        == ways.size(),
                 "ways: a pair twice");
-        require(sites.stream().allMatch(site -> kinds.containsAll(site.asked.keySet())), "sites: unknown class");
+        require(sites.stream().allMatch(site -> classNames.containsAll(site.asked.keySet())), "sites: unknown class");
     }
 
-    /** What a site's own clients ask, in seconds of work a second, of classes worth at least so much. */
-    double ownWork(Site site, double leastWorth) {
+    /** Returns the demand of a site's own clients for classes of at least this utility, in work per second. */
+    double ownWork(Site site, double minUtility) {
         return classes.stream()
-                .filter(kind -> kind.worth >= leastWorth)
-                .mapToDouble(kind -> site.asked.getOrDefault(kind.name, 0.0) * kind.work)
+                .filter(trafficClass -> trafficClass.worth >= minUtility)
+                .mapToDouble(trafficClass -> site.asked.getOrDefault(trafficClass.name, 0.0) * trafficClass.work)
                 .sum();
     }
 
-    private static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalArgumentException("plan makes no sense: " + what);
+    private static void require(boolean condition, String description) {
+        if (!condition) {
+            throw new IllegalArgumentException("plan makes no sense: " + description);
         }
     }
 }
--- a/src/test/java/pondridge/siteloss/LossPlannerTest.java
+++ b/src/test/java/pondridge/siteloss/LossPlannerTest.java
@@ -19,197 +19,209 @@
 import pondridge.siteloss.Topology.Site;
 import pondridge.siteloss.Topology.Way;
 
-/** The plan against what nobody can beat: the least cut, found by trying all of them. */
+/** Compares plans with the optimum, which is the minimum cut found by enumerating all cuts. */
 class LossPlannerTest {
     private static final int SEEDS = 3_000;
-    private static final double NEAR = 1e-6;
+    private static final double TOLERANCE = 1e-6;
 
-    private static Topology drawn(Random random) {
-        List<Kind> kinds = new ArrayList<>();
+    private static Topology randomTopology(Random random) {
+        List<Kind> classes = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(3); i++) {
-            kinds.add(new Kind(
+            classes.add(new Kind(
                     "k" + i, 1 + random.nextInt(10), 0.01 + random.nextDouble() / 10, 0.1 + random.nextDouble()));
         }
         List<Site> sites = new ArrayList<>();
         for (int i = 0; i < 3 + random.nextInt(5); i++) {
-            Map<String, Double> asked = new HashMap<>();
-            kinds.forEach(kind -> asked.put(kind.name(), random.nextInt(4) == 0 ? 0 : random.nextDouble() * 100));
-            sites.add(new Site("s" + i, random.nextInt(5) == 0 ? 0 : random.nextDouble() * 30, asked));
+            Map<String, Double> demand = new HashMap<>();
+            classes.forEach(trafficClass ->
+                    demand.put(trafficClass.name(), random.nextInt(4) == 0 ? 0 : random.nextDouble() * 100));
+            sites.add(new Site("s" + i, random.nextInt(5) == 0 ? 0 : random.nextDouble() * 30, demand));
         }
-        List<Way> ways = new ArrayList<>();
+        List<Way> links = new ArrayList<>();
         for (Site from : sites) {
             for (Site to : sites) {
                 if (from != to && random.nextInt(5) > 0) {
-                    ways.add(new Way(
+                    links.add(new Way(
                             from.name(), to.name(), random.nextDouble() * 150, random.nextInt(6) == 0 ? 1 : 0.02));
                 }
             }
         }
-        return new Topology(sites, kinds, ways, random.nextInt(3) * 0.1);
+        return new Topology(sites, classes, links, random.nextInt(3) * 0.1);
     }
 
-    /** What of one class can be placed at most: the least over all cuts between lost sites and room. */
-    private static double leastCut(double[] asked, double[][] ways, double[] free) {
-        double least = Double.MAX_VALUE;
-        for (int near = 0; near < 1 << asked.length; near++) {
+    /** Returns the maximum acceptable rate of one class: the minimum cut between lost sites and survivors. */
+    private static double minCut(double[] demand, double[][] links, double[] freeRate) {
+        double minimum = Double.MAX_VALUE;
+        for (int sourceSide = 0; sourceSide < 1 << demand.length; sourceSide++) {
             double cut = 0;
-            for (int i = 0; i < asked.length; i++) {
-                cut += (near >> i & 1) == 0 ? asked[i] : 0;
+            for (int i = 0; i < demand.length; i++) {
+                cut += (sourceSide >> i & 1) == 0 ? demand[i] : 0;
             }
-            // Each site with room goes to the cheaper side by itself.
-            for (int j = 0; j < free.length; j++) {
-                double in = 0;
-                for (int i = 0; i < asked.length; i++) {
-                    in += (near >> i & 1) == 1 ? ways[i][j] : 0;
+            // Each survivor is on whichever side of the cut is cheaper.
+            for (int j = 0; j < freeRate.length; j++) {
+                double linkRate = 0;
+                for (int i = 0; i < demand.length; i++) {
+                    linkRate += (sourceSide >> i & 1) == 1 ? links[i][j] : 0;
                 }
-                cut += Math.min(in, free[j]);
+                cut += Math.min(linkRate, freeRate[j]);
             }
-            least = Math.min(least, cut);
+            minimum = Math.min(minimum, cut);
         }
-        return least;
+        return minimum;
     }
 
     @Test
-    void nothingIsRefusedForWhichThereIsRoomAndNothingIsOverfilled() {
-        int refusing = 0;
+    void refusesOnlyWithoutCapacityAndNeverExceedsCapacity() {
+        int plansWithRefusals = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             Random random = new Random(seed);
-            Topology topology = drawn(random);
-            Set<String> gone = new LinkedHashSet<>();
+            Topology topology = randomTopology(random);
+            Set<String> lostNames = new LinkedHashSet<>();
             for (int i = 0; i < 1 + random.nextInt(3); i++) {
-                gone.add(topology.sites()
+                lostNames.add(topology.sites()
                         .get(random.nextInt(topology.sites().size()))
                         .name());
             }
-            LossPlan plan = LossPlanner.plan(topology, gone);
-            assertEquals(plan, LossPlanner.plan(topology, gone), "seed " + seed);
-            refusing += plan.refused().isEmpty() ? 0 : 1;
+            LossPlan plan = LossPlanner.plan(topology, lostNames);
+            assertEquals(plan, LossPlanner.plan(topology, lostNames), "seed " + seed);
+            plansWithRefusals += plan.refused().isEmpty() ? 0 : 1;
             check(topology, plan, "seed " + seed);
         }
-        assertTrue(refusing > SEEDS / 4 && refusing < SEEDS, "plans that refuse: " + refusing);
+        assertTrue(
+                plansWithRefusals > SEEDS / 4 && plansWithRefusals < SEEDS,
+                "plans with refusals: " + plansWithRefusals);
     }
 
     private static void check(Topology topology, LossPlan plan, String seed) {
         List<Site> lost = topology.sites().stream()
                 .filter(s -> plan.lost().contains(s.name()))
                 .toList();
-        List<Site> left = topology.sites().stream()
+        List<Site> survivors = topology.sites().stream()
                 .filter(s -> !plan.lost().contains(s.name()))
                 .toList();
-        double[] room = left.stream()
+        double[] freeWork = survivors.stream()
                 .mapToDouble(
                         site -> Math.max(0, site.capacity() * (1 - topology.reserve()) - topology.ownWork(site, 0)))
                 .toArray();
-        Map<String, Double> spare = new HashMap<>();
-        topology.ways().forEach(way -> spare.put(way.from() + way.to(), way.perSecond()));
-        for (Kind kind : topology.classes().stream()
+        Map<String, Double> residualLinkRate = new HashMap<>();
+        topology.ways().forEach(link -> residualLinkRate.put(link.from() + link.to(), link.requestsPerSecond()));
+        for (Kind trafficClass : topology.classes().stream()
                 .sorted((a, b) -> Double.compare(b.worth(), a.worth()))
                 .toList()) {
-            double[] asked = lost.stream()
-                    .mapToDouble(site -> site.asked().get(kind.name()))
+            double[] demand = lost.stream()
+                    .mapToDouble(site -> site.asked().get(trafficClass.name()))
                     .toArray();
-            double[] free = new double[left.size()];
-            double[][] ways = new double[lost.size()][left.size()];
-            double taken = 0;
-            for (int j = 0; j < left.size(); j++) {
-                free[j] = room[j] / kind.work();
+            double[] freeRate = new double[survivors.size()];
+            double[][] links = new double[lost.size()][survivors.size()];
+            double accepted = 0;
+            for (int j = 0; j < survivors.size(); j++) {
+                freeRate[j] = freeWork[j] / trafficClass.work();
                 for (int i = 0; i < lost.size(); i++) {
-                    String pair = lost.get(i).name() + left.get(j).name();
-                    Way way = topology.ways().stream()
+                    String pair = lost.get(i).name() + survivors.get(j).name();
+                    Way link = topology.ways().stream()
                             .filter(w -> (w.from() + w.to()).equals(pair))
                             .findFirst()
                             .orElse(null);
-                    boolean useful = way != null && kind.aim() - way.roundTrip() > kind.work();
-                    ways[i][j] = useful ? spare.get(pair) : 0;
+                    boolean useful = link != null && trafficClass.aim() - link.roundTripSeconds() > trafficClass.work();
+                    links[i][j] = useful ? residualLinkRate.get(pair) : 0;
                 }
             }
-            double most = leastCut(asked, ways, free);
+            double maximum = minCut(demand, links, freeRate);
             for (LossPlan.Flow flow : plan.flows()) {
-                if (flow.kind().equals(kind.name())) {
-                    taken += flow.perSecond();
-                    int j = left.stream().map(Site::name).toList().indexOf(flow.to());
-                    room[j] -= flow.perSecond() * kind.work();
-                    spare.merge(flow.from() + flow.to(), -flow.perSecond(), Double::sum);
-                    assertTrue(room[j] > -NEAR, seed + ": " + flow + " overfills");
-                    assertTrue(spare.get(flow.from() + flow.to()) > -NEAR, seed + ": full: " + flow);
+                if (flow.kind().equals(trafficClass.name())) {
+                    accepted += flow.perSecond();
+                    int j = survivors.stream().map(Site::name).toList().indexOf(flow.to());
+                    freeWork[j] -= flow.perSecond() * trafficClass.work();
+                    residualLinkRate.merge(flow.from() + flow.to(), -flow.perSecond(), Double::sum);
+                    assertTrue(freeWork[j] > -TOLERANCE, seed + ": " + flow + " exceeds the capacity");
+                    assertTrue(
+                            residualLinkRate.get(flow.from() + flow.to()) > -TOLERANCE,
+                            seed + ": exceeds the link limit: " + flow);
                 }
             }
-            assertEquals(most, taken, 1e-4, seed + ": " + kind);
+            assertEquals(maximum, accepted, 1e-4, seed + ": " + trafficClass);
             for (Site site : lost) {
-                double all = plan.taken(site.name(), kind.name())
+                double all = plan.acceptedPerSecond(site.name(), trafficClass.name())
                         + plan.refused().stream()
                                 .filter(r ->
-                                        r.from().equals(site.name()) && r.kind().equals(kind.name()))
+                                        r.from().equals(site.name()) && r.kind().equals(trafficClass.name()))
                                 .mapToDouble(LossPlan.Refused::perSecond)
                                 .sum();
-                assertEquals(site.asked().get(kind.name()), all, NEAR, seed + ": all is taken or refused");
+                assertEquals(
+                        site.asked().get(trafficClass.name()),
+                        all,
+                        TOLERANCE,
+                        seed + ": all demand is accepted or refused");
             }
         }
     }
 
-    /** Checks go before confirmations, and it is told when confirmations don't fit. */
+    /** Stock checks are refused before order confirmations, and the plan shows when confirmations do not fit. */
     @Test
-    void whatTheExampleSays() {
+    void plansForTheExampleTopology() {
         Topology topology = SitePlanSettings.read(Path.of("deploy/site-plan.toml"));
         LossPlan plan = LossPlanner.plan(topology, Set.of("ebene"));
         assertEquals(1, plan.admitted("ebene", "order-confirm"));
-        assertTrue(plan.admitted("ebene", "stock-check") < plan.admitted("ebene", "stock-hold") + NEAR);
-        // Room is 0.95 of 9 less 5.985 of own work there, 0.95 of 12 less 3.78 here: shares are as it is.
+        assertTrue(plan.admitted("ebene", "stock-check") < plan.admitted("ebene", "stock-hold") + TOLERANCE);
+        // Free capacity is 0.95 * 9 less 5.985 of own work, and 0.95 * 12 less 3.78; shares are proportional to it.
         double[] shares = plan.flows().stream()
                 .filter(flow -> flow.kind().equals("order-confirm"))
                 .mapToDouble(LossPlan.Flow::perSecond)
                 .toArray();
-        assertEquals(2.565 / 7.62, shares[0] / shares[1], NEAR);
+        assertEquals(2.565 / 7.62, shares[0] / shares[1], TOLERANCE);
         LossPlan two = LossPlanner.plan(topology, Set.of("ebene", "rose-belle"));
         assertEquals(two.slack() > 1, two.admitted("ebene", "order-confirm") < 1, two.toString());
         assertThrows(IllegalArgumentException.class, () -> LossPlanner.plan(topology, Set.of("nowhere")));
     }
 
     @Test
-    void mistakesNameFileAndKey() {
-        String kind = "[site_plan.classes.a]\nwork=\"1ms\"\naim=\"9ms\"\n";
-        String both = kind + "[site_plan.sites.x]\ncapacity=1\n[site_plan.sites.y]\ncapacity=1\n";
-        Map<String, String> wrong = Map.of(
-                kind + "[site_plan.sites.x]\ncapacity=1",
+    void errorsNameFileAndKey() {
+        String classToml = "[site_plan.classes.a]\nwork=\"1ms\"\naim=\"9ms\"\n";
+        String twoSites = classToml + "[site_plan.sites.x]\ncapacity=1\n[site_plan.sites.y]\ncapacity=1\n";
+        Map<String, String> expectedErrors = Map.of(
+                classToml + "[site_plan.sites.x]\ncapacity=1",
                 "two sites",
                 "[site_plan.classes.a]\nwork=1\naim=\"9ms\"",
                 "site_plan.classes.a.work",
-                both + "[site_plan.sites.x.asked]\nb=1",
+                twoSites + "[site_plan.sites.x.asked]\nb=1",
                 "site_plan.sites.x.asked.b",
-                kind + "[site_plan.sites.x]\n[site_plan.sites.y]",
+                classToml + "[site_plan.sites.x]\n[site_plan.sites.y]",
                 "site_plan.sites.x.capacity",
-                both + "[site_plan.ways.x.z]\nper_second=1",
+                twoSites + "[site_plan.ways.x.z]\nper_second=1",
                 "site_plan.ways.x.z");
-        wrong.forEach((text, says) -> {
-            SettingsException problem = assertThrows(
+        expectedErrors.forEach((toml, expected) -> {
+            SettingsException exception = assertThrows(
                     SettingsException.class,
                     () -> {
-                        SettingsFile file = SettingsFile.parse("plan.toml", text);
+                        SettingsFile file = SettingsFile.parse("plan.toml", toml);
                         SitePlanSettings.of(file);
                         file.finish();
                     },
-                    text);
+                    toml);
             assertTrue(
-                    problem.getMessage().contains(says) && problem.getMessage().contains("plan.toml"),
-                    problem.getMessage());
+                    exception.getMessage().contains(expected)
+                            && exception.getMessage().contains("plan.toml"),
+                    exception.getMessage());
         });
     }
 
-    /** A client that asks again elsewhere is refused again, and in the next epoch it is others' turn. */
+    /** A client that retries elsewhere is refused again; the next epoch refuses other keys. */
     @Test
-    void theSameAreRefusedEverywhere() {
+    void refusesTheSameKeysAtAllGateways() {
         Random random = new Random(5);
-        int in = 0;
-        int both = 0;
+        int admittedCount = 0;
+        int admittedInBothEpochs = 0;
         for (int i = 0; i < 20_000; i++) {
             long key = random.nextLong();
             boolean admitted = RefusalOrder.admits(key, 1, 0.3);
-            in += admitted ? 1 : 0;
-            both += admitted && RefusalOrder.admits(key, 2, 0.3) ? 1 : 0;
-            assertTrue(!admitted || RefusalOrder.admits(key, 1, 0.31), "who is in stays in as room grows");
+            admittedCount += admitted ? 1 : 0;
+            admittedInBothEpochs += admitted && RefusalOrder.admits(key, 2, 0.3) ? 1 : 0;
+            assertTrue(
+                    !admitted || RefusalOrder.admits(key, 1, 0.31),
+                    "an admitted key stays admitted at a greater fraction");
             assertTrue(RefusalOrder.admits(key, 1, 1) && !RefusalOrder.admits(key, 1, 0));
         }
-        assertEquals(0.3, in / 20_000.0, 0.015);
-        assertEquals(0.09, both / 20_000.0, 0.01, "epochs are independent");
+        assertEquals(0.3, admittedCount / 20_000.0, 0.015);
+        assertEquals(0.09, admittedInBothEpochs / 20_000.0, 0.01, "epochs are independent");
     }
 }
