--- a/src/main/java/pondridge/standin/EffectLedger.java
+++ b/src/main/java/pondridge/standin/EffectLedger.java
@@ -17,8 +17,8 @@
     private static final int MAX_PAUSES = 10_000;
 
     /**
-     * The counts of a whole run. Without violations, only {@link #asked}, {@link #served}, {@link #refused},
-     * {@link #failed} and {@link #dropped} may differ from 0.
+     * The counts of a whole run. Without violations, only the counts of sent, served, refused and failed
+     * requests and of dropped repeats may differ from 0.
      *
      * @param asked requests that clients sent
      * @param served requests with status 200
--- a/src/main/java/pondridge/standin/Fault.java
+++ b/src/main/java/pondridge/standin/Fault.java
@@ -1,6 +1,6 @@
 package pondridge.standin;
 
-/** How a stand-in server misbehaves on one request. */
+/** The fault that a stand-in server injects into one request. */
 public enum Fault {
     /** No fault: executes the request and responds. */
     NONE,
--- a/src/main/java/pondridge/standin/OpenLoad.java
+++ b/src/main/java/pondridge/standin/OpenLoad.java
@@ -75,7 +75,7 @@
     private Plan plan;
     private int startedRequests;
     private int endedRequests;
-    private int brokenConnections;
+    private int lostRequests;
 
     /** Sends to these endpoints in turn, without retries; {@code idPrefix} keeps the ids of several loads apart. */
     public OpenLoad(
@@ -143,7 +143,7 @@
 
     /** How many requests got no response because their connection failed or the client gave up. */
     public int broken() {
-        return brokenConnections;
+        return lostRequests;
     }
 
     private void scheduleNext(long previousAt) {
@@ -401,7 +401,7 @@
             if (!ended) {
                 ended = true;
                 ledger.unanswered(id, reason);
-                brokenConnections++;
+                lostRequests++;
                 giveUpTimer.cancel(false);
                 requestEnded();
             }
