--- a/src/main/java/pondridge/cli/DrillCommand.java
+++ b/src/main/java/pondridge/cli/DrillCommand.java
@@ -41,7 +41,7 @@
             out.println(line);
             out.flush();
         })) {
-            DrillReport report = drill.play();
+            DrillReport report = drill.run();
             report.lines().forEach(out::println);
             out.flush();
             return report.verdict().clean() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
--- a/src/main/java/pondridge/demo/Certificates.java
+++ b/src/main/java/pondridge/demo/Certificates.java
@@ -8,12 +8,12 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** An authority and certificates for sites, made anew for each demo; no use for anything else. */
+/** A certificate authority and site certificates, generated for each demo or test; not for production use. */
 public final class Certificates {
     private final Path folder;
     private final X509Bundle authority;
 
-    /** An authority whose files go into this folder. */
+    /** Creates an authority that writes its files to this folder. */
     public Certificates(Path folder) throws IOException {
         this.folder = folder;
         try {
@@ -23,32 +23,32 @@
                     .setIsCertificateAuthority(true)
                     .buildSelfSigned();
         } catch (Exception e) {
-            throw new IOException("no certificate can be made", e);
+            throw new IOException("no certificate can be issued", e);
         }
         Files.writeString(folder.resolve("ca.pem"), authority.getCertificatePEM());
     }
 
-    /** The settings' lines for a site whose certificate is good for a day. */
+    /** Issues a certificate that is valid for a day; returns the settings lines that name its files. */
     public String site(String site) throws IOException {
         return site(site, site, Instant.now().plus(1, ChronoUnit.DAYS));
     }
 
-    /** The same, with a certificate that names another site or ends at some time. */
-    public String site(String file, String named, Instant until) throws IOException {
+    /** Issues a certificate with this subject name and end of validity, written to files of another name. */
+    public String site(String file, String subjectName, Instant notAfter) throws IOException {
         try {
-            X509Bundle made = new CertificateBuilder()
+            X509Bundle issued = new CertificateBuilder()
                     .ecp256()
-                    .subject("CN=" + named)
-                    .addSanDnsName(named)
-                    .notBefore(until.minus(2, ChronoUnit.DAYS))
-                    .notAfter(until)
+                    .subject("CN=" + subjectName)
+                    .addSanDnsName(subjectName)
+                    .notBefore(notAfter.minus(2, ChronoUnit.DAYS))
+                    .notAfter(notAfter)
                     .buildIssuedBy(authority);
-            Files.writeString(folder.resolve(file + ".pem"), made.getCertificatePEM());
-            Files.writeString(folder.resolve(file + ".key"), made.getPrivateKeyPEM());
+            Files.writeString(folder.resolve(file + ".pem"), issued.getCertificatePEM());
+            Files.writeString(folder.resolve(file + ".key"), issued.getPrivateKeyPEM());
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
-            throw new IOException("no certificate can be made", e);
+            throw new IOException("no certificate can be issued", e);
         }
         return "certificate = \"" + folder.resolve(file + ".pem") + "\"\nkey = \"" + folder.resolve(file + ".key")
                 + "\"\nauthorities = \"" + folder.resolve("ca.pem") + "\"\n";
--- a/src/main/java/pondridge/demo/Child.java
+++ b/src/main/java/pondridge/demo/Child.java
@@ -22,19 +22,24 @@
 import pondridge.core.Json;
 
 /**
- * A process of the shipped program, started from the jar that this class is in, with the flags and the class
- * archive of the deploy file. Its standard input is a pipe from here: started with {@code --with-parent} it
- * ends when that ends, so also when this process is killed. What it logs is read line by line. Methods may be
- * called on any thread.
+ * A child process that runs the packaged jar with the JVM flags and the class data archive of the deploy file.
+ * Its standard input is a pipe from this process: a child started with {@code --with-parent} exits when the
+ * pipe closes, hence also when this process is killed. Its log is read line by line. Methods may be called on
+ * any thread.
  */
 public final class Child implements AutoCloseable {
     private static final String JAR = "pondridge.jar";
-    private static final int MOST_LINES = 10_000;
-    private static final int LIMIT_S = 30;
+    private static final int MAX_LINES = 10_000;
+    private static final int TIMEOUT_S = 30;
 
-    /** One line of a process's log, and when it came here by {@link System#nanoTime}. */
-    public record Line(String from, long at, JsonNode json) {
-        /** The kind of event that it tells. */
+    /**
+     * A line of a process's JSON log.
+     *
+     * @param processName the name that the process was started with
+     * @param at when this process received the line, by {@link System#nanoTime}
+     */
+    public record Line(String processName, long at, JsonNode json) {
+        /** The kind of event that the line reports. */
         public String event() {
             return json.path("event").asText();
         }
@@ -43,7 +48,7 @@
     private final String name;
     private final Process process;
     private final ArrayDeque<Line> lines = new ArrayDeque<>();
-    private final ArrayDeque<String> words = new ArrayDeque<>();
+    private final ArrayDeque<String> otherOutput = new ArrayDeque<>();
     private final Consumer<Line> listener;
 
     private Child(String name, Process process, Consumer<Line> listener) {
@@ -56,11 +61,11 @@
     }
 
     /**
-     * Starts one.
+     * Starts a process.
      *
      * @param name for messages
-     * @param mainClass of the shipped program
-     * @param listener told of each line of its log, on a thread of its own
+     * @param mainClass a class of the packaged jar
+     * @param listener receives each line of the process's log, on a thread for this process alone
      */
     public static Child start(
             String name,
@@ -93,17 +98,17 @@
         return new Child(name, builder.start(), listener);
     }
 
-    /** The jar that is shipped: the one that this class came from, or the one that the build has left. */
+    /** The packaged jar: the one that holds this class, or the build output beside the class folder. */
     private static Path jar() throws IOException {
         try {
-            Path from = Path.of(Child.class
+            Path location = Path.of(Child.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
                     .toURI());
-            Path jar = Files.isDirectory(from) ? from.resolveSibling(JAR) : from;
+            Path jar = Files.isDirectory(location) ? location.resolveSibling(JAR) : location;
             if (!Files.isRegularFile(jar)) {
-                throw new IOException("processes are started from the packaged jar; there is none at " + jar);
+                throw new IOException("cannot start a child process: packaged jar not found at " + jar);
             }
             return jar;
         } catch (URISyntaxException e) {
@@ -115,33 +120,33 @@
         try (BufferedReader reader =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String text = reader.readLine(); text != null; text = reader.readLine()) {
-                take(text);
+                addLine(text);
             }
         } catch (IOException e) {
-            // It has ended, perhaps within a line.
+            // The process has ended, perhaps in the middle of a line.
         }
         synchronized (this) {
             notifyAll();
         }
     }
 
-    private void take(String text) {
+    private void addLine(String text) {
         Line line = null;
         try {
             JsonNode json = text.startsWith("{") ? Json.MAPPER.readTree(text) : null;
             line = json == null ? null : new Line(name, System.nanoTime(), json);
         } catch (JsonProcessingException e) {
-            // Torn, or no log line: kept as words.
+            // An incomplete line or other output; kept for error messages.
         }
         synchronized (this) {
             if (line == null) {
-                words.add(text);
-                if (words.size() > MOST_LINES) {
-                    words.poll();
+                otherOutput.add(text);
+                if (otherOutput.size() > MAX_LINES) {
+                    otherOutput.poll();
                 }
             } else {
                 lines.add(line);
-                if (lines.size() > MOST_LINES) {
+                if (lines.size() > MAX_LINES) {
                     lines.poll();
                 }
             }
@@ -152,20 +157,22 @@
         }
     }
 
-    /** The first line of its log that is so, once there is one. */
-    public synchronized Line await(Predicate<Line> wanted) throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
+    /** Waits for a log line that meets the condition and returns the first such line. */
+    public synchronized Line await(Predicate<Line> condition) throws IOException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         try {
             while (true) {
                 for (Line line : lines) {
-                    if (wanted.test(line)) {
+                    if (condition.test(line)) {
                         return line;
                     }
                 }
-                if (!process.isAlive() || System.nanoTime() - until > 0) {
-                    throw new IOException(
-                            name + (process.isAlive() ? " doesn't say so" : " has ended with " + process.exitValue())
-                                    + "; " + String.join(" | ", words));
+                if (!process.isAlive() || System.nanoTime() - deadline > 0) {
+                    throw new IOException(name
+                            + (process.isAlive()
+                                    ? ": expected log line not seen within " + TIMEOUT_S + " s"
+                                    : ": exited with status " + process.exitValue() + " before the expected log line")
+                            + "; other output: " + String.join(" | ", otherOutput));
                 }
                 wait(100);
             }
@@ -183,23 +190,23 @@
         return process.toHandle();
     }
 
-    /** Its processor time so far, in nanoseconds; 0 where that can't be told. */
+    /** CPU time that it has used so far, in nanoseconds; 0 if the operating system does not report it. */
     public long cpuNanos() {
         return process.info().totalCpuDuration().map(each -> each.toNanos()).orElse(0L);
     }
 
-    /** Kills it outright, whatever it is doing, and waits for its end. */
+    /** Kills it forcibly and waits for its exit. */
     public void kill() {
         process.destroyForcibly();
         process.onExit()
-                .orTimeout(LIMIT_S, TimeUnit.SECONDS)
-                .exceptionally(late -> null)
+                .orTimeout(TIMEOUT_S, TimeUnit.SECONDS)
+                .exceptionally(timeout -> null)
                 .join();
     }
 
     /**
-     * Stops it for some time, as by SIGSTOP, and continues it. The shell that does so outlives this process
-     * if it is killed meanwhile: no stopped process stays behind.
+     * Stops it with SIGSTOP and continues it after this time. A separate shell sends both signals and survives
+     * if this process is killed meanwhile, so that no stopped process is left behind.
      */
     public void pause(long millis) throws IOException {
         String pid = Long.toString(process.pid());
@@ -211,20 +218,20 @@
                         String.format(Locale.ROOT, "%.3f", millis / 1e3))
                 .start();
         if (stopper.inputReader().readLine() == null) {
-            throw new IOException(name + " can't be stopped: it has ended");
+            throw new IOException("cannot pause " + name + ": process has exited");
         }
     }
 
-    /** Asks it to end in order, as SIGTERM does, and waits; what takes too long is killed. */
+    /** Terminates it with SIGTERM and waits for its exit; kills it after {@link #TIMEOUT_S}. */
     @Override
     public void close() {
         process.destroy();
         try {
-            process.onExit().get(LIMIT_S, TimeUnit.SECONDS);
+            process.onExit().get(TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (TimeoutException | ExecutionException e) {
-            // Killed below.
+            // kill() below ends it.
         }
         kill();
     }
--- a/src/main/java/pondridge/demo/Drill.java
+++ b/src/main/java/pondridge/demo/Drill.java
@@ -33,76 +33,81 @@
 import pondridge.standin.StandinServer;
 
 /**
- * Plays a {@link DrillPlan}: its gateways as processes of the shipped program; stand-in servers, links,
- * agents of discovery, clients and the ledger here, so that all faults and effects are seen by one clock. Of
- * one thread.
+ * Runs a {@link DrillPlan}. Gateways are processes of the packaged jar. Stand-in servers, links, discovery
+ * agents, clients and the ledger are in this process, so that all faults and effects have one clock. Not
+ * thread-safe.
  */
 public final class Drill implements AutoCloseable {
     private static final long MS = 1_000_000;
-    private static final int PATIENCE_S = 60;
-    private static final long STILL_MS = 1_000;
-    /** Makes seeds of what is not counted differ from those of what is. */
-    private static final long WARM = 1_000_000_007L;
-    /** Figures of cold servers, as the operators give them. */
-    private static final long RAMP = 7_400 * MS;
+    private static final int LOAD_TIMEOUT_MIN = 60;
+    private static final long IDLE_CHECK_MS = 1_000;
+    /** Added to the plan's seed for the warm-up, so that its requests can be told from those that count. */
+    private static final long WARM_UP_SEED_OFFSET = 1_000_000_007L;
+    /** Behaviour of servers after a cold start, as specified by the operators. */
+    private static final long RAMP_NANOS = 7_400 * MS;
 
     private static final double COLD_SHARE = 0.39;
-    private static final double FALL_FACTOR = 4;
-    private static final long FALL_WINDOW = 1_500 * MS;
+    private static final double OVERLOAD_FACTOR = 4;
+    private static final long OVERLOAD_WINDOW_NANOS = 1_500 * MS;
 
     private final DrillPlan plan;
     private final Path folder;
-    private final MultiThreadIoEventLoopGroup agents = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup discoveryGroup =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ConcurrentLinkedQueue<Child.Line> log = new ConcurrentLinkedQueue<>();
-    private final Map<String, ProcessGateway> hosts = new HashMap<>();
-    private final Map<DrillPlan.Step, Long> done = new LinkedHashMap<>();
+    private final Map<String, ProcessGateway> gateways = new HashMap<>();
+    private final Map<DrillPlan.Step, Long> stepStartNanos = new LinkedHashMap<>();
     private final Consumer<String> progress;
     private final Sites sites;
-    private long began;
+    private long startNanos;
 
-    /** Builds and starts it all; {@code progress} is told of each step in words. */
+    /** Builds and starts all sites; {@code progress} receives a line for each step. */
     public Drill(DrillPlan plan, Consumer<String> progress) throws IOException {
         this.plan = plan;
         this.progress = progress;
         this.folder = Files.createTempDirectory("bankflow-drill");
-        EventLoop loop = agents.next();
+        EventLoop loop = discoveryGroup.next();
         Options options = options(plan);
         try {
             this.sites = new Sites(
-                    shape(plan), options, plan.seed(), site -> "security = \"plain\"\n", (name, toml, known, seed) -> {
-                        ProcessGateway made =
-                                new ProcessGateway(name, folder, loop, toml, options, known, seed, log::add);
-                        hosts.put(name, made);
-                        return made;
+                    testbedConfig(plan),
+                    options,
+                    plan.seed(),
+                    site -> "security = \"plain\"\n",
+                    (name, toml, targets, seed) -> {
+                        ProcessGateway gateway =
+                                new ProcessGateway(name, folder, loop, toml, options, targets, seed, log::add);
+                        gateways.put(name, gateway);
+                        return gateway;
                     });
         } catch (IOException | RuntimeException e) {
-            agents.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+            discoveryGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             throw e;
         }
     }
 
-    private static Sites.Shape shape(DrillPlan plan) {
+    private static Sites.Shape testbedConfig(DrillPlan plan) {
         double work = plan.topology().classes().stream()
                 .mapToDouble(Kind::work)
                 .average()
                 .orElse(0);
         return new Sites.Shape(
                 plan.sites().entrySet().stream()
-                        .map(each -> new Sites.Place(
+                        .map(each -> new Sites.SiteConfig(
                                 each.getKey(),
                                 each.getValue().servers(),
                                 each.getValue().gateways(),
                                 each.getValue().threads(),
-                                plan.gateway().strip()
+                                plan.gatewayToml().strip()
                                         + '\n'
-                                        + (plan.told().containsKey(each.getKey())
+                                        + (plan.gatewayTopologies().containsKey(each.getKey())
                                                 ? SitePlanSettings.text(
-                                                        plan.told().get(each.getKey()))
+                                                        plan.gatewayTopologies().get(each.getKey()))
                                                 : "")))
                         .toList(),
                 (long) (work * 1e9),
-                plan.delay(),
-                plan.delay() / 4);
+                plan.linkDelayNanos(),
+                plan.linkDelayNanos() / 4);
     }
 
     private static Options options(DrillPlan plan) {
@@ -122,7 +127,7 @@
                     .append('\n')
                     .append(path)
                     .append("deadline=")
-                    .append(plan.patience())
+                    .append(plan.clientTimeoutNanos())
                     .append('\n')
                     .append(path)
                     .append("worth=")
@@ -146,49 +151,53 @@
                     .append(order.memory())
                     .append('\n');
         }
-        return Usual.options(plan.patience() / MS, more.toString());
+        return Usual.options(plan.clientTimeoutNanos() / MS, more.toString());
     }
 
-    private OpenLoad.Plan load(Topology.Site site, double seconds, double times) {
+    private OpenLoad.Plan loadPlan(Topology.Site site, double seconds, double factor) {
         Map<String, Double> shares = new LinkedHashMap<>();
-        Map<String, Long> waits = new LinkedHashMap<>();
-        double sum = site.asked().values().stream().mapToDouble(rate -> rate).sum();
+        Map<String, Long> timeouts = new LinkedHashMap<>();
+        double perSecond =
+                site.asked().values().stream().mapToDouble(rate -> rate).sum();
         plan.topology().classes().forEach(kind -> {
-            shares.put(kind.name(), site.asked().getOrDefault(kind.name(), 0.0) / sum);
-            waits.put(kind.name(), plan.patience());
+            shares.put(kind.name(), site.asked().getOrDefault(kind.name(), 0.0) / perSecond);
+            timeouts.put(kind.name(), plan.clientTimeoutNanos());
         });
-        return new OpenLoad.Plan((int) Math.ceil(sum * times * seconds), sum * times, shares, waits, 200);
+        return new OpenLoad.Plan(
+                (int) Math.ceil(perSecond * factor * seconds), perSecond * factor, shares, timeouts, 200);
     }
 
-    private List<CompletableFuture<Void>> loads(long seed, double seconds) {
+    private List<CompletableFuture<Void>> startLoads(long seed, double seconds) {
         List<CompletableFuture<Void>> loads = new ArrayList<>();
         for (Topology.Site site : plan.topology().sites()) {
             if (site.asked().values().stream().anyMatch(rate -> rate > 0)) {
-                loads.add(sites.persistent(site.name(), seed, plan.retries()).start(load(site, seconds, 1)));
+                loads.add(
+                        sites.loadWithRetries(site.name(), seed, plan.retries()).start(loadPlan(site, seconds, 1)));
             }
         }
         return loads;
     }
 
-    /** Plays it from the warm-up to the last answer, and judges. */
-    public DrillReport play() throws IOException, InterruptedException {
-        long warm = plan.seed() + WARM;
-        join(loads(warm, plan.warmUp() / 1e9));
-        began = System.nanoTime();
-        List<CompletableFuture<Void>> loads = new ArrayList<>(loads(plan.seed(), plan.length() / 1e9));
+    /** Runs the drill from the warm-up to the last response and returns its report. */
+    public DrillReport run() throws IOException, InterruptedException {
+        long warmUpSeed = plan.seed() + WARM_UP_SEED_OFFSET;
+        join(startLoads(warmUpSeed, plan.warmUpNanos() / 1e9));
+        startNanos = System.nanoTime();
+        List<CompletableFuture<Void>> loads = new ArrayList<>(startLoads(plan.seed(), plan.lengthNanos() / 1e9));
         for (DrillPlan.Step step : plan.steps()) {
-            until(began + step.at());
-            progress.accept(String.format(Locale.ROOT, "%6.1f s  %s", (System.nanoTime() - began) / 1e9, step));
-            done.put(step, System.nanoTime() - began);
-            act(step, loads);
+            sleepUntil(startNanos + step.atNanos());
+            progress.accept(String.format(Locale.ROOT, "%6.1f s  %s", (System.nanoTime() - startNanos) / 1e9, step));
+            stepStartNanos.put(step, System.nanoTime() - startNanos);
+            apply(step, loads);
         }
         join(loads);
-        still();
-        return new DrillReport(plan, began, Long.toString(warm), sites.ledger(), done, List.copyOf(log));
+        awaitServersIdle();
+        return new DrillReport(
+                plan, startNanos, Long.toString(warmUpSeed), sites.ledger(), stepStartNanos, List.copyOf(log));
     }
 
-    private static void until(long time) throws InterruptedException {
-        for (long left = time - System.nanoTime(); left > 0; left = time - System.nanoTime()) {
+    private static void sleepUntil(long timeNanos) throws InterruptedException {
+        for (long left = timeNanos - System.nanoTime(); left > 0; left = timeNanos - System.nanoTime()) {
             if (Thread.interrupted()) {
                 throw new InterruptedException();
             }
@@ -199,83 +208,85 @@
     private static void join(List<CompletableFuture<Void>> loads) throws IOException, InterruptedException {
         try {
             for (CompletableFuture<Void> each : loads) {
-                each.get(PATIENCE_S, TimeUnit.MINUTES);
+                each.get(LOAD_TIMEOUT_MIN, TimeUnit.MINUTES);
             }
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("load doesn't end", e);
+            throw new IOException("load generators did not finish within " + LOAD_TIMEOUT_MIN + " min", e);
         }
     }
 
-    /** Waits until no server has run anything for a while: what was given up may still run. */
-    private void still() throws InterruptedException {
+    /** Waits until no server has executed a request for a while: abandoned requests may still be executing. */
+    private void awaitServersIdle() throws InterruptedException {
         int before = -1;
-        for (int now = runs(); now != before; now = runs()) {
+        for (int now = executedRequests(); now != before; now = executedRequests()) {
             before = now;
-            Thread.sleep(STILL_MS);
+            Thread.sleep(IDLE_CHECK_MS);
         }
     }
 
-    private int runs() {
+    private int executedRequests() {
         return plan.sites().keySet().stream()
                 .flatMap(name -> sites.site(name).servers().stream())
                 .mapToInt(StandinServer::runs)
                 .sum();
     }
 
-    private void act(DrillPlan.Step step, List<CompletableFuture<Void>> loads) throws IOException {
+    private void apply(DrillPlan.Step step, List<CompletableFuture<Void>> loads) throws IOException {
         Sites.Site site = sites.site(step.site());
-        switch (step.act()) {
+        switch (step.action()) {
             case CUT -> site.cut(true);
             case HEAL -> site.cut(false);
             case STALL -> site.stall(true);
             case FLOW -> site.stall(false);
             case LOSE -> {
                 site.cut(true);
-                each(step, site::kill);
+                forEachGateway(step, site::kill);
             }
             case RETURN -> {
-                begin(step, site);
-                cold(site, 1);
+                startGateways(step, site);
+                startServersCold(site, 1);
             }
-            case COLD -> cold(site, step.part());
-            case KILL -> each(step, site::kill);
-            case START -> begin(step, site);
+            case COLD -> startServersCold(site, step.amount());
+            case KILL -> forEachGateway(step, site::kill);
+            case START -> startGateways(step, site);
             case STOP -> {
-                for (int number : numbers(step)) {
-                    site.stops(number, step.length());
-                    hosts.get(step.site() + number).child().pause(step.length() / MS);
+                for (int number : gatewayNumbers(step)) {
+                    site.recordPause(number, step.lengthNanos());
+                    gateways.get(step.site() + number).child().pause(step.lengthNanos() / MS);
                 }
             }
-            case CUT_LINK, HEAL_LINK -> between(step).forEach(link -> {
-                link.refuse(step.act() == DrillPlan.Act.CUT_LINK);
-                if (step.act() == DrillPlan.Act.CUT_LINK) {
+            case CUT_LINK, HEAL_LINK -> linksOf(step).forEach(link -> {
+                link.refuse(step.action() == DrillPlan.Action.CUT_LINK);
+                if (step.action() == DrillPlan.Action.CUT_LINK) {
                     link.reset();
                 } else {
-                    link.set(FaultyLink.Condition.delayed(plan.delay(), plan.delay() / 4));
+                    link.set(FaultyLink.Condition.delayed(plan.linkDelayNanos(), plan.linkDelayNanos() / 4));
                 }
             });
-            case STALL_LINK -> between(step)
-                    .forEach(link -> link.set(FaultyLink.Condition.delayed(plan.delay(), plan.delay() / 4)
-                            .stalled(true)));
-            case ONE_WAY -> others(step).forEach(other -> {
+            case STALL_LINK -> linksOf(step)
+                    .forEach(link ->
+                            link.set(FaultyLink.Condition.delayed(plan.linkDelayNanos(), plan.linkDelayNanos() / 4)
+                                    .stalled(true)));
+            case ONE_WAY -> otherSites(step).forEach(other -> {
                 FaultyLink.Condition lost =
-                        FaultyLink.Condition.delayed(plan.delay(), 0).lost(true);
+                        FaultyLink.Condition.delayed(plan.linkDelayNanos(), 0).lost(true);
                 sites.site(other).linksFrom(step.site()).forEach(link -> link.set(FaultyLink.Way.THERE, lost));
                 site.linksFrom(other).forEach(link -> link.set(FaultyLink.Way.BACK, lost));
             });
             case SLOW -> site.servers()
-                    .subList(0, (int) Math.ceil(step.part() * site.servers().size()))
+                    .subList(0, (int) Math.ceil(step.amount() * site.servers().size()))
                     .forEach(server -> server.faults(Map.of(Fault.SLOW, 1.0)));
             case WELL -> site.servers().forEach(server -> server.faults(null));
             case SURGE -> plan.topology().sites().stream()
                     .filter(each -> each.name().equals(step.site()))
-                    .forEach(each -> loads.add(sites.persistent(step.site(), plan.seed() + loads.size(), plan.retries())
-                            .start(load(each, step.length() / 1e9, step.part() - 1))));
+                    .forEach(each ->
+                            loads.add(sites.loadWithRetries(step.site(), plan.seed() + loads.size(), plan.retries())
+                                    .start(loadPlan(each, step.lengthNanos() / 1e9, step.amount() - 1))));
             default -> throw new IllegalStateException(step.toString());
         }
     }
 
-    private List<Integer> numbers(DrillPlan.Step step) {
+    private List<Integer> gatewayNumbers(DrillPlan.Step step) {
         return step.gateway() >= 0
                 ? List.of(step.gateway())
                 : Stream.iterate(0, i -> i + 1)
@@ -283,32 +294,32 @@
                         .toList();
     }
 
-    private void each(DrillPlan.Step step, Consumer<Integer> act) {
-        numbers(step).forEach(act);
+    private void forEachGateway(DrillPlan.Step step, Consumer<Integer> action) {
+        gatewayNumbers(step).forEach(action);
     }
 
-    private void begin(DrillPlan.Step step, Sites.Site site) throws IOException {
-        for (int number : numbers(step)) {
+    private void startGateways(DrillPlan.Step step, Sites.Site site) throws IOException {
+        for (int number : gatewayNumbers(step)) {
             site.restart(number);
         }
     }
 
-    /** The first of its servers are started anew, and the list says so. */
-    private void cold(Sites.Site site, double part) {
+    /** Restarts this fraction of its servers, the first ones, and publishes their new start time. */
+    private void startServersCold(Sites.Site site, double fraction) {
         double perSecond = plan.sites().get(site.name()).threads()
                 / plan.topology().classes().stream()
                         .mapToDouble(Kind::work)
                         .average()
                         .orElse(1);
-        List<StandinServer> started =
-                site.servers().subList(0, (int) Math.ceil(part * site.servers().size()));
-        started.forEach(server ->
-                server.cold(new ColdStart(System.nanoTime(), RAMP, COLD_SHARE, perSecond, FALL_FACTOR, FALL_WINDOW)));
-        site.startedAnew(started.size(), System.currentTimeMillis());
+        List<StandinServer> started = site.servers()
+                .subList(0, (int) Math.ceil(fraction * site.servers().size()));
+        started.forEach(server -> server.cold(new ColdStart(
+                System.nanoTime(), RAMP_NANOS, COLD_SHARE, perSecond, OVERLOAD_FACTOR, OVERLOAD_WINDOW_NANOS)));
+        site.announceRestart(started.size(), System.currentTimeMillis());
         site.cut(false, started.size());
     }
 
-    private List<String> others(DrillPlan.Step step) {
+    private List<String> otherSites(DrillPlan.Step step) {
         return step.other().isEmpty()
                 ? plan.sites().keySet().stream()
                         .filter(each -> !each.equals(step.site()))
@@ -316,9 +327,9 @@
                 : List.of(step.other());
     }
 
-    private List<FaultyLink> between(DrillPlan.Step step) {
+    private List<FaultyLink> linksOf(DrillPlan.Step step) {
         List<FaultyLink> links = new ArrayList<>();
-        for (String other : others(step)) {
+        for (String other : otherSites(step)) {
             links.addAll(sites.site(other).linksFrom(step.site()));
             links.addAll(sites.site(step.site()).linksFrom(other));
         }
@@ -328,7 +339,7 @@
     @Override
     public void close() throws IOException {
         sites.close();
-        agents.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
+        discoveryGroup.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/src/main/java/pondridge/demo/DrillPlan.java
+++ b/src/main/java/pondridge/demo/DrillPlan.java
@@ -17,69 +17,70 @@
 import pondridge.standin.OrderClass;
 
 /**
- * A scripted drill: sites, what their clients ask, and what goes wrong when. Times in nanoseconds, those of
- * steps from when the load that counts begins.
+ * A scripted drill: sites, the load of their clients, and faults at given times. The times of steps count from
+ * the end of the warm-up.
  *
- * @param length how long load comes
- * @param warmUp how long load comes before that, which is not counted
- * @param patience how long clients wait for an answer
- * @param retries how often they ask again what was refused
- * @param delay of links between sites, one way
- * @param topology what sites can do and are asked; what gateways are told of it is {@code told}
- * @param told null where gateways are told no plan
- * @param gateway further settings of all gateways, in TOML
- * @param sites how each is built, by its name
+ * @param lengthNanos duration of the load that counts
+ * @param warmUpNanos duration of the load before it, which is not counted
+ * @param clientTimeoutNanos how long clients wait for a response
+ * @param retries how often clients retry a rejected request
+ * @param linkDelayNanos one-way delay of links between sites
+ * @param topology actual capacity and load of the sites
+ * @param gatewayTopologies the topology that is configured at the gateways of each site, by its name; empty if
+ *     gateways get no site plan
+ * @param gatewayToml further settings of all gateways, in TOML
+ * @param sites servers and gateways of each site, by its name
  * @param steps in the order of their times
  */
 public record DrillPlan(
         long seed,
-        long length,
-        long warmUp,
-        long patience,
+        long lengthNanos,
+        long warmUpNanos,
+        long clientTimeoutNanos,
         int retries,
-        long delay,
+        long linkDelayNanos,
         Topology topology,
-        Map<String, Topology> told,
-        String gateway,
-        Map<String, Built> sites,
+        Map<String, Topology> gatewayTopologies,
+        String gatewayToml,
+        Map<String, SiteServers> sites,
         List<Step> steps) {
-    private static final int MOST_BASES = 4;
+    private static final int MAX_BASE_DEPTH = 4;
     private static final List<String> SITE_PLAN = List.of("yes", "no");
 
-    /** A site: its servers with their threads, and its gateways. */
-    public record Built(int servers, int threads, int gateways) {}
+    /** The number of servers of a site, of threads of each server, and of gateways. */
+    public record SiteServers(int servers, int threads, int gateways) {}
 
-    /** What a step does. */
-    public enum Act {
-        /** The site's servers can't be reached, or can again as they were. */
+    /** The action of a step. Drill files name it in lower case, with hyphens. */
+    public enum Action {
+        /** Makes the site's servers unreachable; makes them reachable again, unchanged. */
         CUT,
         HEAL,
-        /** The wires to its servers are open and silent, or flow again. */
+        /** Stalls the links to its servers (open, but no bytes pass); lets them pass bytes again. */
         STALL,
         FLOW,
-        /** All of it is killed, servers and gateways; or starts again from nothing, its servers cold. */
+        /** Kills the whole site, servers and gateways; starts it again without state, its servers cold. */
         LOSE,
         RETURN,
-        /** One of its gateways, or all, are killed; or start again. */
+        /** Kills one or all of its gateways; starts them again. */
         KILL,
         START,
-        /** One of its gateways, or all, stand still for so long. */
+        /** Pauses one or all of its gateways for a time. */
         STOP,
-        /** No link between it and another site, or any other, works: resets at once, or silence; or again. */
+        /** Resets or stalls its links with one or all other sites, in both directions; restores them. */
         CUT_LINK,
         STALL_LINK,
         HEAL_LINK,
-        /** Only what goes from it to another site is lost. */
+        /** Drops all bytes from this site to one or all other sites, in that direction only. */
         ONE_WAY,
-        /** A part of its servers is nine times slower, or all are well again. */
+        /** Makes a fraction of its servers nine times slower; restores all of them. */
         SLOW,
         WELL,
-        /** A part of its servers, or all, can be reached again, but has been started anew and is cold. */
+        /** Makes a fraction of its servers reachable again, restarted and cold. */
         COLD,
-        /** Its clients ask so many times as much for so long. */
+        /** Multiplies the request rate of its clients for a time. */
         SURGE;
 
-        static Act named(String word) {
+        static Action named(String word) {
             return valueOf(word.replace('-', '_').toUpperCase(Locale.ROOT));
         }
 
@@ -89,37 +90,46 @@
     }
 
     /**
-     * One step.
+     * A step of the drill.
      *
-     * @param other the other end of a link; empty for all
-     * @param gateway by its number; -1 for all
-     * @param part of the servers, or how many times as much
+     * @param atNanos time since the end of the warm-up
+     * @param other the site at the other end of links; empty for all
+     * @param gateway number of a gateway; -1 for all
+     * @param amount the fraction of servers, or the factor of the request rate
+     * @param lengthNanos how long a pause or a higher request rate lasts
      */
     public record Step(
-            String name, long at, Act act, String site, String other, int gateway, double part, long length) {
+            String name,
+            long atNanos,
+            Action action,
+            String site,
+            String other,
+            int gateway,
+            double amount,
+            long lengthNanos) {
         @Override
         public String toString() {
-            return act.word()
+            return action.word()
                     + ' '
                     + site
                     + (other.isEmpty() ? "" : " and " + other)
                     + (gateway < 0 ? "" : ", gateway " + gateway)
-                    + (length == 0 ? "" : String.format(Locale.ROOT, " for %.1f s", length / 1e9));
+                    + (lengthNanos == 0 ? "" : String.format(Locale.ROOT, " for %.1f s", lengthNanos / 1e9));
         }
     }
 
     /**
-     * Reads a whole file; any mistake is a {@link pondridge.settings.SettingsException}. With {@code base} in
-     * {@code [drill]} it stands over that file, and only its own steps count.
+     * Reads a drill file; any error is a {@link pondridge.settings.SettingsException}. The values of a file with
+     * {@code base} in {@code [drill]} override those of its base file; the steps of the base file are ignored.
      */
     public static DrillPlan read(Path path) {
-        SettingsFile file = withBase(path, MOST_BASES);
+        SettingsFile file = withBase(path, MAX_BASE_DEPTH);
         DrillPlan read = of(file);
         file.finish();
         return read;
     }
 
-    /** Reads a file that may hold more. */
+    /** Reads the settings of a drill from a file that may contain others. */
     static DrillPlan of(SettingsFile file) {
         Section drill = file.section("drill");
         drill.text("base", "-");
@@ -132,32 +142,32 @@
                 .ifPresent(name -> {
                     throw drill.contradiction(
                             "site_plan",
-                            "the stand-in servers know no class " + name + ", only "
+                            "unknown class " + name + "; the stand-in servers have "
                                     + OrderClass.USUAL.stream()
                                             .map(OrderClass::name)
                                             .collect(Collectors.joining(", ")));
                 });
         List<String> names = topology.sites().stream().map(Topology.Site::name).toList();
-        boolean plan = drill.word("site_plan", "yes", SITE_PLAN).equals("yes");
-        Map<String, Built> sites = new LinkedHashMap<>();
-        Map<String, Topology> told = new LinkedHashMap<>();
-        Section built = file.section("sites");
+        boolean configuresPlan = drill.word("site_plan", "yes", SITE_PLAN).equals("yes");
+        Map<String, SiteServers> sites = new LinkedHashMap<>();
+        Map<String, Topology> gatewayTopologies = new LinkedHashMap<>();
+        Section siteSections = file.section("sites");
         for (String name : names) {
-            Section site = built.section(name);
+            Section site = siteSections.section(name);
             sites.put(
                     name,
-                    new Built(
+                    new SiteServers(
                             site.number("servers", 4, 1, 64),
                             site.number("threads", 2, 1, 64),
                             site.number("gateways", 2, 1, 16)));
-            double wrong = site.fraction("told_capacity", 1, 0.1, 10);
-            if (plan) {
-                told.put(
+            double capacityFactor = site.fraction("told_capacity", 1, 0.1, 10);
+            if (configuresPlan) {
+                gatewayTopologies.put(
                         name,
                         new Topology(
                                 topology.sites().stream()
-                                        .map(each ->
-                                                new Topology.Site(each.name(), each.capacity() * wrong, each.asked()))
+                                        .map(each -> new Topology.Site(
+                                                each.name(), each.capacity() * capacityFactor, each.asked()))
                                         .toList(),
                                 topology.classes(),
                                 topology.ways(),
@@ -166,7 +176,7 @@
         }
         List<Step> steps = new ArrayList<>();
         file.section("steps").sections().forEach((name, section) -> steps.add(step(name, section, sites)));
-        steps.sort(Comparator.comparingLong(Step::at));
+        steps.sort(Comparator.comparingLong(Step::atNanos));
         return new DrillPlan(
                 drill.number("seed", 1, 0, Integer.MAX_VALUE),
                 drill.time("length", "20s", "1s", "60min"),
@@ -175,23 +185,23 @@
                 drill.number("retries", 1, 0, 10),
                 drill.time("delay", "1ms", "0ms", "1s"),
                 topology,
-                told,
+                gatewayTopologies,
                 drill.text("gateway", " "),
                 sites,
                 steps);
     }
 
-    private static SettingsFile withBase(Path path, int most) {
+    private static SettingsFile withBase(Path path, int maxDepth) {
         SettingsFile file = SettingsFile.read(path);
         Section drill = SettingsFile.read(path).section("drill");
         String base = drill.text("base", "-");
         if (base.equals("-")) {
             return file;
         }
-        if (most == 0) {
-            throw drill.contradiction("base", "too many files upon one another");
+        if (maxDepth == 0) {
+            throw drill.contradiction("base", "more than " + MAX_BASE_DEPTH + " levels of base files");
         }
-        return file.over(withBase(path.resolveSibling(base), most - 1), Set.of("steps"));
+        return file.over(withBase(path.resolveSibling(base), maxDepth - 1), Set.of("steps"));
     }
 
     private static String required(Section section, String key, List<String> allowed) {
@@ -199,28 +209,28 @@
         return section.word(key, null, allowed);
     }
 
-    private static Step step(String name, Section section, Map<String, Built> sites) {
+    private static Step step(String name, Section section, Map<String, SiteServers> sites) {
         List<String> names = List.copyOf(sites.keySet());
-        Act act = Act.named(required(
-                section, "do", Arrays.stream(Act.values()).map(Act::word).toList()));
+        Action action = Action.named(required(
+                section, "do", Arrays.stream(Action.values()).map(Action::word).toList()));
         String site = required(section, "site", names);
         String other = section.word("other", "", names);
         int gateway = section.number("gateway", -1, -1, sites.get(site).gateways - 1);
         long length = section.time("for", "0ms", "0ms", "60min");
-        if (length == 0 && (act == Act.STOP || act == Act.SURGE)) {
-            throw section.contradiction("for", "expected how long it lasts");
+        if (length == 0 && (action == Action.STOP || action == Action.SURGE)) {
+            throw section.contradiction("for", "required for stop and surge: how long it lasts");
         }
         if (site.equals(other)) {
-            throw section.contradiction("other", "a link from a site to itself");
+            throw section.contradiction("other", "the same as site; expected the site at the other end of the link");
         }
         return new Step(
                 name,
                 section.time("at", "-", "0ms", "60min"),
-                act,
+                action,
                 site,
                 other,
                 gateway,
-                section.fraction("part", act == Act.SURGE ? 2 : act == Act.COLD ? 1 : 0.25, 0, 100),
+                section.fraction("part", action == Action.SURGE ? 2 : action == Action.COLD ? 1 : 0.25, 0, 100),
                 length);
     }
 }
--- a/src/main/java/pondridge/demo/DrillReport.java
+++ b/src/main/java/pondridge/demo/DrillReport.java
@@ -19,87 +19,98 @@
 import pondridge.standin.EffectLedger.Verdict;
 
 /**
- * What came of a drill, phase by phase between its steps and site by site, from the ledger over all
- * processes. A client's further tries belong to its first one.
+ * The results of a drill by phase (the time between two steps) and site, from the ledger of all requests. The
+ * retries of a request count in the phase of its first attempt.
  */
 public final class DrillReport {
     /**
-     * One site's clients in one phase.
+     * The requests of one site's clients in one phase.
      *
-     * @param asked requests, not counting further tries
-     * @param worth part of the worth asked for that was answered within its aim
-     * @param dearest the same of the classes worth most
-     * @param refused part of the requests whose last try was refused
-     * @param drawnAgain of tries that came after a refusal the part that was then served
+     * @param fromNanos start of the phase, from the end of the warm-up
+     * @param after the steps that began the phase
+     * @param requests number of requests, without retries
+     * @param servedWorth share of the requested worth that was served within the aim of its class
+     * @param servedTopWorth the same for the classes of the highest worth
+     * @param rejected share of the requests whose last attempt was rejected
+     * @param servedAfterRejection share of the attempts after a rejection that were served
      */
-    public record Part(
-            long from,
+    public record SitePhase(
+            long fromNanos,
             String after,
             String site,
-            int asked,
-            double worth,
-            double dearest,
-            double refused,
-            double drawnAgain) {}
+            int requests,
+            double servedWorth,
+            double servedTopWorth,
+            double rejected,
+            double servedAfterRejection) {}
 
-    private record Sum(int[] count, double[] worth) {
-        Sum() {
+    /**
+     * Sums of one site's requests in one phase.
+     *
+     * @param count requests, rejected ones, last attempts after a rejection, served ones of these
+     * @param worth requested and served in time, of all classes; then of the classes of the highest worth
+     */
+    private record PhaseTotals(int[] count, double[] worth) {
+        PhaseTotals() {
             this(new int[4], new double[4]);
         }
     }
 
     private final DrillPlan plan;
-    private final List<Part> parts = new ArrayList<>();
+    private final List<SitePhase> phases = new ArrayList<>();
     private final Verdict verdict;
-    private final List<String> views = new ArrayList<>();
-    private final Map<String, Long> spread = new TreeMap<>();
+    private final List<String> siteViewLines = new ArrayList<>();
+    private final Map<String, Long> maxDisagreementNanos = new TreeMap<>();
 
     DrillReport(
             DrillPlan plan,
-            long began,
-            String warm,
+            long startNanos,
+            String warmUpRun,
             EffectLedger ledger,
-            Map<DrillPlan.Step, Long> done,
+            Map<DrillPlan.Step, Long> stepStartNanos,
             List<Child.Line> log) {
         this.plan = plan;
         this.verdict = ledger.verdict();
-        count(began, warm, ledger.asks(), done);
-        look(began, log);
+        addRequests(startNanos, warmUpRun, ledger.asks(), stepStartNanos);
+        collectSiteViews(startNanos, log);
     }
 
-    private void count(long began, String warm, List<Ask> asks, Map<DrillPlan.Step, Long> done) {
+    private void addRequests(
+            long startNanos, String warmUpRun, List<Ask> attempts, Map<DrillPlan.Step, Long> stepStartNanos) {
         Map<String, List<Ask>> requests = new HashMap<>();
-        asks.stream().filter(ask -> !ask.id().contains("-" + warm + "-")).forEach(ask -> requests.computeIfAbsent(
-                        ask.id().split("~")[0], id -> new ArrayList<>())
-                .add(ask));
-        TreeMap<Long, String> phases = new TreeMap<>(Map.of(0L, "start"));
-        done.forEach((step, at) -> phases.merge(at, step.toString(), (one, two) -> one + "; " + two));
-        Map<Long, Map<String, Sum>> sums = new TreeMap<>();
-        phases.keySet().forEach(from -> {
-            Map<String, Sum> bySite = new LinkedHashMap<>();
-            plan.sites().keySet().forEach(site -> bySite.put(site, new Sum()));
-            sums.put(from, bySite);
+        attempts.stream()
+                .filter(attempt -> !attempt.id().contains("-" + warmUpRun + "-"))
+                .forEach(attempt -> requests.computeIfAbsent(attempt.id().split("~")[0], id -> new ArrayList<>())
+                        .add(attempt));
+        TreeMap<Long, String> phaseNames = new TreeMap<>(Map.of(0L, "start"));
+        stepStartNanos.forEach((step, at) -> phaseNames.merge(at, step.toString(), (one, two) -> one + "; " + two));
+        Map<Long, Map<String, PhaseTotals>> sums = new TreeMap<>();
+        phaseNames.keySet().forEach(from -> {
+            Map<String, PhaseTotals> totalsBySite = new LinkedHashMap<>();
+            plan.sites().keySet().forEach(site -> totalsBySite.put(site, new PhaseTotals()));
+            sums.put(from, totalsBySite);
         });
-        double dearest = plan.topology().classes().stream()
+        double topWorth = plan.topology().classes().stream()
                 .mapToDouble(Kind::worth)
                 .max()
                 .orElse(0);
-        requests.forEach((id, tries) -> {
-            tries.sort((one, two) -> Long.compare(one.askedAt(), two.askedAt()));
+        requests.forEach((id, attemptsOfRequest) -> {
+            attemptsOfRequest.sort((one, two) -> Long.compare(one.askedAt(), two.askedAt()));
             Kind kind = plan.topology().classes().stream()
-                    .filter(each -> each.name().equals(tries.get(0).kind().name()))
+                    .filter(each ->
+                            each.name().equals(attemptsOfRequest.get(0).kind().name()))
                     .findFirst()
                     .orElseThrow();
-            long at = Math.max(0, tries.get(0).askedAt() - began);
+            long at = Math.max(0, attemptsOfRequest.get(0).askedAt() - startNanos);
             String site = plan.sites().keySet().stream()
                     .filter(each -> id.startsWith(each + '-'))
                     .findFirst()
                     .orElseThrow();
-            add(sums.get(phases.floorKey(at)).get(site), tries, kind, kind.worth() == dearest);
+            add(sums.get(phaseNames.floorKey(at)).get(site), attemptsOfRequest, kind, kind.worth() == topWorth);
         });
-        sums.forEach((from, bySite) -> bySite.forEach((site, sum) -> parts.add(new Part(
+        sums.forEach((from, totalsBySite) -> totalsBySite.forEach((site, sum) -> phases.add(new SitePhase(
                 from,
-                phases.get(from),
+                phaseNames.get(from),
                 site,
                 sum.count[0],
                 share(sum.worth[1], sum.worth[0]),
@@ -108,54 +119,58 @@
                 share(sum.count[3], sum.count[2])))));
     }
 
-    private static void add(Sum sum, List<Ask> tries, Kind kind, boolean dearest) {
-        Ask last = tries.get(tries.size() - 1);
-        boolean served =
-                last.status() == 200 && last.answeredAt() - tries.get(0).askedAt() <= (long) (kind.aim() * 1e9);
+    private static void add(PhaseTotals sum, List<Ask> attemptsOfRequest, Kind kind, boolean topClass) {
+        Ask last = attemptsOfRequest.get(attemptsOfRequest.size() - 1);
+        boolean servedInTime = last.status() == 200
+                && last.answeredAt() - attemptsOfRequest.get(0).askedAt() <= (long) (kind.aim() * 1e9);
         sum.count[0]++;
-        sum.count[1] += refused(last) ? 1 : 0;
-        boolean afterRefusal = tries.size() > 1 && refused(tries.get(tries.size() - 2));
-        sum.count[2] += afterRefusal ? 1 : 0;
-        sum.count[3] += afterRefusal && last.status() == 200 ? 1 : 0;
+        sum.count[1] += rejected(last) ? 1 : 0;
+        boolean afterRejection =
+                attemptsOfRequest.size() > 1 && rejected(attemptsOfRequest.get(attemptsOfRequest.size() - 2));
+        sum.count[2] += afterRejection ? 1 : 0;
+        sum.count[3] += afterRejection && last.status() == 200 ? 1 : 0;
         sum.worth[0] += kind.worth();
-        sum.worth[1] += served ? kind.worth() : 0;
-        sum.worth[2] += dearest ? kind.worth() : 0;
-        sum.worth[3] += dearest && served ? kind.worth() : 0;
+        sum.worth[1] += servedInTime ? kind.worth() : 0;
+        sum.worth[2] += topClass ? kind.worth() : 0;
+        sum.worth[3] += topClass && servedInTime ? kind.worth() : 0;
     }
 
-    private static boolean refused(Ask ask) {
-        return ask.status() == 429 || ask.status() == 503;
+    private static boolean rejected(Ask attempt) {
+        return attempt.status() == 429 || attempt.status() == 503;
     }
 
     private static double share(double part, double whole) {
         return whole == 0 ? 1 : part / whole;
     }
 
-    /** What gateways said of their own site, and for how long at a time those of one site differed. */
-    private void look(long began, List<Child.Line> log) {
-        Map<String, String> said = new HashMap<>();
-        Map<String, Long> since = new HashMap<>();
+    /** Collects what gateways logged of their own site, and the longest time that the gateways of a site disagreed. */
+    private void collectSiteViews(long startNanos, List<Child.Line> log) {
+        Map<String, String> latestView = new HashMap<>();
+        Map<String, Long> disagreementStart = new HashMap<>();
         for (Child.Line line : log) {
-            if (line.at() - began > 0 && line.event().equals("own_site")) {
+            if (line.at() - startNanos > 0 && line.event().equals("own_site")) {
                 String site = line.json().path("site").asText();
                 String detail = line.json().path("detail").asText();
-                views.add(
-                        String.format(Locale.ROOT, "%6.2f s  %s: %s", (line.at() - began) / 1e9, line.from(), detail));
-                said.put(line.from(), detail.split(",")[0]);
-                long alike = IntStream.range(0, plan.sites().get(site).gateways())
-                        .mapToObj(number -> said.getOrDefault(site + number, "in"))
+                siteViewLines.add(String.format(
+                        Locale.ROOT, "%6.2f s  %s: %s", (line.at() - startNanos) / 1e9, line.processName(), detail));
+                latestView.put(line.processName(), detail.split(",")[0]);
+                long distinctViews = IntStream.range(0, plan.sites().get(site).gateways())
+                        .mapToObj(number -> latestView.getOrDefault(site + number, "in"))
                         .distinct()
                         .count();
-                if (alike > 1) {
-                    since.putIfAbsent(site, line.at());
-                } else if (since.containsKey(site)) {
-                    spread.merge(site, line.at() - since.remove(site), Math::max);
+                if (distinctViews > 1) {
+                    disagreementStart.putIfAbsent(site, line.at());
+                } else if (disagreementStart.containsKey(site)) {
+                    maxDisagreementNanos.merge(site, line.at() - disagreementStart.remove(site), Math::max);
                 }
             }
         }
     }
 
-    /** What the best plan could serve of a site's worth while these are lost, by the drill's own figures. */
+    /**
+     * The highest share of a site's requested worth that can be served while these sites are lost, from the actual
+     * capacities of the drill.
+     */
     public double bound(Set<String> lost, String site) {
         LossPlan best = LossPlanner.plan(
                 new Topology(
@@ -181,30 +196,30 @@
         return verdict;
     }
 
-    /** All phases, sites within them. */
-    public List<Part> parts() {
-        return parts;
+    /** All phases in order, and for each one all sites. */
+    public List<SitePhase> phases() {
+        return phases;
     }
 
-    /** One site's clients after the step of that name. */
-    public Part part(String step, String site) {
-        String words = plan.steps().stream()
+    /** The first phase after the step of this name, for one site's clients. */
+    public SitePhase phaseAfter(String step, String site) {
+        String stepText = plan.steps().stream()
                 .filter(each -> each.name().equals(step))
                 .findFirst()
                 .orElseThrow()
                 .toString();
-        return parts.stream()
-                .filter(each -> each.after.contains(words) && each.site.equals(site))
+        return phases.stream()
+                .filter(each -> each.after.contains(stepText) && each.site.equals(site))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** The longest at a time that gateways of one site differed in their view of it, in nanoseconds. */
-    public Map<String, Long> spread() {
-        return spread;
+    /** The longest time that the gateways of a site disagreed about its state, in nanoseconds, by site. */
+    public Map<String, Long> maxDisagreementNanos() {
+        return maxDisagreementNanos;
     }
 
-    /** As lines for people. */
+    /** The report as lines of text. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(
@@ -218,18 +233,18 @@
                 "refused",
                 "drawn",
                 "after"));
-        Set<Long> told = new LinkedHashSet<>();
-        parts.forEach(each -> lines.add(String.format(
+        Set<Long> printedPhases = new LinkedHashSet<>();
+        phases.forEach(each -> lines.add(String.format(
                 Locale.ROOT,
                 "%8.1f  %-14s %7d %7.3f %8.3f %8.3f %8.3f  %s",
-                each.from / 1e9,
+                each.fromNanos / 1e9,
                 each.site,
-                each.asked,
-                each.worth,
-                each.dearest,
-                each.refused,
-                each.drawnAgain,
-                told.add(each.from) ? each.after : "")));
+                each.requests,
+                each.servedWorth,
+                each.servedTopWorth,
+                each.rejected,
+                each.servedAfterRejection,
+                printedPhases.add(each.fromNanos) ? each.after : "")));
         plan.sites()
                 .keySet()
                 .forEach(site -> lines.add(String.format(
@@ -237,8 +252,8 @@
                         "were %s lost, its clients could get at most %.3f of their worth",
                         site,
                         bound(Set.of(site), site))));
-        lines.addAll(views);
-        spread.forEach((site, nanos) -> lines.add(
+        lines.addAll(siteViewLines);
+        maxDisagreementNanos.forEach((site, nanos) -> lines.add(
                 String.format(Locale.ROOT, "gateways of %s differed for up to %d ms", site, nanos / 1_000_000)));
         lines.add(String.format(
                 Locale.ROOT,
--- a/src/main/java/pondridge/demo/LoopGateway.java
+++ b/src/main/java/pondridge/demo/InProcessGateway.java
@@ -21,25 +21,31 @@
 import pondridge.gateway.GatewaySettings;
 import pondridge.http1.Upstreams;
 
-/** A gateway in this process, on a loop of its own. */
-final class LoopGateway implements GatewayHost {
-    private static final int MOST = 4096;
-    private static final long LIMIT_S = 30;
+/** A gateway in this process, on its own event loop. */
+final class InProcessGateway implements GatewayHandle {
+    private static final int MAX_CONNECTIONS = 4096;
+    private static final long START_TIMEOUT_S = 30;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
     private final Gateway gateway;
-    private final Gateway.Doors doors;
-    private boolean dead;
+    private final Gateway.Doors addresses;
+    private boolean stopped;
 
-    LoopGateway(GatewaySettings settings, Options options, List<Target> known, long seed, LongSupplier clock)
+    InProcessGateway(GatewaySettings settings, Options options, List<Target> targets, long seed, LongSupplier clock)
             throws IOException {
         this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         this.loop = group.next();
         try {
-            gateway = loop.submit(() ->
-                            new Gateway(loop, options, settings, new Upstreams(loop, options, MOST), seed, MOST, clock))
+            gateway = loop.submit(() -> new Gateway(
+                            loop,
+                            options,
+                            settings,
+                            new Upstreams(loop, options, MAX_CONNECTIONS),
+                            seed,
+                            MAX_CONNECTIONS,
+                            clock))
                     .get();
-            doors = loop.submit(() -> gateway.start(
+            addresses = loop.submit(() -> gateway.start(
                             new Directory() {
                                 @Override
                                 public void watch(boolean on) {}
@@ -47,58 +53,58 @@
                                 @Override
                                 public void fetch() {}
                             },
-                            known,
+                            targets,
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)))
                     .get()
-                    .get(LIMIT_S, TimeUnit.SECONDS);
+                    .get(START_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException | InterruptedException e) {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             throw new IOException("gateway of " + settings.site() + ": " + e.getMessage(), e);
         }
     }
 
-    private <T> T on(Callable<T> call) {
+    private <T> T callOnLoop(Callable<T> call) {
         return loop.submit(call).syncUninterruptibly().getNow();
     }
 
     @Override
-    public Gateway.Doors doors() {
-        return doors;
+    public Gateway.Doors addresses() {
+        return addresses;
     }
 
     @Override
-    public void listed(ListKind kind, List<Target> targets) {
-        on(() -> {
+    public void updateTargets(ListKind kind, List<Target> targets) {
+        callOnLoop(() -> {
             gateway.listed(kind, targets);
             return null;
         });
     }
 
     @Override
-    public long count(String of) {
-        return dead ? 0 : on(() -> gateway.counts().getOrDefault(of, 0L));
+    public long count(String counter) {
+        return stopped ? 0 : callOnLoop(() -> gateway.counts().getOrDefault(counter, 0L));
     }
 
     @Override
     public boolean idle() {
-        return dead || on(gateway::idle);
+        return stopped || callOnLoop(gateway::idle);
     }
 
     @Override
     public double cpuNanos() {
-        return on(() -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime());
+        return callOnLoop(() -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime());
     }
 
     @Override
     public void kill() {
         loop.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
-        dead = true;
+        stopped = true;
     }
 
     @Override
     public void close() {
-        if (!dead) {
-            on(() -> {
+        if (!stopped) {
+            callOnLoop(() -> {
                 gateway.close();
                 return null;
             });
--- a/src/main/java/pondridge/demo/ProcessGateway.java
+++ b/src/main/java/pondridge/demo/ProcessGateway.java
@@ -22,24 +22,24 @@
 import pondridge.standin.DiscoveryStandin;
 
 /**
- * A gateway as a process of the shipped program, with an agent of discovery of its own. It draws its ports
- * itself and says in its log which.
+ * A gateway that runs as a process of the packaged jar, with its own discovery agent. It binds ephemeral ports
+ * and logs their numbers.
  */
-final class ProcessGateway implements GatewayHost {
-    private static final Pattern DOORS = Pattern.compile("clients at \\S*?:(\\d+), sites at \\S*?:(\\d+)");
-    private static final int SOCKETS = 4096;
+final class ProcessGateway implements GatewayHandle {
+    private static final Pattern LISTEN_ADDRESSES = Pattern.compile("clients at \\S*?:(\\d+), sites at \\S*?:(\\d+)");
+    private static final int MAX_SOCKETS = 4096;
     private final Child child;
-    private final DiscoveryStandin agent;
-    private final Gateway.Doors doors;
-    private volatile long listLate;
-    private boolean dead;
+    private final DiscoveryStandin discoveryAgent;
+    private final Gateway.Doors addresses;
+    private volatile long updateDelayNanos;
+    private boolean killed;
 
     /**
      * Starts one and waits until it listens.
      *
-     * @param folder where its files go
-     * @param toml its settings but for the platform's file, which is named {@code name.json}
-     * @param listener told of each line of its log
+     * @param folder for its settings files
+     * @param toml its settings; they name the platform's file {@code name.json}, which is written here
+     * @param listener receives each line of its log
      */
     ProcessGateway(
             String name,
@@ -47,22 +47,22 @@
             EventLoop loop,
             String toml,
             Options options,
-            List<Target> known,
+            List<Target> targets,
             long seed,
             Consumer<Child.Line> listener)
             throws IOException {
-        this.agent =
-                new DiscoveryStandin(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), entries(known));
+        this.discoveryAgent = new DiscoveryStandin(
+                loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), entries(targets));
         ObjectNode platform = Json.MAPPER
                 .createObjectNode()
                 .put("name", name)
                 .put("listen", "127.0.0.1:0")
-                .put("discovery", "127.0.0.1:" + agent.address().getPort())
+                .put("discovery", "127.0.0.1:" + discoveryAgent.address().getPort())
                 .put("seed", Long.toHexString(seed));
         StringJoiner lines = new StringJoiner(",", "{\"rev\":1,\"all\":true,\"targets\":[", "]}");
-        entries(known).forEach(each -> lines.add(each.json()));
+        entries(targets).forEach(each -> lines.add(each.json()));
         platform.set("known", Json.MAPPER.readTree(lines.toString()));
-        platform.putObject("limits").put("sockets", SOCKETS);
+        platform.putObject("limits").put("sockets", MAX_SOCKETS);
         ObjectNode settings = platform.putObject("settings");
         options.with("discovery=subscribe").lines().forEach(settings::put);
         Files.writeString(folder.resolve(name + ".json"), platform.toString());
@@ -73,15 +73,16 @@
                 List.of("gateway", "--with-parent", "--config", file.toString()),
                 Map.of(),
                 listener);
-        Matcher told = DOORS.matcher(child.await(line -> line.event().equals("started"))
-                .json()
-                .path("detail")
-                .asText());
-        if (!told.find()) {
+        Matcher addressMatcher =
+                LISTEN_ADDRESSES.matcher(child.await(line -> line.event().equals("started"))
+                        .json()
+                        .path("detail")
+                        .asText());
+        if (!addressMatcher.find()) {
             child.kill();
-            throw new IOException(name + " doesn't say where it listens");
+            throw new IOException(name + ": no listen addresses in its \"started\" log line");
         }
-        this.doors = new Gateway.Doors(local(told.group(1)), local(told.group(2)));
+        this.addresses = new Gateway.Doors(local(addressMatcher.group(1)), local(addressMatcher.group(2)));
     }
 
     private static InetSocketAddress local(String port) {
@@ -105,23 +106,23 @@
         return child;
     }
 
-    /** From now on what the list says comes so much later, in nanoseconds. */
-    void listLate(long nanos) {
-        listLate = nanos;
+    /** Delays later updates of the endpoint list by this time. */
+    void delayUpdates(long nanos) {
+        updateDelayNanos = nanos;
     }
 
     @Override
-    public Gateway.Doors doors() {
-        return doors;
+    public Gateway.Doors addresses() {
+        return addresses;
     }
 
     @Override
-    public void listed(ListKind kind, List<Target> targets) {
-        agent.change(entries(targets), listLate);
+    public void updateTargets(ListKind kind, List<Target> targets) {
+        discoveryAgent.change(entries(targets), updateDelayNanos);
     }
 
     @Override
-    public long count(String of) {
+    public long count(String counter) {
         return 0;
     }
 
@@ -138,14 +139,14 @@
     @Override
     public void kill() {
         child.kill();
-        dead = true;
+        killed = true;
     }
 
     @Override
     public void close() {
-        if (!dead) {
+        if (!killed) {
             child.close();
         }
-        agent.close();
+        discoveryAgent.close();
     }
 }
--- a/src/main/java/pondridge/demo/Sites.java
+++ b/src/main/java/pondridge/demo/Sites.java
@@ -30,62 +30,68 @@
 import pondridge.standin.StandinServer;
 
 /**
- * Sites in this process, on loopback: each has stand-in servers behind a wire of its own and gateways; a
- * faulty link leads to each gateway from the other sites. One ledger over all of it. Its methods may be
- * called on any thread but its own.
+ * A test bed of sites on loopback. Each site has gateways and stand-in servers; each server is reached
+ * through its own {@link FaultyLink}, and each gateway through one such link from every other site. One
+ * ledger records all requests and effects. Methods must not be called on the event loops of the test bed.
  */
 public final class Sites implements AutoCloseable {
     private static final long MS = 1_000_000;
 
     /**
-     * One site of what is built.
+     * The configuration of one site.
      *
-     * @param threads of each server, with a queue of eight times as many; 0 for any number at a time
-     * @param settings TOML lines for its gateways, without sections of sites
+     * @param threads worker threads of each server, with a queue eight times as long; 0 for no limit
+     * @param settings TOML lines for its gateways, without the sections of other sites
      */
-    public record Place(String name, int servers, int gateways, int threads, String settings) {}
+    public record SiteConfig(String name, int servers, int gateways, int threads, String settings) {}
 
     /**
-     * What is built.
+     * The configuration of the whole test bed.
      *
-     * @param work mean time of a request's work in nanoseconds
-     * @param delay of a link in one direction, in nanoseconds
-     * @param jitter up to how much is added to that
+     * @param workNanos mean processing time of a request
+     * @param delayNanos one-way delay of a link between sites
+     * @param jitterNanos upper bound of the random addition to that delay
      */
-    public record Shape(List<Place> places, long work, long delay, long jitter) {
-        /** Sites that are all alike. */
+    public record Shape(List<SiteConfig> sites, long workNanos, long delayNanos, long jitterNanos) {
+        /** Identical sites with these names. */
         public Shape(
-                List<String> names, int servers, int gateways, long work, long delay, long jitter, String settings) {
+                List<String> names,
+                int servers,
+                int gateways,
+                long workNanos,
+                long delayNanos,
+                long jitterNanos,
+                String settings) {
             this(
                     names.stream()
-                            .map(name -> new Place(name, servers, gateways, 0, settings))
+                            .map(name -> new SiteConfig(name, servers, gateways, 0, settings))
                             .toList(),
-                    work,
-                    delay,
-                    jitter);
+                    workNanos,
+                    delayNanos,
+                    jitterNanos);
         }
     }
 
-    /** Starts gateways, in whichever way. */
-    interface Hosting {
-        /** One gateway, listening. */
-        GatewayHost start(String name, String toml, List<Target> known, long seed) throws IOException;
+    /** Starts gateways, in this process or as processes of their own. */
+    interface GatewayLauncher {
+        /** Starts one gateway and waits until it listens. */
+        GatewayHandle launch(String name, String toml, List<Target> targets, long seed) throws IOException;
     }
 
-    /** One site. */
+    /** A running site. */
     public final class Site {
-        private final Place place;
+        private final SiteConfig config;
         private final String name;
         private final String security;
         private final List<StandinServer> servers = new ArrayList<>();
-        private final List<FaultyLink> wires = new ArrayList<>();
+        private final List<FaultyLink> serverLinks = new ArrayList<>();
         private final Map<String, List<FaultyLink>> links = new LinkedHashMap<>();
-        private final List<GatewayHost> gateways = new ArrayList<>();
-        private final List<InetSocketAddress> doors = new CopyOnWriteArrayList<>();
+        private final List<GatewayHandle> gateways = new ArrayList<>();
+        private final List<InetSocketAddress> clientAddresses = new CopyOnWriteArrayList<>();
 
-        private Site(Place place, String security) {
-            this.place = place;
-            this.name = place.name;
+        private Site(SiteConfig config, String security) {
+            this.config = config;
+            this.name = config.name;
             this.security = security;
         }
 
@@ -93,11 +99,11 @@
             return name;
         }
 
-        List<GatewayHost> gateways() {
+        List<GatewayHandle> gateways() {
             return gateways;
         }
 
-        /** The links that lead here from one other site, one to each gateway. */
+        /** The links from one other site to this one, one for each gateway here. */
         public List<FaultyLink> linksFrom(String other) {
             return links.get(other);
         }
@@ -106,127 +112,128 @@
             return servers;
         }
 
-        /** The links that lead here from other sites, one from each to each gateway. */
+        /** The links from all other sites to this one, one for each pair of site and gateway here. */
         public List<FaultyLink> links() {
             return links.values().stream().flatMap(List::stream).toList();
         }
 
-        /** Where clients connect. */
-        public List<InetSocketAddress> doors() {
-            return doors;
+        /** The addresses of the gateways' client listeners, by gateway number. */
+        public List<InetSocketAddress> clientAddresses() {
+            return clientAddresses;
         }
 
-        /** Cuts the servers off: what is out to them is reset and nothing new is taken; or heals that. */
+        /** Cuts the servers off (open connections are reset, new ones refused) or makes them reachable again. */
         public void cut(boolean on) {
-            cut(on, wires.size());
+            cut(on, serverLinks.size());
         }
 
-        /** The same for some of them, the first ones. */
+        /** Like {@link #cut(boolean)}, for only the first servers. */
         public void cut(boolean on, int first) {
-            for (FaultyLink wire : wires.subList(0, first)) {
-                wire.refuse(on);
+            for (FaultyLink serverLink : serverLinks.subList(0, first)) {
+                serverLink.refuse(on);
                 if (on) {
-                    wire.reset();
+                    serverLink.reset();
                 }
             }
         }
 
-        /** Stalls the wires to the servers: open, and silent; or heals that. */
+        /** Stalls the links to the servers (connections stay open, no bytes pass) or lets them pass bytes again. */
         public void stall(boolean on) {
-            wires.forEach(wire -> wire.set(FaultyLink.Condition.delayed(0, 0).stalled(on)));
+            serverLinks.forEach(serverLink ->
+                    serverLink.set(FaultyLink.Condition.delayed(0, 0).stalled(on)));
         }
 
-        /** Tells the gateways what the list now says of all servers. */
+        /** Publishes this state of all servers to the gateways. */
         public void list(State state) {
-            tell(targets(state));
+            publish(targets(state));
         }
 
         /**
-         * Tells the gateways that a server has just started, by a list whose clock is off.
+         * Publishes to the gateways that a server has just started, as discovery with a wrong clock would.
          *
-         * @param offMs how far ahead of this machine's clock the list's is
+         * @param clockOffsetMs how far the clock of discovery is ahead of this machine's
          */
-        public void restarted(int number, long offMs) {
-            long told = System.currentTimeMillis() + offMs;
-            Target was = targets(State.READY).get(number);
-            Target target = new Target(was.uid(), was.endpoint(), name, "m", 0, State.READY, 1, told);
-            tell(List.of(target));
+        public void restarted(int number, long clockOffsetMs) {
+            long startedMs = System.currentTimeMillis() + clockOffsetMs;
+            Target current = targets(State.READY).get(number);
+            Target target = new Target(current.uid(), current.endpoint(), name, "m", 0, State.READY, 1, startedMs);
+            publish(List.of(target));
         }
 
-        /** Tells the gateways that the first servers have just started, at this Unix time in milliseconds. */
-        void startedAnew(int first, long toldMs) {
-            tell(targets(State.READY).stream()
+        /** Publishes to the gateways that the first servers started at this Unix time in milliseconds. */
+        void announceRestart(int first, long startedMs) {
+            publish(targets(State.READY).stream()
                     .limit(first)
-                    .map(each -> new Target(each.uid(), each.endpoint(), name, "m", 0, State.READY, 1, toldMs))
+                    .map(each -> new Target(each.uid(), each.endpoint(), name, "m", 0, State.READY, 1, startedMs))
                     .toList());
         }
 
-        private void tell(List<Target> targets) {
-            gateways.forEach(each -> each.listed(ListKind.DELTA, targets));
+        private void publish(List<Target> targets) {
+            gateways.forEach(each -> each.updateTargets(ListKind.DELTA, targets));
         }
 
         private List<Target> targets(State state) {
             List<Target> targets = new ArrayList<>();
             for (int i = 0; i < servers.size(); i++) {
-                targets.add(new Target(servers.get(i).name(), wires.get(i).address(), name, "m", 0, state, 1, 0));
+                targets.add(new Target(servers.get(i).name(), serverLinks.get(i).address(), name, "m", 0, state, 1, 0));
             }
             return targets;
         }
 
-        /** Ends a gateway as a process is killed: all its connections end, and what it knew is gone. */
+        /** Ends a gateway as if its process were killed: its connections break and its state is lost. */
         public void kill(int number) {
-            known.killed(doors.get(number));
+            endpointStatus.killed(clientAddresses.get(number));
             gateways.get(number).kill();
         }
 
-        /** A gateway is about to stand still for so long, in nanoseconds. */
-        void stops(int number, long length) {
-            known.stops(doors.get(number), length);
+        /** Records that a gateway is about to be paused, so that its clients' deadlines allow for it. */
+        void recordPause(int number, long lengthNanos) {
+            endpointStatus.stops(clientAddresses.get(number), lengthNanos);
         }
 
-        /** Starts a new gateway in a killed one's place, for other sites; its clients' door is a new one. */
+        /** Starts a new gateway in place of a killed one: other sites keep its link, clients get a new address. */
         public void restart(int number) throws IOException {
             start(this, number);
         }
 
-        /** What the processor has spent on its gateways, in nanoseconds. */
+        /** CPU time used by its gateways so far, in nanoseconds. */
         public double cpuNanos() {
-            return gateways.stream().mapToDouble(GatewayHost::cpuNanos).sum();
+            return gateways.stream().mapToDouble(GatewayHandle::cpuNanos).sum();
         }
 
-        /** A count of all its gateways together, by its name in {@link pondridge.gateway.Gateway#counts}. */
-        public long count(String of) {
-            return gateways.stream().mapToLong(each -> each.count(of)).sum();
+        /** The sum over its gateways of a counter, by its name in {@link pondridge.gateway.Gateway#counts}. */
+        public long count(String counter) {
+            return gateways.stream().mapToLong(each -> each.count(counter)).sum();
         }
 
         private boolean idle() {
-            return gateways.stream().allMatch(GatewayHost::idle);
+            return gateways.stream().allMatch(GatewayHandle::idle);
         }
     }
 
     private final Shape shape;
-    private final Hosting hosting;
+    private final GatewayLauncher launcher;
     private final long seed;
     private final MultiThreadIoEventLoopGroup group;
-    private final EventLoop serving;
-    private final EventLoop linking;
-    private final EventLoop asking;
+    private final EventLoop serverLoop;
+    private final EventLoop linkLoop;
+    private final EventLoop clientLoop;
     private final EffectLedger ledger;
-    private final KeyMemory memory = new KeyMemory();
+    private final KeyMemory keyMemory = new KeyMemory();
     private final Map<String, Site> sites = new LinkedHashMap<>();
-    private final Doors known = new Doors();
+    private final Doors endpointStatus = new Doors();
 
     /**
-     * Builds and starts it all.
+     * Builds and starts all sites.
      *
-     * @param seed of jitter, work and the gateways' choices
-     * @param security a site's lines under {@code [link]}
+     * @param seed for link jitter, processing times and the gateways' random choices
+     * @param security returns the security settings under {@code [link]} for a site's name
      */
     public Sites(Shape shape, Options options, long seed, Function<String, String> security) throws IOException {
         this(shape, options, seed, security, site -> System::nanoTime);
     }
 
-    /** The same; {@code clocks} gives the clock of a site's gateways. */
+    /** Also takes {@code clocks}, which returns the clock of a site's gateways. */
     public Sites(
             Shape shape,
             Options options,
@@ -234,32 +241,32 @@
             Function<String, String> security,
             Function<String, LongSupplier> clocks)
             throws IOException {
-        this(shape, options, seed, security, (name, toml, known, itsSeed) -> {
+        this(shape, options, seed, security, (name, toml, targets, gatewaySeed) -> {
             SettingsFile file = SettingsFile.parse(name, toml);
             GatewaySettings settings = GatewaySettings.of(file, Path.of("."));
             file.finish();
-            return new LoopGateway(settings, options, known, itsSeed, clocks.apply(settings.site()));
+            return new InProcessGateway(settings, options, targets, gatewaySeed, clocks.apply(settings.site()));
         });
     }
 
-    /** The same; its gateways are started by {@code hosting}. */
-    Sites(Shape shape, Options options, long seed, Function<String, String> security, Hosting hosting)
+    /** Also takes {@code launcher}, which starts the gateways. */
+    Sites(Shape shape, Options options, long seed, Function<String, String> security, GatewayLauncher launcher)
             throws IOException {
         this.shape = shape;
-        this.hosting = hosting;
+        this.launcher = launcher;
         this.seed = seed;
         this.ledger = new EffectLedger(500 * MS, (long) options.number("rules.stopSendingWithin", 2e9));
         this.group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
-        this.serving = group.next();
-        this.linking = group.next();
-        this.asking = group.next();
+        this.serverLoop = group.next();
+        this.linkLoop = group.next();
+        this.clientLoop = group.next();
         try {
-            shape.places.forEach(place -> sites.put(place.name, new Site(place, security.apply(place.name))));
+            shape.sites.forEach(config -> sites.put(config.name, new Site(config, security.apply(config.name))));
             for (Site site : sites.values()) {
                 build(site);
             }
             for (Site site : sites.values()) {
-                for (int i = 0; i < site.place.gateways; i++) {
+                for (int i = 0; i < site.config.gateways; i++) {
                     start(site, i);
                 }
             }
@@ -270,29 +277,29 @@
     }
 
     private void build(Site site) {
-        for (int i = 0; i < site.place.servers; i++) {
+        for (int i = 0; i < site.config.servers; i++) {
             StandinServer server = new StandinServer(
-                    serving,
+                    serverLoop,
                     local(),
                     StandinServer.Setup.of(
                             site.name + "-s" + i,
                             site.name,
                             StandinServer.Protocol.HTTP1,
-                            new FaultScript(seed + i, Map.of(), shape.work, 9 * shape.work),
+                            new FaultScript(seed + i, Map.of(), shape.workNanos, 9 * shape.workNanos),
                             ledger,
-                            memory));
-            if (site.place.threads > 0) {
-                server.threads(site.place.threads, 8 * site.place.threads);
+                            keyMemory));
+            if (site.config.threads > 0) {
+                server.threads(site.config.threads, 8 * site.config.threads);
             }
             site.servers.add(server);
-            site.wires.add(new FaultyLink(linking, local(), server.address(), seed + i));
+            site.serverLinks.add(new FaultyLink(linkLoop, local(), server.address(), seed + i));
         }
         for (Site other : sites.values()) {
             if (other != site) {
                 List<FaultyLink> links = new ArrayList<>();
-                for (int i = 0; i < site.place.gateways; i++) {
-                    FaultyLink link = new FaultyLink(linking, local(), local(), seed + 100 + i);
-                    link.set(FaultyLink.Condition.delayed(shape.delay, shape.jitter));
+                for (int i = 0; i < site.config.gateways; i++) {
+                    FaultyLink link = new FaultyLink(linkLoop, local(), local(), seed + 100 + i);
+                    link.set(FaultyLink.Condition.delayed(shape.delayNanos, shape.jitterNanos));
                     links.add(link);
                 }
                 site.links.put(other.name, links);
@@ -304,7 +311,7 @@
         String name = site.name + number;
         StringBuilder text = new StringBuilder("[gateway]\nsite = \"" + site.name
                 + "\"\nplatform = \"" + name + ".json\"\n[link]\nlisten = \"127.0.0.1:0\"\n" + site.security
-                + site.place.settings);
+                + site.config.settings);
         for (Site other : sites.values()) {
             if (other != site) {
                 text.append("\n[sites.").append(other.name).append("]\ngateways = [");
@@ -314,15 +321,15 @@
                 text.append("]\n");
             }
         }
-        GatewayHost made = hosting.start(name, text.toString(), site.targets(State.READY), seed + number);
+        GatewayHandle gateway = launcher.launch(name, text.toString(), site.targets(State.READY), seed + number);
         site.links.values().forEach(links -> links.get(number)
-                .target(made.doors().sites()));
+                .target(gateway.addresses().sites()));
         if (number < site.gateways.size()) {
-            site.gateways.set(number, made);
-            site.doors.set(number, made.doors().clients());
+            site.gateways.set(number, gateway);
+            site.clientAddresses.set(number, gateway.addresses().clients());
         } else {
-            site.gateways.add(made);
-            site.doors.add(made.doors().clients());
+            site.gateways.add(gateway);
+            site.clientAddresses.add(gateway.addresses().clients());
         }
     }
 
@@ -330,7 +337,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** A site by its name. */
+    /** Returns a site by its name. */
     public Site site(String name) {
         return sites.get(name);
     }
@@ -339,24 +346,25 @@
         return ledger;
     }
 
-    /** Load on a site's gateways, not yet begun. */
+    /** Creates a load generator for a site's gateways; it is not started yet. */
     public OpenLoad load(String site, long seed) {
-        return new OpenLoad(asking, site(site).doors, ledger, seed, site + seed);
+        return new OpenLoad(clientLoop, site(site).clientAddresses, ledger, seed, site + seed);
     }
 
     /**
-     * The same by clients that ask again: at another of the site's gateways where theirs was killed, and so
-     * many times after a refusal.
+     * Like {@link #load}, with clients that retry: at another gateway of the site if theirs was killed, and up
+     * to {@code retries} times after a rejection.
      */
-    OpenLoad persistent(String site, long seed, int retries) {
-        return new OpenLoad(asking, site(site).doors, ledger, seed, site + '-' + seed, known, retries);
+    OpenLoad loadWithRetries(String site, long seed, int retries) {
+        return new OpenLoad(
+                clientLoop, site(site).clientAddresses, ledger, seed, site + '-' + seed, endpointStatus, retries);
     }
 
-    /** Waits until no gateway has anything open; false if that takes too long. */
+    /** Waits until no gateway has an open request; returns false after the limit. */
     public boolean quiet(long limitMs) throws InterruptedException {
-        long until = System.nanoTime() + limitMs * MS;
+        long deadline = System.nanoTime() + limitMs * MS;
         while (!sites.values().stream().allMatch(Site::idle)) {
-            if (System.nanoTime() - until > 0) {
+            if (System.nanoTime() - deadline > 0) {
                 return false;
             }
             Thread.sleep(5);
@@ -367,9 +375,9 @@
     @Override
     public void close() {
         for (Site site : sites.values()) {
-            site.gateways.parallelStream().forEach(GatewayHost::close);
+            site.gateways.parallelStream().forEach(GatewayHandle::close);
             site.servers.forEach(StandinServer::close);
-            site.wires.forEach(FaultyLink::close);
+            site.serverLinks.forEach(FaultyLink::close);
             site.links().forEach(FaultyLink::close);
         }
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/main/java/pondridge/demo/Usual.java
+++ b/src/main/java/pondridge/demo/Usual.java
@@ -2,19 +2,19 @@
 
 import pondridge.Options;
 
-/** What a site's gateways are usually told by the platform, with the classes of the stand-in servers. */
+/** Default platform options for tests and demos, with the request classes of the stand-in servers. */
 public final class Usual {
     private static final long MS = 1_000_000;
 
     private Usual() {}
 
     /**
-     * Settings with the usual classes and zones.
+     * Options with the default classes and zones.
      *
-     * @param deadlineMs of each class
-     * @param more lines that are added
+     * @param deadlineMs deadline and latency objective of each class
+     * @param overrides lines that are appended
      */
-    public static Options options(long deadlineMs, String... more) {
+    public static Options options(long deadlineMs, String... overrides) {
         long deadline = deadlineMs * MS;
         StringBuilder text = new StringBuilder(
                 """
@@ -65,7 +65,7 @@
                     .append(deadline)
                     .append('\n');
         }
-        for (String line : more) {
+        for (String line : overrides) {
             text.append(line).append('\n');
         }
         return new Options(text.toString());
--- a/src/main/java/pondridge/demo/package-info.java
+++ b/src/main/java/pondridge/demo/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Sites of stand-in servers with gateways and links between them, on loopback: for the demo and for tests.
+ * Test bed of sites on loopback, for the demo, drills and tests: stand-in servers, gateways and the links
+ * between sites.
  */
 package pondridge.demo;
--- a/src/test/java/pondridge/demo/DrillIT.java
+++ b/src/test/java/pondridge/demo/DrillIT.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Sites whose gateways are processes of the packaged jar, with faults between them; the ledger judges. */
+/** Drills with gateways as processes of the packaged jar; the ledger must find no broken rule. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DrillIT {
-    private static final long LIMIT_S = 60;
+    private static final long EXIT_TIMEOUT_S = 60;
 
     @TempDir
     private Path folder;
 
-    /** Little enough for one core that six cold processes share, and patience enough. */
-    private static final String LIGHT =
+    /** Low rates and a long client timeout, because six freshly started processes share one core. */
+    private static final String LIGHT_LOAD =
             """
             wait = "8s"
             [site_plan.sites.ebene]
@@ -33,25 +33,25 @@
             asked = { stock-check = 6, stock-hold = 4, order-confirm = 4 }
             """;
 
-    private DrillReport play(String text) throws Exception {
+    private DrillReport runDrill(String text) throws Exception {
         Path file = Files.writeString(
                 folder.resolve("drill.toml"),
                 "[drill]\nbase = \"" + Path.of("drills", "site-loss.toml").toAbsolutePath() + "\"\n" + text);
         try (Drill drill = new Drill(DrillPlan.read(file), System.out::println)) {
-            DrillReport report = drill.play();
+            DrillReport report = drill.run();
             report.lines().forEach(System.out::println);
             assertTrue(report.verdict().clean(), () -> report.verdict().toString());
             return report;
         }
     }
 
-    /** A gateway of the lost site is killed, one elsewhere stands still; a new one starts in mid-loss. */
+    /** While a site is cut off, one of its gateways is killed and restarted and one of another site is paused. */
     @Test
-    void gatewaysComeAndGoWhileASiteIsLost() throws Exception {
-        DrillReport report = play(
+    void servesALostSiteWhileGatewaysRestart() throws Exception {
+        DrillReport report = runDrill(
                 """
                 length = "9s"
-                """ + LIGHT
+                """ + LIGHT_LOAD
                         + """
                 [steps]
                 loss = { at = "1s", do = "cut", site = "ebene" }
@@ -60,33 +60,33 @@
                 start = { at = "4s", do = "start", site = "ebene", gateway = 0 }
                 return = { at = "6s", do = "cold", site = "ebene" }
                 """);
-        assertTrue(report.part("loss", "ebene").worth() > 0.5, "it is served elsewhere");
-        assertTrue(report.part("return", "ebene").worth() > 0.5, "and at home again");
+        assertTrue(report.phaseAfter("loss", "ebene").servedWorth() > 0.5, "served by the other sites during the loss");
+        assertTrue(report.phaseAfter("return", "ebene").servedWorth() > 0.5, "served after the loss");
     }
 
-    /** Whoever started processes is killed, one of them standing still: none of them stays behind. */
+    /** The drill is killed while one of its gateway processes is paused: all of them must still exit. */
     @Test
-    void nothingOutlivesWhoStartedIt() throws Exception {
+    void gatewayProcessesExitWhenTheDrillIsKilled() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("drill.toml"),
                 "[drill]\nbase = \""
                         + Path.of("drills", "site-loss.toml").toAbsolutePath()
                         + "\"\nlength = \"60s\"\nwarm_up = \"0ms\"\n[steps]\n"
                         + "stop = { at = \"0ms\", do = \"stop\", site = \"ebene\", gateway = 0, for = \"3s\" }\n");
-        Process bed = new ProcessBuilder("bin/bankflow", "drill", file.toString()).start();
+        Process drillProcess = new ProcessBuilder("bin/bankflow", "drill", file.toString()).start();
         List<ProcessHandle> children = new ArrayList<>();
-        try (BufferedReader out = bed.inputReader()) {
+        try (BufferedReader out = drillProcess.inputReader()) {
             String line = out.readLine();
             while (line != null && !line.contains("stop")) {
                 line = out.readLine();
             }
-            bed.descendants().forEach(children::add);
+            drillProcess.descendants().forEach(children::add);
             assertTrue(children.size() >= 6, children::toString);
         } finally {
-            bed.destroyForcibly();
+            drillProcess.destroyForcibly();
         }
         for (ProcessHandle child : children) {
-            child.onExit().get(LIMIT_S, TimeUnit.SECONDS);
+            child.onExit().get(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
         }
         assertEquals(0, children.stream().filter(ProcessHandle::isAlive).count());
     }
--- a/src/test/java/pondridge/demo/DrillPlanTest.java
+++ b/src/test/java/pondridge/demo/DrillPlanTest.java
@@ -16,29 +16,29 @@
 import pondridge.settings.SettingsFile;
 import pondridge.siteloss.SitePlanSettings;
 
-/** What a drill's file says, and what is said of a bad one. */
+/** Reading of drill files, and the errors for invalid ones. */
 class DrillPlanTest {
     @TempDir
     private Path folder;
 
     @Test
-    void allThatAreShippedCanBeRead() throws IOException {
+    void readsAllShippedDrills() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("drills"))) {
             List<DrillPlan> plans = files.map(DrillPlan::read).toList();
             assertTrue(plans.size() > 5);
             plans.forEach(plan -> {
                 assertEquals(3, plan.sites().size());
-                assertTrue(plan.steps().size() > 1 && plan.steps().get(0).at() < plan.length());
+                assertTrue(plan.steps().size() > 1 && plan.steps().get(0).atNanos() < plan.lengthNanos());
                 String text = SitePlanSettings.text(plan.topology());
-                SettingsFile file = SettingsFile.parse("told", text);
-                assertEquals(plan.topology(), SitePlanSettings.of(file), "what gateways are told: " + text);
+                SettingsFile file = SettingsFile.parse("gateway", text);
+                assertEquals(plan.topology(), SitePlanSettings.of(file), "the topology as gateways read it: " + text);
                 file.finish();
             });
         }
     }
 
     @Test
-    void mistakesAreNamed() throws IOException {
+    void errorsNameTheKey() throws IOException {
         String base = "[drill]\nbase = \"" + Path.of("drills", "site-loss.toml").toAbsolutePath() + "\"\n";
         for (Map.Entry<String, String> each : Map.of(
                         "[steps]\na = { at = \"1s\", do = \"burn\", site = \"ebene\" }",
@@ -59,10 +59,10 @@
                         "speed")
                 .entrySet()) {
             Path file = Files.writeString(folder.resolve("drill.toml"), base + each.getKey());
-            SettingsException told = assertThrows(SettingsException.class, () -> DrillPlan.read(file));
-            assertTrue(told.getMessage().contains(each.getValue()), told::getMessage);
+            SettingsException error = assertThrows(SettingsException.class, () -> DrillPlan.read(file));
+            assertTrue(error.getMessage().contains(each.getValue()), error::getMessage);
         }
-        Path circle = Files.writeString(folder.resolve("circle.toml"), "[drill]\nbase = \"circle.toml\"\n");
-        assertThrows(SettingsException.class, () -> DrillPlan.read(circle));
+        Path cyclic = Files.writeString(folder.resolve("cyclic.toml"), "[drill]\nbase = \"cyclic.toml\"\n");
+        assertThrows(SettingsException.class, () -> DrillPlan.read(cyclic));
     }
 }
