--- a/src/main/java/pondridge/cli/Bankflow.java
+++ b/src/main/java/pondridge/cli/Bankflow.java
@@ -4,40 +4,40 @@
 import picocli.CommandLine.Command;
 import pondridge.settings.SettingsException;
 
-/** The command {@code bankflow}. Exit status: 0 done, 1 failed, 2 a mistake in arguments or settings. */
+/** The command {@code bankflow}. Exit status: 0 success, 1 failure, 2 invalid arguments or settings. */
 @Command(
         name = "bankflow",
         mixinStandardHelpOptions = true,
         version = "bankflow 0.1",
-        description = "A gateway for requests that must not happen twice.",
+        description = "Runs and checks gateways for requests that must not be executed twice.",
         subcommands = {
-            Check.class,
+            CheckCommand.class,
             ControlCommand.class,
-            Demo.class,
+            DemoCommand.class,
             DrillCommand.class,
             GatewayCommand.class,
-            Plan.class,
+            PlanCommand.class,
             ScaleCommand.class,
-            Standin.class
+            StandinCommand.class
         })
 public final class Bankflow {
     private Bankflow() {}
 
-    /** Runs one command. */
+    /** Runs a command and exits with its status. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
     static int run(String... args) {
-        CommandLine line = new CommandLine(new Bankflow());
-        line.setExecutionExceptionHandler((problem, command, parsed) -> {
-            if (problem instanceof SettingsException) {
-                command.getErr().println(problem.getMessage());
+        CommandLine commandLine = new CommandLine(new Bankflow());
+        commandLine.setExecutionExceptionHandler((error, command, parsed) -> {
+            if (error instanceof SettingsException) {
+                command.getErr().println(error.getMessage());
                 return CommandLine.ExitCode.USAGE;
             }
-            command.getErr().println("bankflow: " + problem);
+            command.getErr().println("bankflow: " + error);
             return CommandLine.ExitCode.SOFTWARE;
         });
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 }
--- a/src/main/java/pondridge/cli/Check.java
+++ b/src/main/java/pondridge/cli/CheckCommand.java
@@ -14,46 +14,48 @@
 import pondridge.settings.SettingsFile;
 import pondridge.sidecar.SidecarSettings;
 
-/** Reads a settings file as a start would, and starts nothing. */
-@Command(name = "check", description = "Checks a settings file: one line for the first mistake, exit status 2.")
-final class Check implements Callable<Integer> {
-    private static final Set<Role> SERVERS = Set.of(Role.SOURCE, Role.RELAY);
+/** Validates a settings file as at start-up, without starting anything. */
+@Command(
+        name = "check",
+        description = "Checks a settings file; reports the first error on one line, with exit status 2.")
+final class CheckCommand implements Callable<Integer> {
+    private static final Set<Role> SERVING_ROLES = Set.of(Role.SOURCE, Role.RELAY);
 
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "the TOML file")
+    @Parameters(paramLabel = "FILE", description = "the TOML file to check")
     private Path file;
 
     @Override
     public Integer call() {
         if (SettingsFile.read(file).has("gateway")) {
-            GatewayCommand.Told told = GatewayCommand.Told.read(file);
+            GatewayCommand.Configuration gateway = GatewayCommand.Configuration.read(file);
             spec.commandLine()
                     .getOut()
                     .println(file + ": good, a gateway of site "
-                            + told.settings().site() + " with "
-                            + told.settings().sites().size() + " other site(s)");
+                            + gateway.settings().site() + " with "
+                            + gateway.settings().sites().size() + " other site(s)");
             return CommandLine.ExitCode.OK;
         }
         SettingsFile all = SettingsFile.read(file);
         if (all.has("control")
-                && SERVERS.contains(
+                && SERVING_ROLES.contains(
                         ControlSettings.of(all, file.toAbsolutePath().getParent())
                                 .role())) {
-            ControlSettings told = ControlSettings.read(file);
+            ControlSettings control = ControlSettings.read(file);
             spec.commandLine()
                     .getOut()
-                    .println(
-                            file + ": good, control, role " + told.role().name().toLowerCase(Locale.ROOT));
+                    .println(file + ": good, control, role "
+                            + control.role().name().toLowerCase(Locale.ROOT));
             return CommandLine.ExitCode.OK;
         }
-        SidecarSettings read = SidecarSettings.read(file);
+        SidecarSettings sidecar = SidecarSettings.read(file);
         spec.commandLine()
                 .getOut()
                 .println(file + ": good, upstreams speak "
-                        + read.upstreams().protocol() + (read.store() == null ? "" : ", a store is shared")
-                        + (read.control() == null ? "" : ", lists come by control"));
+                        + sidecar.upstreams().protocol() + (sidecar.store() == null ? "" : ", a store is shared")
+                        + (sidecar.control() == null ? "" : ", lists come by control"));
         return CommandLine.ExitCode.OK;
     }
 }
--- a/src/main/java/pondridge/cli/ControlCommand.java
+++ b/src/main/java/pondridge/cli/ControlCommand.java
@@ -21,17 +21,19 @@
 import pondridge.control.Traffic;
 import pondridge.settings.SettingsException;
 
-/** The source of lists and settings, a relay, or a follower that only logs what it gets; until SIGTERM. */
-@Command(name = "control", description = "Runs a source, a relay or a follower of lists and settings.")
+/** Runs a source of endpoint lists and settings, a relay, or a follower that only logs updates, until SIGTERM. */
+@Command(
+        name = "control",
+        description = "Runs a source, a relay or a follower of endpoint lists and settings until SIGTERM.")
 final class ControlCommand implements Callable<Integer> {
     @Option(
             names = "--settings",
             required = true,
             paramLabel = "FILE",
-            description = "the TOML file; [control] role says what runs")
+            description = "the TOML file; role in [control] selects what runs")
     private Path file;
 
-    @Option(names = "--with-parent", description = "ends, as at SIGTERM, when its standard input ends")
+    @Option(names = "--with-parent", description = "shut down, as at SIGTERM, when standard input is closed")
     private boolean withParent;
 
     @Override
@@ -41,7 +43,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         try {
-            InetSocketAddress at =
+            InetSocketAddress address =
                     switch (settings.role()) {
                         case SOURCE -> new ControlSource(loop, settings, events, new Traffic())
                                 .start()
@@ -63,11 +65,15 @@
                                     .start();
                             yield null;
                         }
-                        case OFF -> throw new SettingsException(file.toString(), "control.role", "off: nothing to run");
+                        case OFF -> throw new SettingsException(
+                                file.toString(), "control.role", "expected source, relay or follower, found off");
                     };
-            events.told("ready", "", at == null ? "" : at.getAddress().getHostAddress() + ':' + at.getPort());
+            events.told(
+                    "ready",
+                    "",
+                    address == null ? "" : address.getAddress().getHostAddress() + ':' + address.getPort());
             if (withParent) {
-                Parent.watch();
+                ParentWatcher.exitWithParent();
             }
             new CountDownLatch(1).await();
             return CommandLine.ExitCode.OK;
--- a/src/main/java/pondridge/cli/Demo.java
+++ b/src/main/java/pondridge/cli/DemoCommand.java
@@ -32,30 +32,36 @@
 import pondridge.standin.EffectLedger.Verdict;
 import pondridge.standin.OpenLoad;
 
-/** Two sites on loopback, a link between them, load; then one site is cut from its servers, and heals. */
-@Command(name = "demo", description = "Two sites of stand-in servers, one of which is cut off for a while.")
-final class Demo implements Callable<Integer> {
+/** Runs two sites on loopback under load and cuts one of them off from its servers for a third of the time. */
+@Command(
+        name = "demo",
+        description =
+                "Runs two sites of stand-in servers under load; one is cut off from them for a third of the time.")
+final class DemoCommand implements Callable<Integer> {
     private static final long MS = 1_000_000;
-    private static final int WAIT_MS = 2_000;
-    private static final int PATIENCE_S = 30;
-    private static final Map<String, Double> SHARES = shares();
+    private static final int CLIENT_TIMEOUT_MS = 2_000;
+    private static final int DRAIN_TIMEOUT_S = 30;
+    private static final Map<String, Double> CLASS_SHARES = shares();
 
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--seconds", defaultValue = "24", description = "how long load comes: 3 to 600")
+    @Option(names = "--seconds", defaultValue = "24", description = "duration of the load in seconds: 3 to 600")
     private int seconds;
 
-    @Option(names = "--rate", defaultValue = "150", description = "requests a second at each site: 1 to 2000")
+    @Option(names = "--rate", defaultValue = "150", description = "requests per second at each site: 1 to 2000")
     private int rate;
 
-    @Option(names = "--delay-ms", defaultValue = "20", description = "the link's delay one way: 0 to 1000")
+    @Option(
+            names = "--delay-ms",
+            defaultValue = "20",
+            description = "one-way delay of the link in milliseconds: 0 to 1000")
     private int delayMs;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of arrivals, work and the link's jitter")
+    @Option(names = "--seed", defaultValue = "1", description = "seed for arrivals, processing times and link jitter")
     private long seed;
 
-    @Option(names = "--log", description = "show the gateways' log on standard error")
+    @Option(names = "--log", description = "print the gateways' log on standard error")
     private boolean log;
 
     private static Map<String, Double> shares() {
@@ -69,22 +75,23 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        within("--seconds", seconds, 3, 600);
-        within("--rate", rate, 1, 2000);
-        within("--delay-ms", delayMs, 0, 1000);
+        checkRange("--seconds", seconds, 3, 600);
+        checkRange("--rate", rate, 1, 2000);
+        checkRange("--delay-ms", delayMs, 0, 1000);
         ((Logger) LoggerFactory.getLogger("bankflow")).setLevel(log ? Level.INFO : Level.OFF);
         PrintWriter out = spec.commandLine().getOut();
         Path folder = Files.createTempDirectory("bankflow-demo");
         try {
             Certificates certificates = new Certificates(folder);
             Sites.Shape shape = new Sites.Shape(List.of("a", "b"), 4, 1, 5 * MS, delayMs * MS, delayMs * MS / 4, "");
-            try (Sites sites = new Sites(shape, Usual.options(WAIT_MS), seed, site -> lines(certificates, site))) {
+            try (Sites sites = new Sites(
+                    shape, Usual.options(CLIENT_TIMEOUT_MS), seed, site -> securitySettings(certificates, site))) {
                 out.printf(
                         "two sites, 4 servers and a gateway each, %d ms between them one way, mutual TLS,"
                                 + " %d requests/s at each%n",
                         delayMs, rate);
                 out.flush();
-                return play(sites, out);
+                return run(sites, out);
             }
         } finally {
             try (Stream<Path> files = Files.list(folder)) {
@@ -96,14 +103,14 @@
         }
     }
 
-    private void within(String option, int given, int least, int most) {
-        if (given < least || given > most) {
+    private void checkRange(String option, int value, int min, int max) {
+        if (value < min || value > max) {
             throw new ParameterException(
-                    spec.commandLine(), option + ": expected " + least + " to " + most + ", found " + given);
+                    spec.commandLine(), option + ": expected " + min + " to " + max + ", found " + value);
         }
     }
 
-    private static String lines(Certificates certificates, String site) {
+    private static String securitySettings(Certificates certificates, String site) {
         try {
             return certificates.site(site);
         } catch (IOException e) {
@@ -111,45 +118,45 @@
         }
     }
 
-    private int play(Sites sites, PrintWriter out) throws InterruptedException, ExecutionException, TimeoutException {
-        Map<String, Long> waits = new LinkedHashMap<>();
-        SHARES.keySet().forEach(kind -> waits.put(kind, WAIT_MS * MS));
-        OpenLoad.Plan plan = new OpenLoad.Plan(rate * seconds, rate, SHARES, waits, 200);
+    private int run(Sites sites, PrintWriter out) throws InterruptedException, ExecutionException, TimeoutException {
+        Map<String, Long> timeouts = new LinkedHashMap<>();
+        CLASS_SHARES.keySet().forEach(requestClass -> timeouts.put(requestClass, CLIENT_TIMEOUT_MS * MS));
+        OpenLoad.Plan plan = new OpenLoad.Plan(rate * seconds, rate, CLASS_SHARES, timeouts, 200);
         OpenLoad atA = sites.load("a", seed);
         OpenLoad atB = sites.load("b", seed + 1);
-        CompletableFuture<Void> all = CompletableFuture.allOf(atA.start(plan), atB.start(plan));
+        CompletableFuture<Void> bothLoads = CompletableFuture.allOf(atA.start(plan), atB.start(plan));
         long third = seconds * 1_000L / 3;
-        show(out, sites, 0, "all is well");
-        pass(all, third);
+        printStatus(out, sites, 0, "all is well");
+        awaitAtMost(bothLoads, third);
         sites.site("a").cut(true);
-        show(out, sites, third, "a is cut from its servers");
-        pass(all, third);
-        show(out, sites, 2 * third, "the cut heals");
+        printStatus(out, sites, third, "a is cut from its servers");
+        awaitAtMost(bothLoads, third);
+        printStatus(out, sites, 2 * third, "the cut heals");
         sites.site("a").cut(false);
-        all.get(seconds + PATIENCE_S, TimeUnit.SECONDS);
-        sites.quiet(PATIENCE_S * 1_000L);
-        show(out, sites, seconds * 1_000L, "the end");
+        bothLoads.get(seconds + DRAIN_TIMEOUT_S, TimeUnit.SECONDS);
+        sites.quiet(DRAIN_TIMEOUT_S * 1_000L);
+        printStatus(out, sites, seconds * 1_000L, "the end");
         out.println();
         out.printf(
                 "%-14s %7s %7s %7s %7s %8s %8s%n", "class", "asked", "served", "refused", "failed", "p50 ms", "p99 ms");
-        for (String kind : SHARES.keySet()) {
-            EffectLedger.Tally tally = sites.ledger().tally(kind);
-            Histogram took = new Histogram(60_000_000_000L, 3);
+        for (String requestClass : CLASS_SHARES.keySet()) {
+            EffectLedger.Tally tally = sites.ledger().tally(requestClass);
+            Histogram latency = new Histogram(60_000_000_000L, 3);
             for (OpenLoad load : List.of(atA, atB)) {
-                if (load.served().get(kind) != null) {
-                    took.add(load.served().get(kind));
+                if (load.served().get(requestClass) != null) {
+                    latency.add(load.served().get(requestClass));
                 }
             }
             out.printf(
                     Locale.ROOT,
                     "%-14s %7d %7d %7d %7d %8.1f %8.1f%n",
-                    kind,
+                    requestClass,
                     tally.asked(),
                     tally.served(),
                     tally.refused(),
                     tally.failed(),
-                    took.getValueAtPercentile(50) / 1e6,
-                    took.getValueAtPercentile(99) / 1e6);
+                    latency.getValueAtPercentile(50) / 1e6,
+                    latency.getValueAtPercentile(99) / 1e6);
         }
         Verdict verdict = sites.ledger().verdict();
         out.println();
@@ -165,11 +172,11 @@
         return verdict.clean() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
     }
 
-    private static void pass(CompletableFuture<Void> load, long millis) {
+    private static void awaitAtMost(CompletableFuture<Void> load, long millis) {
         load.copy().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
-    private static void show(PrintWriter out, Sites sites, long atMs, String what) {
+    private static void printStatus(PrintWriter out, Sites sites, long atMs, String event) {
         out.printf(
                 Locale.ROOT,
                 "%6.1f s  a: served %d, refused %d, failed %d, crossed %d   %s%n",
@@ -178,7 +185,7 @@
                 sites.site("a").count("refused"),
                 sites.site("a").count("failed"),
                 sites.site("a").count("crossed"),
-                what);
+                event);
         out.flush();
     }
 }
--- a/src/main/java/pondridge/cli/DrillCommand.java
+++ b/src/main/java/pondridge/cli/DrillCommand.java
@@ -14,19 +14,19 @@
 import pondridge.demo.DrillPlan;
 import pondridge.demo.DrillReport;
 
-/** A scripted drill with gateways as processes. */
+/** Runs a scripted drill with gateways as processes. */
 @Command(
         name = "drill",
-        description = "Plays a drill: sites of stand-in servers with gateways as processes,"
-                + " and faults between them by script. Exit status 0 only if every rule was kept.")
+        description = "Runs a drill: sites of stand-in servers with gateways as processes, and scripted faults."
+                + " Exit status 0 only if no rule was broken.")
 final class DrillCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "the TOML file")
+    @Parameters(paramLabel = "FILE", description = "the TOML file of the drill")
     private Path file;
 
-    @Option(names = "--check", description = "only reads the file")
+    @Option(names = "--check", description = "only validate the file")
     private boolean check;
 
     @Override
--- a/src/main/java/pondridge/cli/GatewayCommand.java
+++ b/src/main/java/pondridge/cli/GatewayCommand.java
@@ -22,26 +22,26 @@
 import pondridge.settings.SettingsException;
 import pondridge.transport.MixedUpstreams;
 
-/** One gateway of a site, until SIGTERM; then it answers what it holds and ends. */
-@Command(name = "gateway", description = "Runs a site's gateway until SIGTERM.")
+/** Runs one gateway of a site until SIGTERM, then completes its open requests and exits. */
+@Command(name = "gateway", description = "Runs a gateway of a site until SIGTERM.")
 final class GatewayCommand implements Callable<Integer> {
     private static final long POLL_MS = 20;
-    private static final long SPARE_MS = 600;
+    private static final long SHUTDOWN_SLACK_MS = 600;
 
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "the TOML file")
+    @Option(names = "--config", required = true, paramLabel = "FILE", description = "the TOML file of the gateway")
     private Path file;
 
-    @Option(names = "--with-parent", description = "ends, as at SIGTERM, when its standard input ends")
+    @Option(names = "--with-parent", description = "shut down, as at SIGTERM, when standard input is closed")
     private boolean withParent;
 
-    /** What a gateway is told: its own file and the platform's that it names. */
-    record Told(GatewaySettings settings, Config platform) {
-        static Told read(Path file) {
+    /** The configuration of a gateway: its own settings and those of the platform's file that they name. */
+    record Configuration(GatewaySettings settings, Config platform) {
+        static Configuration read(Path file) {
             GatewaySettings settings = GatewaySettings.read(file);
             try {
                 Config platform = Config.read(settings.platform());
                 settings.agree(platform.options());
-                return new Told(settings, platform);
+                return new Configuration(settings, platform);
             } catch (IllegalArgumentException | IOException e) {
                 throw new SettingsException(settings.platform().toString(), "", e.getMessage());
             }
@@ -50,21 +50,21 @@
 
     @Override
     public Integer call() throws InterruptedException, IOException {
-        Told told = Told.read(file);
+        Configuration configuration = Configuration.read(file);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         try {
             CompletableFuture<Gateway> started = new CompletableFuture<>();
-            loop.execute(() -> start(loop, told, started));
+            loop.execute(() -> start(loop, configuration, started));
             Gateway gateway = started.get();
             CountDownLatch ended = new CountDownLatch(1);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                end(loop, gateway, longest(told.platform()));
+                shutDown(loop, gateway, maxDeadlineMs(configuration.platform()));
                 ended.countDown();
                 Runtime.getRuntime().halt(CommandLine.ExitCode.OK);
             }));
             if (withParent) {
-                Parent.watch();
+                ParentWatcher.exitWithParent();
             }
             ended.await();
             return CommandLine.ExitCode.OK;
@@ -75,15 +75,15 @@
         }
     }
 
-    private static void start(EventLoop loop, Told told, CompletableFuture<Gateway> started) {
+    private static void start(EventLoop loop, Configuration configuration, CompletableFuture<Gateway> started) {
         try {
-            Config platform = told.platform();
-            Transport upstreams =
-                    MixedUpstreams.of(loop, platform.options(), told.settings().upstreams(), platform.mostUpstream());
+            Config platform = configuration.platform();
+            Transport upstreams = MixedUpstreams.of(
+                    loop, platform.options(), configuration.settings().upstreams(), platform.mostUpstream());
             Gateway gateway = new Gateway(
                     loop,
                     platform.options(),
-                    told.settings(),
+                    configuration.settings(),
                     upstreams,
                     platform.seed(),
                     platform.mostClients(),
@@ -95,12 +95,12 @@
                     platform.known().rev(),
                     gateway::listed);
             gateway.start(discovery, platform.known().targets(), platform.listen())
-                    .whenComplete((doors, problem) -> {
-                        if (problem == null) {
+                    .whenComplete((addresses, error) -> {
+                        if (error == null) {
                             discovery.follow();
                             started.complete(gateway);
                         } else {
-                            started.completeExceptionally(problem);
+                            started.completeExceptionally(error);
                         }
                     });
         } catch (IOException | RuntimeException e) {
@@ -108,7 +108,7 @@
         }
     }
 
-    private static long longest(Config platform) {
+    private static long maxDeadlineMs(Config platform) {
         return platform.options().settings().classes().stream()
                         .mapToLong(RequestClass::deadline)
                         .max()
@@ -116,12 +116,16 @@
                 / 1_000_000;
     }
 
-    /** New requests by the link are turned away unseen; what is open is answered, if that can be. */
-    private static void end(EventLoop loop, Gateway gateway, long longestMs) {
+    /**
+     * Drains and closes the gateway: new requests from other sites are rejected before they are processed, and
+     * open ones may complete until the longest deadline of a class has passed.
+     */
+    private static void shutDown(EventLoop loop, Gateway gateway, long maxDeadlineMs) {
         loop.execute(gateway::drain);
-        long until = System.nanoTime() + (longestMs + SPARE_MS) * 1_000_000;
+        long deadline = System.nanoTime() + (maxDeadlineMs + SHUTDOWN_SLACK_MS) * 1_000_000;
         try {
-            while (System.nanoTime() - until < 0 && !loop.submit(gateway::idle).get()) {
+            while (System.nanoTime() - deadline < 0
+                    && !loop.submit(gateway::idle).get()) {
                 Thread.sleep(POLL_MS);
             }
             loop.submit(gateway::close).get();
--- a/src/main/java/pondridge/cli/Parent.java
+++ b/src/main/java/pondridge/cli/ParentWatcher.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** The process that started this one, as its end of this one's standard input shows it. */
-final class Parent {
-    private Parent() {}
+/** Detects the exit of the parent process, which holds the other end of standard input. */
+final class ParentWatcher {
+    private ParentWatcher() {}
 
-    /** From now on this process ends, as at SIGTERM, when its standard input does. */
-    static void watch() {
+    /** Starts a thread that exits this process, as at SIGTERM, when standard input is closed. */
+    static void exitWithParent() {
         Thread thread = new Thread(
                 () -> {
                     try {
@@ -15,7 +15,7 @@
                             continue;
                         }
                     } catch (IOException e) {
-                        // As good as its end.
+                        // Treated as closed.
                     }
                     System.exit(0);
                 },
--- a/src/main/java/pondridge/cli/Plan.java
+++ b/src/main/java/pondridge/cli/PlanCommand.java
@@ -20,22 +20,22 @@
 import pondridge.siteloss.Topology.Kind;
 import pondridge.siteloss.Topology.Site;
 
-/** What operators want to know before anything is lost. */
+/** Capacity planning: predicts the effect of losses. */
 @Command(
         name = "plan",
-        description = "Says beforehand what a loss would do.",
-        subcommands = {Plan.SiteLoss.class})
-final class Plan {
-    private static final double ONE_IN_THOUSAND = 0.001;
+        description = "Predicts the effect of a loss.",
+        subcommands = {PlanCommand.SiteLoss.class})
+final class PlanCommand {
+    private static final double REFUSED_SHARE_TOLERANCE = 0.001;
 
-    private Plan() {}
+    private PlanCommand() {}
 
-    /** For each site and each pair of sites: where its load goes, what is refused, what stands in the way. */
+    /** For the loss of each site and each pair: where its load goes, what is refused, and which limits are reached. */
     @Command(
             name = "site-loss",
             description = "Prints, for the loss of each site and of each pair, where"
-                    + " its load goes, what is refused and what is narrow. Exit status 1 if requests of the classes"
-                    + " worth most would be refused.")
+                    + " its load goes, what is refused and which limits are reached. Exit status 1 if requests of"
+                    + " the classes of the highest worth would be refused.")
     static final class SiteLoss implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -43,7 +43,7 @@
         @Option(names = "--config", required = true, paramLabel = "FILE", description = "a TOML file with [site_plan]")
         private Path config;
 
-        @Option(names = "--lost", paramLabel = "SITE", description = "only the loss of these together")
+        @Option(names = "--lost", paramLabel = "SITE", description = "only the simultaneous loss of these sites")
         private List<String> lost = new ArrayList<>();
 
         @Override
@@ -58,7 +58,7 @@
                 }
             }
             boolean fits = true;
-            for (Set<String> each : lost.isEmpty() ? losses(names) : List.of(new LinkedHashSet<>(lost))) {
+            for (Set<String> each : lost.isEmpty() ? siteAndPairLosses(names) : List.of(new LinkedHashSet<>(lost))) {
                 fits &= print(
                         topology,
                         LossPlanner.plan(topology, each),
@@ -68,7 +68,7 @@
         }
     }
 
-    private static List<Set<String>> losses(List<String> names) {
+    private static List<Set<String>> siteAndPairLosses(List<String> names) {
         List<Set<String>> losses = new ArrayList<>();
         names.forEach(name -> losses.add(Set.of(name)));
         for (int i = 0; i < names.size() && names.size() > 2; i++) {
@@ -79,11 +79,12 @@
         return losses;
     }
 
-    /** False if something of the classes worth most is refused. */
+    /** Prints a plan; returns false if requests of the classes of the highest worth are refused. */
     private static boolean print(Topology topology, LossPlan plan, PrintWriter out) {
         out.println("lost: " + String.join(" and ", plan.lost()));
         plan.unfit().forEach(site -> out.println("  " + site + " can't do what its own clients ask; it takes nothing"));
-        double best = topology.classes().stream().mapToDouble(Kind::worth).max().orElse(0);
+        double topWorth =
+                topology.classes().stream().mapToDouble(Kind::worth).max().orElse(0);
         boolean fits = true;
         for (String from : plan.lost()) {
             for (Kind kind : topology.classes()) {
@@ -91,14 +92,14 @@
                 List<String> parts = new ArrayList<>();
                 plan.flows().stream()
                         .filter(flow -> flow.from().equals(from) && flow.kind().equals(kind.name()))
-                        .forEach(flow -> parts.add(one(flow.perSecond()) + " to " + flow.to()));
+                        .forEach(flow -> parts.add(formatRate(flow.perSecond()) + " to " + flow.to()));
                 plan.refused().stream()
                         .filter(each -> each.from().equals(from) && each.kind().equals(kind.name()))
-                        .forEach(each -> parts.add(one(each.perSecond()) + " refused"));
+                        .forEach(each -> parts.add(formatRate(each.perSecond()) + " refused"));
                 if (!parts.isEmpty()) {
                     out.println("  " + from + ", " + kind.name() + ", requests a second: " + String.join(", ", parts));
                 }
-                fits &= kind.worth() < best || admitted > 1 - ONE_IN_THOUSAND;
+                fits &= kind.worth() < topWorth || admitted > 1 - REFUSED_SHARE_TOLERANCE;
             }
         }
         plan.narrow().forEach(each -> out.println("  in the way: " + each));
@@ -113,7 +114,7 @@
         return fits;
     }
 
-    private static String one(double value) {
+    private static String formatRate(double value) {
         return String.format(Locale.ROOT, "%.1f", value);
     }
 }
--- a/src/main/java/pondridge/cli/ScaleCommand.java
+++ b/src/main/java/pondridge/cli/ScaleCommand.java
@@ -14,20 +14,20 @@
 import pondridge.scale.ScaleReport;
 import pondridge.scale.ScaleRun;
 
-/** A run of growing size, and the slope of what it costs. */
+/** Measures the cost of each further sidecar in runs of growing size. */
 @Command(
         name = "scale",
-        description = "Plays a scale run: hollow sidecars by the hundred beside a few real"
-                + " ones, and what each more of them costs. Exit status 0 only if every change was known"
-                + " everywhere in time and the real ones broke no rule.")
+        description = "Runs hundreds of hollow sidecars beside a few real ones and measures the cost of each"
+                + " further one. Exit status 0 only if every change reached all of them in time and the real ones"
+                + " broke no rule.")
 final class ScaleCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "the TOML file")
+    @Parameters(paramLabel = "FILE", description = "the TOML file of the scale run")
     private Path file;
 
-    @Option(names = "--check", description = "only reads the file")
+    @Option(names = "--check", description = "only validate the file")
     private boolean check;
 
     @Override
--- a/src/main/java/pondridge/cli/Standin.java
+++ b/src/main/java/pondridge/cli/StandinCommand.java
@@ -22,22 +22,22 @@
 import pondridge.standin.StandinServer;
 import pondridge.standin.redis.RedisStandin;
 
-/** Stand-ins for outside systems, for trials on loopback. */
+/** Runs stand-ins for external systems on loopback, for tests by hand. */
 @Command(
         name = "standin",
-        description = "Stand-ins for outside systems, on loopback addresses only.",
-        subcommands = {Standin.Server.class, Standin.Redis.class})
-final class Standin implements Runnable {
+        description = "Runs stand-ins for external systems, on loopback addresses only.",
+        subcommands = {StandinCommand.Server.class, StandinCommand.Redis.class})
+final class StandinCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "which stand-in? (server, redis)");
+        throw new ParameterException(spec.commandLine(), "missing subcommand: expected server or redis");
     }
 
-    /** One stand-in order server. */
-    @Command(name = "server", description = "An order server with scripted faults; runs until it is ended.")
+    /** Runs a stand-in order server. */
+    @Command(name = "server", description = "Runs an order server with scripted faults until it is terminated.")
     static final class Server implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -56,35 +56,38 @@
                 names = "--fault",
                 defaultValue = "",
                 paramLabel = "NAME=SHARE,...",
-                description = "which part of the requests meets which fault")
+                description = "the share of requests that meet each fault")
         private String faults;
 
-        @Option(names = "--seed", defaultValue = "1", description = "for the faults' order")
+        @Option(names = "--seed", defaultValue = "1", description = "seed for the order of faults")
         private long seed;
 
-        @Option(names = "--work-ms", defaultValue = "5", description = "mean time of a request's work")
+        @Option(
+                names = "--work-ms",
+                defaultValue = "5",
+                description = "mean processing time of a request in milliseconds")
         private long workMs;
 
-        @Option(names = "--streams", defaultValue = "100", description = "HTTP/2: streams at a time")
+        @Option(names = "--streams", defaultValue = "100", description = "HTTP/2: concurrent streams per connection")
         private long streams;
 
-        @Option(names = "--for-s", defaultValue = "3600", description = "ends by itself after so long")
+        @Option(names = "--for-s", defaultValue = "3600", description = "exit after this many seconds")
         private long forSeconds;
 
         @Override
         public Integer call() throws InterruptedException {
-            StandinServer.Protocol speaks =
+            StandinServer.Protocol serverProtocol =
                     switch (protocol) {
                         case "http1" -> StandinServer.Protocol.HTTP1;
                         case "http2" -> StandinServer.Protocol.HTTP2;
                         case "grpc" -> StandinServer.Protocol.GRPC;
-                        default -> throw wrong("--protocol: expected http1, http2 or grpc, found " + protocol);
+                        default -> throw usageError("--protocol: expected http1, http2 or grpc, found " + protocol);
                     };
             Map<Fault, Double> shares;
             try {
                 shares = FaultScript.parse(faults);
             } catch (IllegalArgumentException e) {
-                throw wrong("--fault: " + e.getMessage());
+                throw usageError("--fault: " + e.getMessage());
             }
             MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
             EffectLedger ledger = new EffectLedger(0, 0);
@@ -94,34 +97,34 @@
                     new StandinServer.Setup(
                             "standin",
                             "a",
-                            speaks,
+                            serverProtocol,
                             streams,
                             65_535,
                             new FaultScript(seed, shares, workMs * 1_000_000, 10 * workMs * 1_000_000),
                             ledger,
                             new KeyMemory()))) {
-                say(protocol + " at " + server.address());
-                CountDownLatch ended = new CountDownLatch(1);
-                Runtime.getRuntime().addShutdownHook(new Thread(ended::countDown));
-                ended.await(forSeconds, TimeUnit.SECONDS);
-                say("ran " + server.runs() + ", connections at most " + server.mostConnections());
+                print(protocol + " at " + server.address());
+                CountDownLatch stopped = new CountDownLatch(1);
+                Runtime.getRuntime().addShutdownHook(new Thread(stopped::countDown));
+                stopped.await(forSeconds, TimeUnit.SECONDS);
+                print("ran " + server.runs() + ", connections at most " + server.mostConnections());
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             }
             return CommandLine.ExitCode.OK;
         }
 
-        private void say(String text) {
+        private void print(String text) {
             spec.commandLine().getOut().println("standin server: " + text);
         }
 
-        private ParameterException wrong(String text) {
+        private ParameterException usageError(String text) {
             return new ParameterException(spec.commandLine(), text);
         }
     }
 
-    /** A stand-in store that speaks the protocol of Redis. */
-    @Command(name = "redis", description = "A store that speaks the protocol of Redis; runs until it is ended.")
+    /** Runs a stand-in store with the Redis protocol. */
+    @Command(name = "redis", description = "Runs a store with the Redis protocol until it is terminated.")
     static final class Redis implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -133,16 +136,18 @@
                 description = "a loopback address and a port")
         private String listen;
 
-        @Option(names = "--memory-mb", defaultValue = "64", description = "of keys and values")
+        @Option(names = "--memory-mb", defaultValue = "64", description = "memory for keys and values in MiB")
         private int memoryMb;
 
-        @Option(names = "--refuse-when-full", description = "instead of letting the longest unused keys go")
-        private boolean refuses;
+        @Option(
+                names = "--refuse-when-full",
+                description = "refuse writes when full instead of evicting the least recently used keys")
+        private boolean refuseWhenFull;
 
-        @Option(names = "--delay-ms", defaultValue = "0", description = "each reply waits for so long")
+        @Option(names = "--delay-ms", defaultValue = "0", description = "delay of each reply in milliseconds")
         private long delayMs;
 
-        @Option(names = "--for-s", defaultValue = "3600", description = "ends by itself after so long")
+        @Option(names = "--for-s", defaultValue = "3600", description = "exit after this many seconds")
         private long forSeconds;
 
         @Override
@@ -151,22 +156,22 @@
                 throw new ParameterException(spec.commandLine(), "--memory-mb: expected 1 to 4096, found " + memoryMb);
             }
             MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            RedisStandin.Setup usual = RedisStandin.Setup.usual();
+            RedisStandin.Setup defaults = RedisStandin.Setup.usual();
             try (RedisStandin store = new RedisStandin(
                     group.next(),
                     loopback(spec, listen),
                     new RedisStandin.Setup(
-                            usual.user(),
-                            usual.password(),
+                            defaults.user(),
+                            defaults.password(),
                             (long) memoryMb << 20,
-                            !refuses,
-                            usual.lagMs(),
-                            usual.connections()))) {
+                            !refuseWhenFull,
+                            defaults.lagMs(),
+                            defaults.connections()))) {
                 store.faults().delay(delayMs);
                 spec.commandLine().getOut().println("standin redis: at " + store.address());
-                CountDownLatch ended = new CountDownLatch(1);
-                Runtime.getRuntime().addShutdownHook(new Thread(ended::countDown));
-                ended.await(forSeconds, TimeUnit.SECONDS);
+                CountDownLatch stopped = new CountDownLatch(1);
+                Runtime.getRuntime().addShutdownHook(new Thread(stopped::countDown));
+                stopped.await(forSeconds, TimeUnit.SECONDS);
                 spec.commandLine()
                         .getOut()
                         .println("standin redis: " + store.commands() + " commands, " + store.bytes() + " bytes");
@@ -186,7 +191,7 @@
                 return new InetSocketAddress(host, port);
             }
         } catch (NumberFormatException e) {
-            // Told below, with what was expected.
+            // Reported below.
         }
         throw new ParameterException(
                 spec.commandLine(), "--listen: expected a loopback address and port, found " + listen);
--- a/src/main/java/pondridge/cli/package-info.java
+++ b/src/main/java/pondridge/cli/package-info.java
@@ -1,2 +1,2 @@
-/** One command line over it all. The platform's run and sim don't pass through it. */
+/** The command line {@code bankflow}. The platform's commands {@code run} and {@code sim} do not use it. */
 package pondridge.cli;
--- a/src/test/java/pondridge/cli/BankflowTest.java
+++ b/src/test/java/pondridge/cli/BankflowTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: mistakes are one line that names them, and exit status 2. */
+/** The command line: an error is reported on one line that names its cause, with exit status 2. */
 class BankflowTest {
     @TempDir
     private Path folder;
@@ -31,22 +31,22 @@
     }
 
     @Test
-    void goodSettingsAreGood() {
+    void acceptsShippedSettings() {
         assertEquals("", errors(0, "check", "deploy/bankflow.toml"));
         assertEquals("", errors(0, "check", "deploy/gateway.toml"));
         assertEquals("", errors(0, "check", "deploy/control.toml"));
     }
 
     @Test
-    void mistakesAreNamed() throws Exception {
-        Map<String, String> mistakes = new LinkedHashMap<>(Map.of(
+    void settingsErrorsNameTheKey() throws Exception {
+        Map<String, String> invalidSettings = new LinkedHashMap<>(Map.of(
                 "[http2]\nstream_wait = 50", "http2.stream_wait: expected a time with its unit",
                 "[http2]\nstream_wait = \"50\"", "http2.stream_wait: expected a time with its unit",
                 "[http2]\nstream_wait = \"1MiB\"", "http2.stream_wait: expected a time with its unit",
                 "[http2]\nwaiting = -1", "http2.waiting: expected a whole number from 0",
                 "[http2]\nwating = 1", "http2.wating: unknown key",
                 "[http3]\nx = 1", "http3: unknown section"));
-        mistakes.putAll(Map.of(
+        invalidSettings.putAll(Map.of(
                 "[upstreams]\nprotocol = \"spdy\"",
                 "upstreams.protocol: expected one of http1, http2, auto, grpc",
                 "[http2]\nconnections = 2",
@@ -63,11 +63,11 @@
                 "store.authorities: can't be used",
                 "[http2",
                 "not TOML: line 1"));
-        for (Map.Entry<String, String> each : mistakes.entrySet()) {
+        for (Map.Entry<String, String> each : invalidSettings.entrySet()) {
             Path file = Files.writeString(folder.resolve("x.toml"), each.getKey());
-            String told = errors(2, "check", file.toString());
-            assertTrue(told.startsWith(file + ": " + each.getValue()), told);
-            assertEquals(1, told.lines().count(), told);
+            String error = errors(2, "check", file.toString());
+            assertTrue(error.startsWith(file + ": " + each.getValue()), error);
+            assertEquals(1, error.lines().count(), error);
         }
         for (String[] each : new String[][] {
             {"listen = \"0.0.0.0:1\"\nsecurity = \"plain\"", "grpc.security: plain"},
@@ -77,14 +77,14 @@
             {"[grpc_methods.m]\npath = \"a/b\"\nclass = \"c\"\nuri = \"/api\"", "grpc_methods.m.path: expected"}
         }) {
             Path file = Files.writeString(folder.resolve("x.toml"), "[grpc]\n" + each[0]);
-            String told = errors(2, "check", file.toString());
-            assertTrue(told.startsWith(file + ": " + each[1]), told);
+            String error = errors(2, "check", file.toString());
+            assertTrue(error.startsWith(file + ": " + each[1]), error);
         }
         assertTrue(errors(2, "check", folder.resolve("none").toString()).contains("can't be read"));
     }
 
     @Test
-    void aGatewayNeedsAllThatItIsTold() throws Exception {
+    void gatewaySettingsMustMatchThePlatformFile() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("g.toml"),
                 "[gateway]\nsite = \"a\"\n"
@@ -97,18 +97,18 @@
                 "[gateway]\nsite = \"a\"\nplatform = \""
                         + Path.of("deploy/rehearsal.json").toAbsolutePath() + "\"\n[link]\nlisten = \"127.0.0.1:0\"\n"
                         + "security = \"plain\"\n[crossing_classes.order-confrim]\nshare = 0.5\n");
-        String told = errors(2, "check", file.toString());
-        assertTrue(told.contains("crossing_classes.order-confrim: the platform's file has no such class"), told);
+        String error = errors(2, "check", file.toString());
+        assertTrue(error.contains("crossing_classes.order-confrim: the platform's file has no such class"), error);
         Files.writeString(
                 file,
                 "[gateway]\nsite = \"ebene\"\nplatform = \""
                         + Path.of("deploy/rehearsal.json").toAbsolutePath() + "\"\n[link]\nlisten = \"127.0.0.1:0\"\n"
                         + "security = \"plain\"\n" + Files.readString(Path.of("deploy/site-plan.toml")));
-        told = errors(2, "check", file.toString());
-        assertTrue(told.contains("site_plan.classes: the platform's file has the class rehearsal"), told);
+        error = errors(2, "check", file.toString());
+        assertTrue(error.contains("site_plan.classes: the platform's file has the class rehearsal"), error);
         Files.writeString(file, Files.readString(file).replace("\"ebene\"", "\"elsewhere\""));
-        told = errors(2, "check", file.toString());
-        assertTrue(told.contains("site_plan.sites: expected elsewhere and all of [sites]"), told);
+        error = errors(2, "check", file.toString());
+        assertTrue(error.contains("site_plan.sites: expected elsewhere and all of [sites]"), error);
         assertTrue(errors(2, "demo", "--seconds", "1").contains("--seconds: expected 3 to 600, found 1"));
     }
 
@@ -124,9 +124,9 @@
                 "", errors(0, "standin", "server", "--protocol", "http2", "--listen", "127.0.0.1:0", "--for-s", "0"));
     }
 
-    /** Exit status 1 where some of what is worth most would be refused, as with two of three sites lost. */
+    /** Exit status 1 if requests of the highest-worth classes would be refused, as with two of three sites lost. */
     @Test
-    void aLossIsPlannedBeforehand() {
+    void siteLossExitStatusTellsWhetherTopClassesFit() {
         String plan = "deploy/site-plan.toml";
         assertEquals("", errors(0, "plan", "site-loss", "--config", plan, "--lost", "ebene"));
         assertEquals("", errors(1, "plan", "site-loss", "--config", plan));
