--- a/src/main/java/pondridge/demo/Certificates.java
+++ b/src/main/java/pondridge/demo/Certificates.java
@@ -23,7 +23,7 @@
                     .setIsCertificateAuthority(true)
                     .buildSelfSigned();
         } catch (Exception e) {
-            throw new IOException("no certificate can be issued", e);
+            throw new IOException("cannot create the certificate authority", e);
         }
         Files.writeString(folder.resolve("ca.pem"), authority.getCertificatePEM());
     }
@@ -33,7 +33,7 @@
         return site(site, site, Instant.now().plus(1, ChronoUnit.DAYS));
     }
 
-    /** Issues a certificate with this subject name and end of validity, written to files of another name. */
+    /** Issues a certificate with this subject name and end of validity, written to files named after {@code file}. */
     public String site(String file, String subjectName, Instant notAfter) throws IOException {
         try {
             X509Bundle issued = new CertificateBuilder()
@@ -48,7 +48,7 @@
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
-            throw new IOException("no certificate can be issued", e);
+            throw new IOException("cannot issue a certificate for " + subjectName, e);
         }
         return "certificate = \"" + folder.resolve(file + ".pem") + "\"\nkey = \"" + folder.resolve(file + ".key")
                 + "\"\nauthorities = \"" + folder.resolve("ca.pem") + "\"\n";
--- a/src/main/java/pondridge/demo/Drill.java
+++ b/src/main/java/pondridge/demo/Drill.java
@@ -315,7 +315,7 @@
                 .subList(0, (int) Math.ceil(fraction * site.servers().size()));
         started.forEach(server -> server.cold(new ColdStart(
                 System.nanoTime(), RAMP_NANOS, COLD_SHARE, perSecond, OVERLOAD_FACTOR, OVERLOAD_WINDOW_NANOS)));
-        site.announceRestart(started.size(), System.currentTimeMillis());
+        site.publishRestartOfFirst(started.size(), System.currentTimeMillis());
         site.cut(false, started.size());
     }
 
--- a/src/main/java/pondridge/demo/Sites.java
+++ b/src/main/java/pondridge/demo/Sites.java
@@ -161,7 +161,7 @@
         }
 
         /** Publishes to the gateways that the first servers started at this Unix time in milliseconds. */
-        void announceRestart(int first, long startedMs) {
+        void publishRestartOfFirst(int first, long startedMs) {
             publish(targets(State.READY).stream()
                     .limit(first)
                     .map(each -> new Target(each.uid(), each.endpoint(), name, "m", 0, State.READY, 1, startedMs))
--- a/src/test/java/pondridge/bench/Bench.java
+++ b/src/test/java/pondridge/bench/Bench.java
@@ -1,10 +1,10 @@
 package pondridge.bench;
 
-/** Entry point of the measurements: the argument names one. */
+/** Entry point of the benchmarks: the argument names one. */
 public final class Bench {
     private Bench() {}
 
-    /** Runs one measurement; prints its lines, each a list of key=value. */
+    /** Runs one benchmark, which prints lines of key=value pairs. */
     public static void main(String[] args) throws Exception {
         switch (args.length == 1 ? args[0] : "") {
             case "http2" -> new Http2Bench().run();
--- a/src/test/java/pondridge/bench/Relay.java
+++ b/src/test/java/pondridge/bench/ChainService.java
@@ -23,28 +23,32 @@
 import java.util.function.Supplier;
 
 /**
- * A service of a chain, listening on many ports as if it were many servers: it calls the next one by a call
- * of its own and answers when that has; the last one answers at once. All on one loop.
+ * A service in a chain of services, listening on several ports as if it were several servers. It calls the next
+ * service and responds when that has responded; the last one responds at once. Runs on one event loop.
  */
-final class Relay {
-    private static final int LARGEST = 1 << 20;
-    private final Caller caller;
-    private final Supplier<InetSocketAddress> next;
+final class ChainService {
+    private static final int MAX_REQUEST_BYTES = 1 << 20;
+    private final ServiceClient client;
+    private final Supplier<InetSocketAddress> nextService;
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private int turn;
+    private int addressIndex;
 
-    /** {@code next} says whom to call, for each call anew; null for the last one. */
-    Relay(EventLoop loop, InetSocketAddress any, int ports, Supplier<InetSocketAddress> next) {
-        this.caller = new Caller(loop);
-        this.next = next;
+    /** {@code nextService} returns the address for each call; null for the last service of the chain. */
+    ChainService(EventLoop loop, InetSocketAddress any, int ports, Supplier<InetSocketAddress> nextService) {
+        this.client = new ServiceClient(loop);
+        this.nextService = nextService;
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        made.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST), new Visit());
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                        new RequestHandler());
                     }
                 });
         for (int i = 0; i < ports; i++) {
@@ -57,29 +61,29 @@
         return addresses;
     }
 
-    /** Its addresses in turn; for one caller's loop. */
-    InetSocketAddress inTurn() {
-        turn = (turn + 1) % addresses.size();
-        return addresses.get(turn);
+    /** Returns its addresses in rotation; for use on a single event loop. */
+    InetSocketAddress nextAddress() {
+        addressIndex = (addressIndex + 1) % addresses.size();
+        return addresses.get(addressIndex);
     }
 
-    private final class Visit extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            if (next == null) {
-                answer(context, HttpResponseStatus.OK.code());
+            if (nextService == null) {
+                respond(context, HttpResponseStatus.OK.code());
             } else {
-                caller.call(next.get(), status -> answer(context, status));
+                client.send(nextService.get(), status -> respond(context, status));
             }
         }
 
-        private void answer(ChannelHandlerContext context, int status) {
-            FullHttpResponse reply = new DefaultFullHttpResponse(
+        private void respond(ChannelHandlerContext context, int status) {
+            FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     status == HttpResponseStatus.OK.code() ? HttpResponseStatus.OK : HttpResponseStatus.BAD_GATEWAY,
                     Unpooled.wrappedBuffer(new byte[] {'o', 'k'}));
-            reply.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 2);
-            context.writeAndFlush(reply);
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 2);
+            context.writeAndFlush(response);
         }
 
         @Override
--- a/src/test/java/pondridge/bench/ClosedLoad.java
+++ b/src/test/java/pondridge/bench/ClosedLoopLoad.java
@@ -25,18 +25,18 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** So many clients, each of which asks again as soon as it has its answer: measures what a way can carry. */
-final class ClosedLoad implements AutoCloseable {
+/** Closed-loop load: each client sends its next request as soon as it has a response, to measure throughput. */
+final class ClosedLoopLoad implements AutoCloseable {
     private static final AtomicInteger IDS = new AtomicInteger();
     private final Histogram latency = new ConcurrentHistogram(10_000_000_000L, 3);
-    private final LongAdder good = new LongAdder();
-    private final LongAdder bad = new LongAdder();
+    private final LongAdder succeeded = new LongAdder();
+    private final LongAdder failed = new LongAdder();
     private final List<Channel> channels = new ArrayList<>();
     private volatile boolean counting;
-    private volatile boolean over;
+    private volatile boolean stopped;
 
-    /** Confirmations, from so many clients spread over the doors. */
-    ClosedLoad(EventLoopGroup group, List<InetSocketAddress> doors, int clients) throws InterruptedException {
+    /** Connects this number of clients, distributed over the addresses; they send order confirmations. */
+    ClosedLoopLoad(EventLoopGroup group, List<InetSocketAddress> addresses, int clients) throws InterruptedException {
         for (int i = 0; i < clients; i++) {
             Channel channel = new Bootstrap()
                     .group(group)
@@ -46,53 +46,56 @@
                         @Override
                         protected void initChannel(Channel made) {
                             made.pipeline()
-                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 20), new Asking());
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(1 << 20),
+                                            new ClientHandler());
                         }
                     })
-                    .connect(doors.get(i % doors.size()))
+                    .connect(addresses.get(i % addresses.size()))
                     .sync()
                     .channel();
             channels.add(channel);
         }
     }
 
-    /** Counts for so long, after a time that does not count. */
-    void run(long warmMs, long countMs) throws InterruptedException {
+    /** Runs the load; counts requests only after the warm-up. */
+    void run(long warmUpMs, long measuredMs) throws InterruptedException {
         channels.forEach(channel -> channel.pipeline().fireUserEventTriggered(this));
-        Thread.sleep(warmMs);
+        Thread.sleep(warmUpMs);
         counting = true;
-        Thread.sleep(countMs);
+        Thread.sleep(measuredMs);
         counting = false;
-        over = true;
+        stopped = true;
     }
 
     Histogram latency() {
         return latency;
     }
 
-    long good() {
-        return good.sum();
+    long succeeded() {
+        return succeeded.sum();
     }
 
-    long bad() {
-        return bad.sum();
+    long failed() {
+        return failed.sum();
     }
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         channels.forEach(Channel::close);
     }
 
-    private final class Asking extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private long sent;
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private long sentAtNanos;
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
-            ask(context);
+            sendRequest(context);
         }
 
-        private void ask(ChannelHandlerContext context) {
+        private void sendRequest(ChannelHandlerContext context) {
             String id = "c" + IDS.incrementAndGet();
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/" + id, Unpooled.wrappedBuffer(new byte[200]));
@@ -104,7 +107,7 @@
                     .set("Req-Deadline-Ms", 2000)
                     .set("Idempotency-Key", id)
                     .set(HttpHeaderNames.CONTENT_LENGTH, 200);
-            sent = System.nanoTime();
+            sentAtNanos = System.nanoTime();
             context.writeAndFlush(request);
         }
 
@@ -112,13 +115,13 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             if (counting) {
                 boolean served = response.status().code() == 200;
-                (served ? good : bad).increment();
+                (served ? succeeded : failed).increment();
                 if (served) {
-                    latency.recordValue(System.nanoTime() - sent);
+                    latency.recordValue(System.nanoTime() - sentAtNanos);
                 }
             }
-            if (!over) {
-                ask(context);
+            if (!stopped) {
+                sendRequest(context);
             }
         }
     }
--- a/src/test/java/pondridge/bench/GatewayBench.java
+++ b/src/test/java/pondridge/bench/GatewayBench.java
@@ -16,18 +16,18 @@
 import pondridge.standin.OpenLoad;
 
 /**
- * A site that is cut from its servers for some seconds: with a gateway to another site, without one, and as
- * if all servers were one pool. Then what a crossing costs. Ratios within this one run are what counts.
+ * Cuts a site off from its servers for some seconds: with a gateway to another site, without one, and with all
+ * servers in one pool. Then measures the cost of a cross-site request. Only ratios within one run are meaningful.
  */
 final class GatewayBench {
     private static final long MS = 1_000_000;
-    private static final int WAIT_MS = 2_000;
+    private static final int CLIENT_TIMEOUT_MS = 2_000;
     private static final int RATE = 200;
     private static final int SERVERS = 4;
-    private static final long CALM_MS = 5_000;
+    private static final long BEFORE_CUT_MS = 5_000;
     private static final long CUT_MS = 6_000;
-    private static final long HEALED_MS = 9_000;
-    private static final Map<String, Double> SHARES = new LinkedHashMap<>(
+    private static final long AFTER_CUT_MS = 9_000;
+    private static final Map<String, Double> CLASS_SHARES = new LinkedHashMap<>(
             Map.of("stock-check", 0.4, "stock-hold", 0.25, "order-confirm", 0.25, "order-book", 0.1));
     private static final Map<String, Double> WORTH =
             Map.of("stock-check", 1.0, "stock-hold", 3.0, "order-confirm", 10.0, "order-book", 10.0);
@@ -35,11 +35,12 @@
     private static Sites sites(int servers, long delay, String... names) throws Exception {
         return new Sites(
                 new Sites.Shape(List.of(names), servers, 1, 5 * MS, delay, delay / 4, ""),
-                Usual.options(WAIT_MS),
+                Usual.options(CLIENT_TIMEOUT_MS),
                 1,
                 site -> "security = \"plain\"\n");
     }
 
+    /** The worth requested and the worth served so far. */
     private static double[] worth(Sites sites) {
         double[] sum = new double[2];
         WORTH.forEach((kind, worth) -> {
@@ -50,27 +51,27 @@
         return sum;
     }
 
-    private static void pass(CompletableFuture<Void> load, long millis) {
+    private static void awaitAtMost(CompletableFuture<Void> load, long millis) {
         load.copy().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
-    /** The share of worth that is served while half of all servers are cut off. */
-    private static double cut(String way, Sites sites, double rate, int cutServers) throws Exception {
+    /** Measures the share of the requested worth that is served while half of the servers of both sites are cut off. */
+    private static double measureCut(String variant, Sites sites, double rate, int cutServers) throws Exception {
         try (sites) {
             OpenLoad load = sites.load("a", 1);
-            int requests = (int) (rate * (CALM_MS + CUT_MS + HEALED_MS) / 1_000);
-            CompletableFuture<Void> done = load.start(Fleet.plan(requests, rate, WAIT_MS, SHARES));
-            pass(done, CALM_MS);
+            int requests = (int) (rate * (BEFORE_CUT_MS + CUT_MS + AFTER_CUT_MS) / 1_000);
+            CompletableFuture<Void> done = load.start(Fleet.plan(requests, rate, CLIENT_TIMEOUT_MS, CLASS_SHARES));
+            awaitAtMost(done, BEFORE_CUT_MS);
             double[] before = worth(sites);
             sites.site("a").cut(true, cutServers);
-            pass(done, CUT_MS);
+            awaitAtMost(done, CUT_MS);
             double[] after = worth(sites);
             sites.site("a").cut(false, cutServers);
             long healed = System.nanoTime();
             long crossed = sites.site("a").count("crossed");
             long recovered = 0;
             while (!done.isDone()) {
-                pass(done, 50);
+                awaitAtMost(done, 50);
                 long now = sites.site("a").count("crossed");
                 recovered = now > crossed ? System.nanoTime() - healed : recovered;
                 crossed = now;
@@ -80,7 +81,7 @@
             System.out.printf(
                     "bench gateway: way=%s worth_while_cut=%.3f served=%d refused=%d failed=%d "
                             + "crossed=%d recovered_ms=%d doubled=%d late=%d clean=%s%n",
-                    way,
+                    variant,
                     share,
                     verdict.served(),
                     verdict.refused(),
@@ -94,24 +95,25 @@
         }
     }
 
-    /** What the link adds to a request's time over its own delay, and a gateway's CPU. */
-    private static void crossing(long delayMs) throws Exception {
+    /** Measures the latency that the link adds beyond its own delay, and the CPU time of both gateways. */
+    private static void measureCrossSite(long delayMs) throws Exception {
         try (Sites sites = sites(SERVERS, delayMs * MS, "a", "b")) {
-            Histogram[] took = new Histogram[2];
+            Histogram[] latency = new Histogram[2];
             double[] cpu = new double[4];
             for (int i = 0; i < 2; i++) {
                 if (i == 1) {
                     sites.site("a").list(State.DRAINING);
                 }
-                // What comes first warms up and is not counted.
+                // Warm-up load, not counted.
                 sites.load("a", 10 + i)
-                        .start(Fleet.plan(3 * RATE, RATE, WAIT_MS, SHARES))
+                        .start(Fleet.plan(3 * RATE, RATE, CLIENT_TIMEOUT_MS, CLASS_SHARES))
                         .join();
                 double[] before = {sites.site("a").cpuNanos(), sites.site("b").cpuNanos()};
                 OpenLoad load = sites.load("a", 20 + i);
-                load.start(Fleet.plan(8 * RATE, RATE, WAIT_MS, SHARES)).join();
-                took[i] = new Histogram(60_000_000_000L, 3);
-                load.served().values().forEach(took[i]::add);
+                load.start(Fleet.plan(8 * RATE, RATE, CLIENT_TIMEOUT_MS, CLASS_SHARES))
+                        .join();
+                latency[i] = new Histogram(60_000_000_000L, 3);
+                load.served().values().forEach(latency[i]::add);
                 cpu[2 * i] = (sites.site("a").cpuNanos() - before[0]) / (8e3 * RATE);
                 cpu[2 * i + 1] = (sites.site("b").cpuNanos() - before[1]) / (8e3 * RATE);
             }
@@ -120,11 +122,12 @@
                             + "across_p50_us=%d across_p99_us=%d added_over_link_p50_us=%d near_cpu_us_own=%.0f "
                             + "near_cpu_us_across=%.0f far_cpu_us_idle=%.0f far_cpu_us=%.0f%n",
                     delayMs,
-                    took[0].getValueAtPercentile(50) / 1_000,
-                    took[0].getValueAtPercentile(99) / 1_000,
-                    took[1].getValueAtPercentile(50) / 1_000,
-                    took[1].getValueAtPercentile(99) / 1_000,
-                    (took[1].getValueAtPercentile(50) - took[0].getValueAtPercentile(50)) / 1_000 - 2_250 * delayMs,
+                    latency[0].getValueAtPercentile(50) / 1_000,
+                    latency[0].getValueAtPercentile(99) / 1_000,
+                    latency[1].getValueAtPercentile(50) / 1_000,
+                    latency[1].getValueAtPercentile(99) / 1_000,
+                    (latency[1].getValueAtPercentile(50) - latency[0].getValueAtPercentile(50)) / 1_000
+                            - 2_250 * delayMs,
                     cpu[0],
                     cpu[2],
                     cpu[1],
@@ -133,16 +136,16 @@
     }
 
     void run() throws Exception {
-        double ideal = cut("one-pool", sites(2 * SERVERS, 0, "a"), 2 * RATE, SERVERS);
-        double without = cut("without", sites(SERVERS, 0, "a"), RATE, SERVERS);
-        double with = cut("with", sites(SERVERS, 20 * MS, "a", "b"), RATE, SERVERS);
+        double ideal = measureCut("one-pool", sites(2 * SERVERS, 0, "a"), 2 * RATE, SERVERS);
+        double without = measureCut("without", sites(SERVERS, 0, "a"), RATE, SERVERS);
+        double with = measureCut("with", sites(SERVERS, 20 * MS, "a", "b"), RATE, SERVERS);
         System.out.printf("bench gateway: with_to_ideal=%.3f without_to_ideal=%.3f%n", with / ideal, without / ideal);
         long full = AnswerTable.heap(20_000, 800);
         System.out.printf(
                 "bench gateway: way=answers answers=20000 answer_bytes=16000000 heap_mb=%.1f "
                         + "heap_to_answer_bytes=%.2f%n",
                 full / 1e6, full / 16e6);
-        crossing(20);
-        crossing(80);
+        measureCrossSite(20);
+        measureCrossSite(80);
     }
 }
--- a/src/test/java/pondridge/bench/GatewaySoak.java
+++ b/src/test/java/pondridge/bench/GatewaySoak.java
@@ -14,22 +14,22 @@
 import pondridge.standin.FaultyLink.Way;
 
 /**
- * Two sites with load at both, and one fault after the other, drawn from a seed: links that stall, lose a
- * direction or break, sites that are cut, stall or drain. Round after round for {@code SOAK_MINUTES} (10);
- * each ends by asking the ledger, and the first that is not clean ends it all with its seed.
+ * Runs two sites under load and injects random faults one after the other: links stall, lose one direction or
+ * break; sites are cut off, stall or drain. Repeats rounds with consecutive seeds for {@code SOAK_MINUTES} (default
+ * 10). After each round the ledger is checked; the first broken rule ends the run with an error that names the seed.
  */
 final class GatewaySoak {
     private static final long MS = 1_000_000;
-    private static final int WAIT_MS = 2_000;
+    private static final int CLIENT_TIMEOUT_MS = 2_000;
     private static final int REQUESTS = 3_000;
     private static final double RATE = 150;
-    private static final long LIMIT_MS = 60_000;
+    private static final long DRAIN_TIMEOUT_MS = 60_000;
 
     void run() throws Exception {
         String minutes = System.getenv().getOrDefault("SOAK_MINUTES", "10");
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos((long) (60 * Double.parseDouble(minutes)));
-        for (long seed = Long.getLong("seed", 1); System.nanoTime() - until < 0; seed++) {
-            Verdict verdict = round(new Random(seed), seed);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos((long) (60 * Double.parseDouble(minutes)));
+        for (long seed = Long.getLong("seed", 1); System.nanoTime() - deadline < 0; seed++) {
+            Verdict verdict = runRound(new Random(seed), seed);
             System.out.printf(
                     "bench gateway-soak: seed=%d asked=%d served=%d refused=%d failed=%d "
                             + "dropped=%d doubled=%d late=%d unanswered=%d clean=%s%n",
@@ -49,50 +49,51 @@
         }
     }
 
-    private static Verdict round(Random random, long seed) throws Exception {
+    private static Verdict runRound(Random random, long seed) throws Exception {
         long delay = (5 + random.nextInt(75)) * MS;
         try (Sites sites = new Sites(
                 new Sites.Shape(List.of("a", "b"), 4, 2, 10 * MS, delay, delay / 4, ""),
-                Usual.options(WAIT_MS),
+                Usual.options(CLIENT_TIMEOUT_MS),
                 seed,
                 site -> "security = \"plain\"\n")) {
             CompletableFuture<Void> load = CompletableFuture.allOf(
-                    sites.load("a", seed).start(Fleet.mixed(REQUESTS, RATE, WAIT_MS)),
-                    sites.load("b", seed).start(Fleet.mixed(REQUESTS, RATE, WAIT_MS)));
+                    sites.load("a", seed).start(Fleet.mixed(REQUESTS, RATE, CLIENT_TIMEOUT_MS)),
+                    sites.load("b", seed).start(Fleet.mixed(REQUESTS, RATE, CLIENT_TIMEOUT_MS)));
             while (!load.isDone()) {
-                fault(sites, random, Condition.delayed(delay, delay / 4), load);
+                injectFault(sites, random, Condition.delayed(delay, delay / 4), load);
             }
-            if (!sites.quiet(LIMIT_MS)) {
-                throw new IllegalStateException("seed " + seed + ": requests that never end");
+            if (!sites.quiet(DRAIN_TIMEOUT_MS)) {
+                throw new IllegalStateException(
+                        "seed " + seed + ": requests still open after " + DRAIN_TIMEOUT_MS + " ms");
             }
             return sites.ledger().verdict();
         }
     }
 
-    private static void pass(CompletableFuture<Void> load, long millis) {
+    private static void awaitAtMost(CompletableFuture<Void> load, long millis) {
         load.copy().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
-    /** One fault, its length, its end and a pause. */
-    private static void fault(Sites sites, Random random, Condition good, CompletableFuture<Void> load) {
+    /** Injects one fault, waits, removes it and waits again. */
+    private static void injectFault(Sites sites, Random random, Condition normal, CompletableFuture<Void> load) {
         Sites.Site site = sites.site(random.nextBoolean() ? "a" : "b");
         FaultyLink link = site.links().get(random.nextInt(site.links().size()));
-        Way way = Way.values()[random.nextInt(2)];
+        Way direction = Way.values()[random.nextInt(2)];
         long length = 200 + random.nextInt(3_000);
         switch (random.nextInt(6)) {
-            case 0 -> site.links().forEach(each -> each.set(good.stalled(true)));
-            case 1 -> link.set(way, good.lost(true));
+            case 0 -> site.links().forEach(each -> each.set(normal.stalled(true)));
+            case 1 -> link.set(direction, normal.lost(true));
             case 2 -> link.reset();
             case 3 -> site.cut(true);
             case 4 -> site.stall(true);
             default -> site.list(State.DRAINING);
         }
-        pass(load, length);
-        site.links().forEach(each -> each.set(good));
+        awaitAtMost(load, length);
+        site.links().forEach(each -> each.set(normal));
         link.reset();
         site.cut(false);
         site.stall(false);
         site.list(State.READY);
-        pass(load, 300 + random.nextInt(1_500));
+        awaitAtMost(load, 300 + random.nextInt(1_500));
     }
 }
--- a/src/test/java/pondridge/bench/GrpcBench.java
+++ b/src/test/java/pondridge/bench/GrpcBench.java
@@ -30,24 +30,21 @@
 import pondridge.standin.StandinServer.Protocol;
 
 /**
- * Unary calls of grpc-java's client straight to stand-in servers and through bankflow, and HTTP/1.1 beside
- * them.
+ * Compares unary calls of the grpc-java client directly to stand-in servers and through bankflow, with HTTP/1.1
+ * as the reference.
  */
 final class GrpcBench {
     private static final int ROUNDS = 3;
     private static final int SERVERS = 4;
-    private static final long WARM_MS = 4_000;
-    private static final long COUNT_MS = 4_000;
+    private static final long WARM_UP_MS = 4_000;
+    private static final long MEASURED_MS = 4_000;
     private static final AtomicInteger IDS = new AtomicInteger();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
 
-    private record Result(double perSecond, double p50, double p99, double cpu, long bad) {}
+    private record Result(double perSecond, double p50Micros, double p99Micros, double cpuMicros, long failed) {}
 
-    /**
-     * A way: by which protocol clients come, and what servers speak; straight to the servers without
-     * bankflow.
-     */
-    private enum Way {
+    /** The protocols of clients and servers; a direct route connects them without bankflow. */
+    private enum Route {
         DIRECT_GRPC(true, Protocol.GRPC),
         GRPC_TO_GRPC(true, Protocol.GRPC),
         GRPC_TO_HTTP1(true, Protocol.HTTP1),
@@ -57,7 +54,7 @@
         private final boolean grpcClient;
         private final Protocol servers;
 
-        Way(boolean grpcClient, Protocol servers) {
+        Route(boolean grpcClient, Protocol servers) {
             this.grpcClient = grpcClient;
             this.servers = servers;
         }
@@ -67,27 +64,27 @@
         for (int clients : new int[] {1, 64}) {
             double[] direct = null;
             double http1 = 0;
-            for (Way way : new Way[] {
-                Way.DIRECT_GRPC, Way.HTTP1_TO_HTTP1, Way.GRPC_TO_GRPC, Way.GRPC_TO_HTTP1, Way.HTTP1_TO_GRPC
+            for (Route route : new Route[] {
+                Route.DIRECT_GRPC, Route.HTTP1_TO_HTTP1, Route.GRPC_TO_GRPC, Route.GRPC_TO_HTTP1, Route.HTTP1_TO_GRPC
             }) {
                 List<Result> results = new ArrayList<>();
                 for (int i = 0; i < ROUNDS; i++) {
-                    results.add(measure(way, clients));
+                    results.add(measure(route, clients));
                 }
                 double[] mean = new double[5];
                 for (Result each : results) {
                     mean[0] += each.perSecond / ROUNDS;
-                    mean[1] += each.p50 / ROUNDS;
-                    mean[2] += each.p99 / ROUNDS;
-                    mean[3] += each.cpu / ROUNDS;
-                    mean[4] += each.bad;
+                    mean[1] += each.p50Micros / ROUNDS;
+                    mean[2] += each.p99Micros / ROUNDS;
+                    mean[3] += each.cpuMicros / ROUNDS;
+                    mean[4] += each.failed;
                 }
                 direct = direct == null ? mean : direct;
-                http1 = way == Way.HTTP1_TO_HTTP1 ? mean[3] : http1;
+                http1 = route == Route.HTTP1_TO_HTTP1 ? mean[3] : http1;
                 System.out.printf(
                         "bench grpc: way=%s clients=%d per_s=%.0f p50_us=%.0f p99_us=%.0f "
                                 + "added_p50_us=%.0f added_p99_us=%.0f cpu_us=%.1f cpu_to_http1=%.2f bad=%.0f%n",
-                        way,
+                        route,
                         clients,
                         mean[0],
                         mean[1],
@@ -101,43 +98,45 @@
         }
     }
 
-    private Result measure(Way way, int clients) throws Exception {
+    private Result measure(Route route, int clients) throws Exception {
         EffectLedger ledger = new EffectLedger(0, 0);
-        KeyMemory memory = new KeyMemory();
+        KeyMemory keyMemory = new KeyMemory();
         List<StandinServer> servers = new ArrayList<>();
-        EventLoop serving = group.next();
-        EventLoop loop = group.next();
-        EventLoop asking = group.next();
+        EventLoop serverLoop = group.next();
+        EventLoop sidecarLoop = group.next();
+        EventLoop clientLoop = group.next();
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new StandinServer(
-                    serving,
+                    serverLoop,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    StandinServer.Setup.of("s" + i, "a", way.servers, FaultScript.none(0), ledger, memory)));
+                    StandinServer.Setup.of("s" + i, "a", route.servers, FaultScript.none(0), ledger, keyMemory)));
         }
         try (GrpcProbe probe = GrpcProbe.over(
-                loop, way.servers, servers.stream().map(StandinServer::address).toList())) {
-            if (!way.grpcClient) {
-                try (ClosedLoad warm = new ClosedLoad(asking, List.of(probe.door()), clients)) {
-                    warm.run(WARM_MS / 2, WARM_MS / 2);
+                sidecarLoop,
+                route.servers,
+                servers.stream().map(StandinServer::address).toList())) {
+            if (!route.grpcClient) {
+                try (ClosedLoopLoad warmUp = new ClosedLoopLoad(clientLoop, List.of(probe.door()), clients)) {
+                    warmUp.run(WARM_UP_MS / 2, WARM_UP_MS / 2);
                 }
-                long before = cpu(loop);
-                try (ClosedLoad load = new ClosedLoad(asking, List.of(probe.door()), clients)) {
-                    load.run(0, COUNT_MS);
-                    return result(load.latency(), load.good(), load.bad(), cpu(loop) - before);
+                long before = cpuNanos(sidecarLoop);
+                try (ClosedLoopLoad load = new ClosedLoopLoad(clientLoop, List.of(probe.door()), clients)) {
+                    load.run(0, MEASURED_MS);
+                    return result(load.latency(), load.succeeded(), load.failed(), cpuNanos(sidecarLoop) - before);
                 }
             }
-            int port = way == Way.DIRECT_GRPC ? servers.get(0).address().getPort() : probe.port();
+            int port = route == Route.DIRECT_GRPC ? servers.get(0).address().getPort() : probe.port();
             ManagedChannel channel = NettyChannelBuilder.forAddress("127.0.0.1", port)
                     .usePlaintext()
                     .disableRetry()
                     .directExecutor()
                     .build();
             try {
-                new Calls(channel, clients).run(WARM_MS);
-                long before = cpu(loop);
-                Calls calls = new Calls(channel, clients);
-                calls.run(COUNT_MS);
-                return result(calls.latency, calls.good.sum(), calls.bad.sum(), cpu(loop) - before);
+                new ClosedLoopCalls(channel, clients).run(WARM_UP_MS);
+                long before = cpuNanos(sidecarLoop);
+                ClosedLoopCalls calls = new ClosedLoopCalls(channel, clients);
+                calls.run(MEASURED_MS);
+                return result(calls.latency, calls.succeeded.sum(), calls.failed.sum(), cpuNanos(sidecarLoop) - before);
             } finally {
                 channel.shutdownNow();
             }
@@ -146,75 +145,75 @@
         }
     }
 
-    private static Result result(Histogram latency, long good, long bad, long cpu) {
+    private static Result result(Histogram latency, long succeeded, long failed, long cpuNanos) {
         return new Result(
-                good * 1e3 / COUNT_MS,
+                succeeded * 1e3 / MEASURED_MS,
                 latency.getValueAtPercentile(50) / 1e3,
                 latency.getValueAtPercentile(99) / 1e3,
-                cpu / 1e3 / Math.max(1, good),
-                bad);
+                cpuNanos / 1e3 / Math.max(1, succeeded),
+                failed);
     }
 
-    private static long cpu(EventLoop loop) {
+    private static long cpuNanos(EventLoop loop) {
         return loop.submit(() -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime())
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** So many calls at a time, each begun as one ends. */
-    private static final class Calls {
+    /** Closed-loop load: keeps this number of calls open and starts the next one as soon as one ends. */
+    private static final class ClosedLoopCalls {
         private final Channel channel;
         private final int clients;
         private final MethodDescriptor<byte[], byte[]> method = GrpcProbe.confirm();
         private final Histogram latency = new ConcurrentHistogram(10_000_000_000L, 3);
-        private final LongAdder good = new LongAdder();
-        private final LongAdder bad = new LongAdder();
-        private volatile boolean over;
+        private final LongAdder succeeded = new LongAdder();
+        private final LongAdder failed = new LongAdder();
+        private volatile boolean stopped;
 
-        Calls(Channel channel, int clients) {
+        ClosedLoopCalls(Channel channel, int clients) {
             this.channel = channel;
             this.clients = clients;
         }
 
         private void run(long millis) throws InterruptedException {
             for (int i = 0; i < clients; i++) {
-                ask();
+                startCall();
             }
             Thread.sleep(millis);
-            over = true;
+            stopped = true;
         }
 
-        private void ask() {
+        private void startCall() {
             String id = "b" + IDS.incrementAndGet();
             Metadata headers = new Metadata();
             headers.put(Metadata.Key.of("req-id", Metadata.ASCII_STRING_MARSHALLER), id);
             headers.put(Metadata.Key.of("req-owner", Metadata.ASCII_STRING_MARSHALLER), "acme");
             headers.put(Metadata.Key.of("idempotency-key", Metadata.ASCII_STRING_MARSHALLER), id);
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             ClientCalls.asyncUnaryCall(
                     ClientInterceptors.intercept(channel, MetadataUtils.newAttachHeadersInterceptor(headers))
                             .newCall(method, CallOptions.DEFAULT),
                     new byte[200],
                     new StreamObserver<>() {
                         @Override
-                        public void onNext(byte[] answer) {}
+                        public void onNext(byte[] response) {}
 
                         @Override
-                        public void onError(Throwable problem) {
-                            bad.increment();
-                            again();
+                        public void onError(Throwable error) {
+                            failed.increment();
+                            startNext();
                         }
 
                         @Override
                         public void onCompleted() {
-                            good.increment();
-                            latency.recordValue(System.nanoTime() - began);
-                            again();
+                            succeeded.increment();
+                            latency.recordValue(System.nanoTime() - startNanos);
+                            startNext();
                         }
 
-                        private void again() {
-                            if (!over) {
-                                ask();
+                        private void startNext() {
+                            if (!stopped) {
+                                startCall();
                             }
                         }
                     });
--- a/src/test/java/pondridge/bench/Http2Bench.java
+++ b/src/test/java/pondridge/bench/Http2Bench.java
@@ -24,21 +24,27 @@
 import pondridge.standin.StandinServer.Protocol;
 
 /**
- * HTTP/1.1 against HTTP/2 towards the same stand-in servers, through real sidecar processes started as the
- * deploy file starts them, and direct. Ratios within this one run are what counts.
+ * Compares HTTP/1.1 and HTTP/2 to the same stand-in servers, through sidecar processes with the command of the
+ * deploy file, and without a sidecar. Only ratios within one run are meaningful.
  */
 final class Http2Bench {
     private static final int SERVERS = 4;
     private static final int ROUNDS = 2;
-    private static final long WARM_MS = 4_000;
-    private static final long COUNT_MS = 5_000;
-    private static final double TICKS = 100;
+    private static final long WARM_UP_MS = 4_000;
+    private static final long MEASURED_MS = 5_000;
+    private static final double CLOCK_TICKS_PER_SECOND = 100;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(5, NioIoHandler.newFactory());
     private final Path folder;
 
-    /** What a round gave; CPU in microseconds a request, memory in MB. */
+    /** The result of a round; CPU time is per request. */
     private record Result(
-            double perSecond, double p50, double p99, double cpu, int connections, double memory, long bad) {}
+            double perSecond,
+            double p50Micros,
+            double p99Micros,
+            double cpuMicros,
+            int connections,
+            double memoryMb,
+            long bad) {}
 
     Http2Bench() throws IOException {
         folder = Files.createTempDirectory("bench");
@@ -64,31 +70,31 @@
         return results.stream().mapToDouble(of).average().orElse(0);
     }
 
-    private static void print(String way, int clients, List<Result> of, List<Result> direct, List<Result> http1) {
-        double cpu = mean(of, Result::cpu);
+    private static void print(String variant, int clients, List<Result> of, List<Result> direct, List<Result> http1) {
+        double cpuMicros = mean(of, Result::cpuMicros);
         System.out.printf(
                 "bench http2: way=%s clients=%d per_s=%.0f per_s_core=%.0f p50_us=%.0f p99_us=%.0f "
                         + "added_p50_us=%.0f added_p99_us=%.0f cpu_us=%.1f cpu_to_http1=%.2f connections=%.0f "
                         + "connections_to_http1=%.2f memory_mb=%.1f bad=%.0f%n",
-                way,
+                variant,
                 clients,
                 mean(of, Result::perSecond),
-                cpu == 0 ? 0 : 1e6 / cpu,
-                mean(of, Result::p50),
-                mean(of, Result::p99),
-                mean(of, Result::p50) - mean(direct, Result::p50),
-                mean(of, Result::p99) - mean(direct, Result::p99),
-                cpu,
-                cpu / mean(http1, Result::cpu),
+                cpuMicros == 0 ? 0 : 1e6 / cpuMicros,
+                mean(of, Result::p50Micros),
+                mean(of, Result::p99Micros),
+                mean(of, Result::p50Micros) - mean(direct, Result::p50Micros),
+                mean(of, Result::p99Micros) - mean(direct, Result::p99Micros),
+                cpuMicros,
+                cpuMicros / mean(http1, Result::cpuMicros),
                 mean(of, Result::connections),
                 mean(of, Result::connections) / mean(http1, Result::connections),
-                mean(of, Result::memory),
+                mean(of, Result::memoryMb),
                 mean(of, Result::bad));
     }
 
-    private Result measure(String way, Protocol protocol, int clients) throws Exception {
+    private Result measure(String variant, Protocol protocol, int clients) throws Exception {
         EffectLedger ledger = new EffectLedger(0, 0);
-        KeyMemory memory = new KeyMemory();
+        KeyMemory keyMemory = new KeyMemory();
         List<StandinServer> servers = new ArrayList<>();
         EventLoop[] loops = {group.next(), group.next(), group.next()};
         Process sidecar = null;
@@ -97,31 +103,31 @@
                 servers.add(new StandinServer(
                         loops[i % 2],
                         local(0),
-                        StandinServer.Setup.of("s" + i, "a", protocol, FaultScript.none(0), ledger, memory)));
+                        StandinServer.Setup.of("s" + i, "a", protocol, FaultScript.none(0), ledger, keyMemory)));
             }
-            List<InetSocketAddress> doors =
+            List<InetSocketAddress> addresses =
                     servers.stream().map(StandinServer::address).toList();
-            if (way != null) {
-                InetSocketAddress door = local(freePort());
-                sidecar = start(way, door, servers);
-                doors = List.of(door);
+            if (variant != null) {
+                InetSocketAddress sidecarAddress = local(freePort());
+                sidecar = start(variant, sidecarAddress, servers);
+                addresses = List.of(sidecarAddress);
             }
-            try (ClosedLoad load = new ClosedLoad(loops[2], doors, clients)) {
-                load.run(WARM_MS / 2, WARM_MS / 2);
+            try (ClosedLoopLoad load = new ClosedLoopLoad(loops[2], addresses, clients)) {
+                load.run(WARM_UP_MS / 2, WARM_UP_MS / 2);
             }
-            double before = sidecar == null ? 0 : cpu(sidecar);
-            try (ClosedLoad load = new ClosedLoad(loops[2], doors, clients)) {
-                load.run(0, COUNT_MS);
-                double used = sidecar == null ? 0 : cpu(sidecar) - before;
+            double before = sidecar == null ? 0 : cpuSeconds(sidecar);
+            try (ClosedLoopLoad load = new ClosedLoopLoad(loops[2], addresses, clients)) {
+                load.run(0, MEASURED_MS);
+                double usedSeconds = sidecar == null ? 0 : cpuSeconds(sidecar) - before;
                 int held = servers.stream().mapToInt(StandinServer::connections).sum();
                 return new Result(
-                        load.good() * 1e3 / COUNT_MS,
+                        load.succeeded() * 1e3 / MEASURED_MS,
                         load.latency().getValueAtPercentile(50) / 1e3,
                         load.latency().getValueAtPercentile(99) / 1e3,
-                        used * 1e6 / load.good(),
+                        usedSeconds * 1e6 / load.succeeded(),
                         held,
-                        sidecar == null ? 0 : memory(sidecar),
-                        load.bad());
+                        sidecar == null ? 0 : memoryMb(sidecar),
+                        load.failed());
             }
         } finally {
             if (sidecar != null) {
@@ -141,8 +147,9 @@
         }
     }
 
-    /** Starts the deploy file's command, with settings of its own, and waits until it is ready. */
-    private Process start(String protocol, InetSocketAddress door, List<StandinServer> servers) throws Exception {
+    /** Starts a sidecar with the command of the deploy file and its own settings; waits until it is ready. */
+    private Process start(String protocol, InetSocketAddress sidecarAddress, List<StandinServer> servers)
+            throws Exception {
         String line = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(each -> each.startsWith("run = "))
                 .findFirst()
@@ -154,15 +161,15 @@
         builder.environment()
                 .put(
                         "PROXY_CONFIG",
-                        Files.writeString(folder.resolve("config.json"), config(door, servers))
+                        Files.writeString(folder.resolve("config.json"), config(sidecarAddress, servers))
                                 .toString());
         Process process = builder.redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log-" + protocol).toFile())
                 .start();
-        URI up = URI.create("http://127.0.0.1:" + door.getPort() + "/up");
+        URI readyUri = URI.create("http://127.0.0.1:" + sidecarAddress.getPort() + "/up");
         for (int i = 0; i < 400; i++) {
             try {
-                if (((HttpURLConnection) up.toURL().openConnection()).getResponseCode() == 200) {
+                if (((HttpURLConnection) readyUri.toURL().openConnection()).getResponseCode() == 200) {
                     return process;
                 }
             } catch (IOException e) {
@@ -172,10 +179,10 @@
             }
             Thread.sleep(50);
         }
-        throw new IOException("the sidecar did not get ready");
+        throw new IOException("sidecar not ready after 20 s");
     }
 
-    private static String config(InetSocketAddress door, List<StandinServer> servers) throws IOException {
+    private static String config(InetSocketAddress sidecarAddress, List<StandinServer> servers) throws IOException {
         ObjectMapper json = new ObjectMapper();
         ObjectNode root = (ObjectNode)
                 json.readTree(
@@ -191,7 +198,7 @@
                    "rampTime":7400000000,"overloadFactor":4.0,"tipAfter":1500000000},
                   "profiles":[{"name":"order-confirm","slo":500000000,"deadline":2000000000,
                    "semantics":"by_key","keyScope":"all","keyTtl":7500000000}]}}""");
-        root.put("listen", "127.0.0.1:" + door.getPort());
+        root.put("listen", "127.0.0.1:" + sidecarAddress.getPort());
         ArrayNode targets = root.withObject("/known").withArray("/targets");
         for (StandinServer server : servers) {
             targets.addObject()
@@ -207,15 +214,16 @@
         return root.toString();
     }
 
-    /** CPU seconds that a process has used so far, from the kernel's accounts. */
-    private static double cpu(Process process) throws IOException {
+    /** CPU time of a process in seconds, from /proc. */
+    private static double cpuSeconds(Process process) throws IOException {
         String[] fields = Files.readString(Path.of("/proc/" + process.pid() + "/stat"))
                 .split("\\) ")[1]
                 .split(" ");
-        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / TICKS;
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / CLOCK_TICKS_PER_SECOND;
     }
 
-    private static double memory(Process process) throws IOException {
+    /** Resident memory of a process in MB, from /proc. */
+    private static double memoryMb(Process process) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
                         .filter(line -> line.startsWith("VmRSS:"))
                         .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
--- a/src/test/java/pondridge/bench/RequestPathBench.java
+++ b/src/test/java/pondridge/bench/RequestPathBench.java
@@ -26,49 +26,50 @@
 import pondridge.standin.DiscoveryStandin;
 
 /**
- * What sidecars add to a request's time: a chain of services, each of which calls the next one by its own
- * real sidecar, against the same chain without sidecars, in turn in one run. Arrivals are drawn ahead and
- * wait for no answer; time counts from when a request should have been sent.
+ * Measures the latency that sidecars add: a chain of services, each of which calls the next one through its own
+ * sidecar process, compared with the same chain without sidecars, alternating in one run. The load is open-loop:
+ * arrivals do not wait for responses, and latency counts from the intended time of sending.
  */
 final class RequestPathBench {
     private static final int[] DEPTHS = {1, 2, 4, 8, 16};
-    private static final int DEEPEST = 16;
+    private static final int MAX_DEPTH = 16;
     private static final int SERVERS = 16;
-    /** Of each sidecar on the way; the operators' mean. */
-    private static final double RATE = 112;
+    /** The operators' mean request rate of a sidecar. */
+    private static final double REQUESTS_PER_SECOND = 112;
 
     private static final int ROUNDS = 3;
-    private static final int WARM = 336;
-    /** At the start of each round, not counted: clients' connections have been idle. */
-    private static final int LEAD = 22;
+    private static final int WARM_UP_REQUESTS = 336;
+    /** Requests at the start of each round that are not counted, because connections of clients have been idle. */
+    private static final int UNCOUNTED_REQUESTS = 22;
 
-    private static final int COUNTED = 140;
-    private static final double TICKS = 100;
-    private static final int LOOPS = 5;
+    private static final int COUNTED_REQUESTS = 140;
+    private static final double CLOCK_TICKS_PER_SECOND = 100;
+    private static final int EVENT_LOOPS = 5;
 
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
     private final EventLoop clients = group.next();
-    private final Caller caller = new Caller(clients);
+    private final ServiceClient client = new ServiceClient(clients);
     private final Random random = new Random(1);
-    private final Relay[] relays = new Relay[DEEPEST];
-    private final InetSocketAddress[] doors = new InetSocketAddress[DEEPEST];
+    private final ChainService[] services = new ChainService[MAX_DEPTH];
+    private final InetSocketAddress[] sidecarAddresses = new InetSocketAddress[MAX_DEPTH];
     private final List<Process> sidecars = new ArrayList<>();
     private final Path folder;
-    /** Between rounds nothing is on its way. */
-    private volatile boolean through;
+    /** Changed only between rounds, while no request is open. */
+    private volatile boolean throughSidecars;
 
     RequestPathBench() throws IOException {
         folder = Files.createTempDirectory("bench");
     }
 
-    /** What was measured of one way at one depth. */
-    private static final class Way {
-        private final Histogram took = new Histogram(60_000_000_000L, 3);
-        private final AtomicInteger bad = new AtomicInteger();
-        private double cpu;
+    /** The measurements of one depth, either with or without sidecars. */
+    private static final class Measurement {
+        private final Histogram latency = new Histogram(60_000_000_000L, 3);
+        private final AtomicInteger failed = new AtomicInteger();
+        private double cpuSeconds;
 
         private double micros(double percentile) {
-            return took.getValueAtPercentile(percentile) / 1e3;
+            return latency.getValueAtPercentile(percentile) / 1e3;
         }
     }
 
@@ -84,103 +85,112 @@
     }
 
     private void measure() throws Exception {
-        Way[][] ways = new Way[DEPTHS.length][2];
-        for (Way[] each : ways) {
-            each[0] = new Way();
-            each[1] = new Way();
+        Measurement[][] measurements = new Measurement[DEPTHS.length][2];
+        for (Measurement[] each : measurements) {
+            each[0] = new Measurement();
+            each[1] = new Measurement();
         }
-        for (int way = 0; way < 2; way++) {
-            through = way == 1;
-            load(DEEPEST, WARM, WARM, new Way());
+        for (int variant = 0; variant < 2; variant++) {
+            throughSidecars = variant == 1;
+            load(MAX_DEPTH, WARM_UP_REQUESTS, WARM_UP_REQUESTS, new Measurement());
         }
         for (int round = 0; round < ROUNDS; round++) {
             for (int i = 0; i < DEPTHS.length; i++) {
-                for (int way = 0; way < 2; way++) {
-                    through = way == 1;
-                    load(DEPTHS[i], LEAD + COUNTED, LEAD, ways[i][way]);
+                for (int variant = 0; variant < 2; variant++) {
+                    throughSidecars = variant == 1;
+                    load(
+                            DEPTHS[i],
+                            UNCOUNTED_REQUESTS + COUNTED_REQUESTS,
+                            UNCOUNTED_REQUESTS,
+                            measurements[i][variant]);
                 }
             }
         }
         for (int i = 0; i < DEPTHS.length; i++) {
-            Way direct = ways[i][0];
-            Way by = ways[i][1];
+            Measurement direct = measurements[i][0];
+            Measurement viaSidecars = measurements[i][1];
             System.out.printf(
                     "bench request-path: depth=%d requests=%d direct_p50_us=%.0f "
                             + "direct_p99_us=%.0f through_p50_us=%.0f through_p99_us=%.0f added_p50_us=%.0f "
                             + "added_p99_us=%.0f added_p50_us_hop=%.0f added_p99_us_hop=%.0f bad_direct=%d "
                             + "bad_through=%d%n",
                     DEPTHS[i],
-                    by.took.getTotalCount(),
+                    viaSidecars.latency.getTotalCount(),
                     direct.micros(50),
                     direct.micros(99),
-                    by.micros(50),
-                    by.micros(99),
-                    by.micros(50) - direct.micros(50),
-                    by.micros(99) - direct.micros(99),
-                    (by.micros(50) - direct.micros(50)) / DEPTHS[i],
-                    (by.micros(99) - direct.micros(99)) / DEPTHS[i],
-                    direct.bad.get(),
-                    by.bad.get());
+                    viaSidecars.micros(50),
+                    viaSidecars.micros(99),
+                    viaSidecars.micros(50) - direct.micros(50),
+                    viaSidecars.micros(99) - direct.micros(99),
+                    (viaSidecars.micros(50) - direct.micros(50)) / DEPTHS[i],
+                    (viaSidecars.micros(99) - direct.micros(99)) / DEPTHS[i],
+                    direct.failed.get(),
+                    viaSidecars.failed.get());
         }
-        Way[] deepest = ways[DEPTHS.length - 1];
-        double requests = (double) ROUNDS * (LEAD + COUNTED) * DEEPEST;
+        Measurement[] atMaxDepth = measurements[DEPTHS.length - 1];
+        double requests = (double) ROUNDS * (UNCOUNTED_REQUESTS + COUNTED_REQUESTS) * MAX_DEPTH;
         System.out.printf(
                 "bench request-path: sidecars=%d cpu_us_request=%.0f cpu_us_request_over_idle=%.0f "
                         + "memory_mb=%.1f%n",
-                DEEPEST, deepest[1].cpu * 1e6 / requests, (deepest[1].cpu - deepest[0].cpu) * 1e6 / requests, memory());
+                MAX_DEPTH,
+                atMaxDepth[1].cpuSeconds * 1e6 / requests,
+                (atMaxDepth[1].cpuSeconds - atMaxDepth[0].cpuSeconds) * 1e6 / requests,
+                meanMemoryMb());
     }
 
-    /** The whole chain once; a way that is less deep begins further down. */
+    /** Builds the chain of the greatest depth; a shorter chain starts at a later service of it. */
     private void build() throws Exception {
-        List<ServerSocket> held = new ArrayList<>();
-        for (int i = 0; i < DEEPEST; i++) {
-            ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            held.add(any);
-            doors[i] = (InetSocketAddress) any.getLocalSocketAddress();
+        List<ServerSocket> portReservations = new ArrayList<>();
+        for (int i = 0; i < MAX_DEPTH; i++) {
+            ServerSocket reservation = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+            portReservations.add(reservation);
+            sidecarAddresses[i] = (InetSocketAddress) reservation.getLocalSocketAddress();
         }
-        for (int i = DEEPEST - 1; i >= 0; i--) {
+        for (int i = MAX_DEPTH - 1; i >= 0; i--) {
             int next = i + 1;
-            Supplier<InetSocketAddress> onward = () -> through ? doors[next] : relays[next].inTurn();
-            relays[i] = new Relay(
+            Supplier<InetSocketAddress> nextHop =
+                    () -> throughSidecars ? sidecarAddresses[next] : services[next].nextAddress();
+            services[i] = new ChainService(
                     group.next(),
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                     SERVERS,
-                    next == DEEPEST ? null : onward);
+                    next == MAX_DEPTH ? null : nextHop);
         }
-        for (int i = 0; i < DEEPEST; i++) {
-            held.get(i).close();
+        for (int i = 0; i < MAX_DEPTH; i++) {
+            portReservations.get(i).close();
             sidecars.add(start(i));
         }
-        for (int i = 0; i < DEEPEST; i++) {
-            awaitUp(i);
+        for (int i = 0; i < MAX_DEPTH; i++) {
+            awaitReady(i);
         }
     }
 
-    private void load(int depth, int requests, int uncounted, Way way) throws Exception {
-        int first = DEEPEST - depth;
-        double before = cpu();
+    private void load(int depth, int requests, int uncounted, Measurement measurement) throws Exception {
+        int first = MAX_DEPTH - depth;
+        double before = cpuSeconds();
         CountDownLatch left = new CountDownLatch(requests);
         long at = System.nanoTime();
         for (int i = 0; i < requests; i++) {
-            at += (long) (-Math.log(1 - random.nextDouble()) / RATE * 1e9);
+            at += (long) (-Math.log(1 - random.nextDouble()) / REQUESTS_PER_SECOND * 1e9);
             for (long wait = at - System.nanoTime(); wait > 0; wait = at - System.nanoTime()) {
                 LockSupport.parkNanos(wait);
             }
             long intended = at;
             boolean counted = i >= uncounted;
-            clients.execute(() -> caller.call(through ? doors[first] : relays[first].inTurn(), status -> {
-                if (counted && status == 200) {
-                    way.took.recordValue(System.nanoTime() - intended);
-                } else if (status != 200) {
-                    way.bad.incrementAndGet();
-                }
-                left.countDown();
-            }));
+            clients.execute(() ->
+                    client.send(throughSidecars ? sidecarAddresses[first] : services[first].nextAddress(), status -> {
+                        if (counted && status == 200) {
+                            measurement.latency.recordValue(System.nanoTime() - intended);
+                        } else if (status != 200) {
+                            measurement.failed.incrementAndGet();
+                        }
+                        left.countDown();
+                    }));
         }
         if (!left.await(10, TimeUnit.SECONDS)) {
-            throw new IOException(left.getCount() + " calls have no answer");
+            throw new IOException(left.getCount() + " requests without a response after 10 s");
         }
-        way.cpu += cpu() - before;
+        measurement.cpuSeconds += cpuSeconds() - before;
     }
 
     private Process start(int number) throws IOException {
@@ -200,11 +210,11 @@
                 .start();
     }
 
-    private void awaitUp(int number) throws Exception {
-        URI up = URI.create("http://127.0.0.1:" + doors[number].getPort() + "/up");
+    private void awaitReady(int number) throws Exception {
+        URI readyUri = URI.create("http://127.0.0.1:" + sidecarAddresses[number].getPort() + "/up");
         for (int i = 0; i < 400; i++) {
             try {
-                if (((HttpURLConnection) up.toURL().openConnection()).getResponseCode() == 200) {
+                if (((HttpURLConnection) readyUri.toURL().openConnection()).getResponseCode() == 200) {
                     return;
                 }
             } catch (IOException e) {
@@ -214,12 +224,12 @@
             }
             Thread.sleep(50);
         }
-        throw new IOException("sidecar " + number + " did not get ready");
+        throw new IOException("sidecar " + number + " not ready after 20 s");
     }
 
     private String config(int number) throws IOException {
         ObjectMapper json = new ObjectMapper();
-        // Connections to servers are kept for longer than rounds of another depth last.
+        // connIdle is longer than the rounds of all other depths, so that connections to servers stay open.
         ObjectNode root = (ObjectNode)
                 json.readTree(
                         """
@@ -233,11 +243,11 @@
                    "rampTime":7400000000,"overloadFactor":4.0,"tipAfter":1500000000},
                   "profiles":[{"name":"order-confirm","slo":500000000,"deadline":2000000000,
                    "semantics":"by_key","keyScope":"all","keyTtl":7500000000}]}}""");
-        root.put("name", "n" + number).put("listen", "127.0.0.1:" + doors[number].getPort());
+        root.put("name", "n" + number).put("listen", "127.0.0.1:" + sidecarAddresses[number].getPort());
         root.put("seed", Integer.toHexString(number + 1));
         ArrayNode targets = root.withObject("/known").withArray("/targets");
         List<DiscoveryStandin.Entry> entries = new ArrayList<>();
-        for (InetSocketAddress each : relays[number].addresses()) {
+        for (InetSocketAddress each : services[number].addresses()) {
             DiscoveryStandin.Entry entry = new DiscoveryStandin.Entry("s" + entries.size(), each, "a", "SERVING", 0);
             entries.add(entry);
             targets.add(json.readTree(entry.json()));
@@ -247,8 +257,8 @@
         return root.put("discovery", "127.0.0.1:" + agent.address().getPort()).toString();
     }
 
-    /** CPU seconds of all sidecars so far, from the kernel's accounts. */
-    private double cpu() throws IOException {
+    /** CPU time of all sidecars in seconds, from /proc. */
+    private double cpuSeconds() throws IOException {
         long ticks = 0;
         for (Process each : sidecars) {
             String[] fields = Files.readString(Path.of("/proc/" + each.pid() + "/stat"))
@@ -256,11 +266,11 @@
                     .split(" ");
             ticks += Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
         }
-        return ticks / TICKS;
+        return ticks / CLOCK_TICKS_PER_SECOND;
     }
 
-    /** Of a sidecar, in MB, on average. */
-    private double memory() throws IOException {
+    /** Mean resident memory of a sidecar in MB, from /proc. */
+    private double meanMemoryMb() throws IOException {
         double sum = 0;
         for (Process each : sidecars) {
             sum += Files.readAllLines(Path.of("/proc/" + each.pid() + "/status")).stream()
--- a/src/test/java/pondridge/bench/ScaleBench.java
+++ b/src/test/java/pondridge/bench/ScaleBench.java
@@ -13,7 +13,7 @@
         ScaleReport report = new ScaleRun(plan, ScaleRun.Source.DISCOVERY, System.out::println).play();
         report.lines().forEach(line -> System.out.println("bench " + line));
         if (!report.clean()) {
-            throw new IllegalStateException("not clean: see above");
+            throw new IllegalStateException("a rule was broken or a change arrived late; see the report above");
         }
     }
 }
--- a/src/test/java/pondridge/bench/Caller.java
+++ b/src/test/java/pondridge/bench/ServiceClient.java
@@ -25,35 +25,35 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntConsumer;
 
-/** A service's way out: confirmations over HTTP/1.1, each with an id of its own, on one loop. */
-final class Caller {
+/** The HTTP/1.1 client of a service: sends order confirmations, each with a unique id, from one event loop. */
+final class ServiceClient {
     private static final AtomicInteger IDS = new AtomicInteger();
-    private static final int LARGEST = 1 << 20;
-    private static final int BODY = 200;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final int REQUEST_BODY_BYTES = 200;
     private final EventLoop loop;
-    private final Map<InetSocketAddress, ArrayDeque<Line>> idle = new HashMap<>();
+    private final Map<InetSocketAddress, ArrayDeque<Connection>> idleConnections = new HashMap<>();
 
-    Caller(EventLoop loop) {
+    ServiceClient(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Runs on the loop; {@code answered} is told the status, 0 where no answer came. */
-    void call(InetSocketAddress to, IntConsumer answered) {
-        ArrayDeque<Line> lines = idle.computeIfAbsent(to, each -> new ArrayDeque<>());
-        Line line = lines.pollLast();
-        while (line != null && !line.channel.isActive()) {
-            line = lines.pollLast();
+    /** Runs on the event loop; {@code onStatus} receives the response status, or 0 if there was no response. */
+    void send(InetSocketAddress to, IntConsumer onStatus) {
+        ArrayDeque<Connection> connections = idleConnections.computeIfAbsent(to, each -> new ArrayDeque<>());
+        Connection connection = connections.pollLast();
+        while (connection != null && !connection.channel.isActive()) {
+            connection = connections.pollLast();
         }
-        if (line != null) {
-            line.reused = true;
-            line.ask(answered);
+        if (connection != null) {
+            connection.reused = true;
+            connection.write(onStatus);
         } else {
-            dial(to, answered);
+            connect(to, onStatus);
         }
     }
 
-    private void dial(InetSocketAddress to, IntConsumer answered) {
-        Line made = new Line(to);
+    private void connect(InetSocketAddress to, IntConsumer onStatus) {
+        Connection connection = new Connection(to);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -61,16 +61,20 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        made.channel = channel;
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST), made);
+                        connection.channel = channel;
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        connection);
                     }
                 })
                 .connect(to)
                 .addListener((ChannelFutureListener) done -> {
                     if (done.isSuccess()) {
-                        made.ask(answered);
+                        connection.write(onStatus);
                     } else {
-                        answered.accept(0);
+                        onStatus.accept(0);
                     }
                 });
     }
@@ -78,7 +82,10 @@
     private static FullHttpRequest request() {
         String id = "p" + IDS.incrementAndGet();
         FullHttpRequest request = new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/" + id, Unpooled.wrappedBuffer(new byte[BODY]));
+                HttpVersion.HTTP_1_1,
+                HttpMethod.POST,
+                "/api/" + id,
+                Unpooled.wrappedBuffer(new byte[REQUEST_BODY_BYTES]));
         request.headers()
                 .set(HttpHeaderNames.HOST, "app.svc")
                 .set("Req-Id", id)
@@ -86,43 +93,43 @@
                 .set("Req-Owner", "acme")
                 .set("Req-Deadline-Ms", 2000)
                 .set("Idempotency-Key", id)
-                .set(HttpHeaderNames.CONTENT_LENGTH, BODY);
+                .set(HttpHeaderNames.CONTENT_LENGTH, REQUEST_BODY_BYTES);
         return request;
     }
 
-    /** A connection: one call at a time. */
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** A connection with at most one request at a time. */
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final InetSocketAddress to;
         private Channel channel;
-        private IntConsumer waiting;
+        private IntConsumer pending;
         private boolean reused;
 
-        Line(InetSocketAddress to) {
+        Connection(InetSocketAddress to) {
             this.to = to;
         }
 
-        void ask(IntConsumer answered) {
-            waiting = answered;
+        void write(IntConsumer onStatus) {
+            pending = onStatus;
             channel.writeAndFlush(request());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            IntConsumer answered = waiting;
-            waiting = null;
-            idle.get(to).addLast(this);
-            answered.accept(response.status().code());
+            IntConsumer onStatus = pending;
+            pending = null;
+            idleConnections.get(to).addLast(this);
+            onStatus.accept(response.status().code());
         }
 
-        /** What crosses the close of a connection that was kept is asked once more. */
+        /** Retries once, on a new connection, a request that was sent while a kept-alive connection was closing. */
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            IntConsumer answered = waiting;
-            waiting = null;
-            if (answered != null && reused) {
-                dial(to, answered);
-            } else if (answered != null) {
-                answered.accept(0);
+            IntConsumer onStatus = pending;
+            pending = null;
+            if (onStatus != null && reused) {
+                connect(to, onStatus);
+            } else if (onStatus != null) {
+                onStatus.accept(0);
             }
         }
 
--- a/src/test/java/pondridge/bench/StoreBench.java
+++ b/src/test/java/pondridge/bench/StoreBench.java
@@ -21,27 +21,31 @@
 import pondridge.store.StoreSettings;
 
 /**
- * What a shared store is worth, what its troubles cost, what lending is worth, in virtual time and by number
- * of sidecars; what an exchange costs over sockets; and what three clients of such a store cost a process.
+ * Measures, in virtual time and by number of sidecars, the benefit of a shared store, the cost of its failures and
+ * the benefit of leases; then the cost of an exchange over sockets, and the footprint of three store clients in a
+ * process.
  */
 final class StoreBench {
+    /** Numbers of sidecars and servers. */
     private static final int[][] FLEETS = {{3, 8}, {8, 16}, {64, 32}, {1_000, 100}};
-    private static final int[][] COSTS = {{3, 8}, {3, 64}, {3, 256}, {12, 64}, {48, 64}};
-    private static final long SECONDS = 24;
-    private static final long COST_S = 6;
+
+    private static final int[][] COST_FLEETS = {{3, 8}, {3, 64}, {3, 256}, {12, 64}, {48, 64}};
+    private static final long VIRTUAL_SECONDS = 24;
+    private static final long COST_SECONDS = 6;
 
     void run() throws Exception {
-        clients();
-        costs();
-        hearsay();
-        lending();
+        clientFootprints();
+        exchangeCosts();
+        peerReports();
+        leases();
     }
 
-    private static void hearsay() {
+    private static void peerReports() {
         for (int[] fleet : FLEETS) {
             Result without = null;
             for (Store store : fleet[0] > 64 ? new Store[] {Store.NONE, Store.GOOD, Store.POISON} : Store.values()) {
-                Result result = StoreModel.play(new Plan(fleet[0], fleet[1], store, false, false, false, SECONDS, 1));
+                Result result =
+                        StoreModel.play(new Plan(fleet[0], fleet[1], store, false, false, false, VIRTUAL_SECONDS, 1));
                 without = without == null ? result : without;
                 System.out.printf(
                         "bench store: sidecars=%d servers=%d store=%s %s worth_to_without=%.4f "
@@ -57,11 +61,13 @@
         }
     }
 
-    private static void lending() {
+    private static void leases() {
         for (int[] fleet : FLEETS) {
             for (boolean all : new boolean[] {false, true}) {
-                Result own = StoreModel.play(new Plan(fleet[0], fleet[1], Store.GOOD, all, false, false, SECONDS, 1));
-                Result lent = StoreModel.play(new Plan(fleet[0], fleet[1], Store.GOOD, all, true, false, SECONDS, 1));
+                Result own = StoreModel.play(
+                        new Plan(fleet[0], fleet[1], Store.GOOD, all, false, false, VIRTUAL_SECONDS, 1));
+                Result lent =
+                        StoreModel.play(new Plan(fleet[0], fleet[1], Store.GOOD, all, true, false, VIRTUAL_SECONDS, 1));
                 System.out.printf(
                         "bench store-leases: sidecars=%d servers=%d cold=%s worth_own=%.4f "
                                 + "worth_lent=%.4f ratio=%.4f cold_used_own=%.2f cold_used_lent=%.2f p99_own=%.0f "
@@ -81,10 +87,11 @@
     }
 
     /**
-     * Real exchanges with the stand-in over loopback, at one period a second, so many members on one loop.
+     * Measures exchanges with the stand-in store over loopback, one per second and member, with all members on one
+     * event loop.
      */
-    private static void costs() throws Exception {
-        for (int[] each : COSTS) {
+    private static void exchangeCosts() throws Exception {
+        for (int[] each : COST_FLEETS) {
             MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
             EventLoop loop = group.next();
             try (RedisStandin store = new RedisStandin(
@@ -94,20 +101,20 @@
                 List<StoreProbe> members = IntStream.range(0, each[0])
                         .mapToObj(number -> StoreProbe.begin(loop, settings(store, "m" + number), each[1], number))
                         .toList();
-                Thread.sleep(TimeUnit.SECONDS.toMillis(COST_S));
-                long commands = store.commands();
-                long bytes = store.bytes();
-                long cpu = cpu(loop);
-                Thread.sleep(TimeUnit.SECONDS.toMillis(COST_S));
-                double memberSeconds = each[0] * COST_S;
+                Thread.sleep(TimeUnit.SECONDS.toMillis(COST_SECONDS));
+                long commandsBefore = store.commands();
+                long bytesBefore = store.bytes();
+                long cpuBefore = cpu(loop);
+                Thread.sleep(TimeUnit.SECONDS.toMillis(COST_SECONDS));
+                double memberSeconds = each[0] * COST_SECONDS;
                 System.out.printf(
                         "bench store-cost: sidecars=%d servers=%d commands_a_second=%.1f "
                                 + "bytes_a_second=%.0f cpu_us_a_second=%.0f%n",
                         each[0],
                         each[1],
-                        (store.commands() - commands) / memberSeconds,
-                        (store.bytes() - bytes) / memberSeconds,
-                        (cpu(loop) - cpu) / 1e3 / memberSeconds);
+                        (store.commands() - commandsBefore) / memberSeconds,
+                        (store.bytes() - bytesBefore) / memberSeconds,
+                        (cpu(loop) - cpuBefore) / 1e3 / memberSeconds);
                 members.forEach(StoreProbe::close);
             } finally {
                 group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
@@ -130,12 +137,12 @@
                 Path.of("."));
     }
 
-    /** Each client in a process of its own, five times. */
-    private static void clients() throws Exception {
+    /** Measures each client in its own process, five times. */
+    private static void clientFootprints() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (RedisStandin store = new RedisStandin(
                 group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), RedisStandin.Setup.usual())) {
-            for (int turn = 0; turn < 5; turn++) {
+            for (int round = 0; round < 5; round++) {
                 for (String client : List.of("none", "own", "lettuce", "jedis")) {
                     Process process = new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
@@ -145,14 +152,14 @@
                                     "-XX:TieredStopAtLevel=1",
                                     "-cp",
                                     System.getProperty("java.class.path").replace("::", File.pathSeparator),
-                                    StoreClientCost.class.getName(),
+                                    StoreClientFootprint.class.getName(),
                                     client,
                                     Integer.toString(store.address().getPort()))
                             .inheritIO()
                             .start();
                     if (!process.waitFor(60, TimeUnit.SECONDS) || process.exitValue() != 0) {
                         process.destroyForcibly();
-                        throw new IllegalStateException("client " + client);
+                        throw new IllegalStateException("client process failed or timed out after 60 s: " + client);
                     }
                 }
             }
--- a/src/test/java/pondridge/bench/StoreClientCost.java
+++ b/src/test/java/pondridge/bench/StoreClientFootprint.java
@@ -18,39 +18,39 @@
 import pondridge.store.StoreSettings;
 import redis.clients.jedis.Jedis;
 
-/** One client of a store in this process: what it adds to a loop that stands already. */
-final class StoreClientCost {
-    private StoreClientCost() {}
+/** Starts one store client in this process and prints what it adds to an event loop that already runs. */
+final class StoreClientFootprint {
+    private StoreClientFootprint() {}
 
     public static void main(String[] args) throws Exception {
         int port = Integer.parseInt(args[1]);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         loop.submit(() -> {}).sync();
-        long began = System.nanoTime();
-        Runnable end =
+        long startNanos = System.nanoTime();
+        Runnable closeClient =
                 switch (args[0]) {
-                    case "own" -> own(loop, port);
+                    case "own" -> bankflow(loop, port);
                     case "lettuce" -> lettuce(group, port);
                     case "jedis" -> jedis(port);
                     default -> () -> {};
                 };
-        long took = System.nanoTime() - began;
+        long firstReplyNanos = System.nanoTime() - startNanos;
         System.gc();
         System.out.printf(
                 "bench store-client: client=%s first_reply_ms=%.0f threads=%d classes=%d "
                         + "heap_kb=%d resident_kb=%d%n",
                 args[0],
-                took / 1e6,
+                firstReplyNanos / 1e6,
                 ManagementFactory.getThreadMXBean().getThreadCount(),
                 ManagementFactory.getClassLoadingMXBean().getLoadedClassCount(),
                 ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() >> 10,
-                resident());
-        end.run();
+                residentKb());
+        closeClient.run();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    private static long resident() throws IOException {
+    private static long residentKb() throws IOException {
         return Files.readAllLines(Path.of("/proc/self/status")).stream()
                 .filter(line -> line.startsWith("VmRSS"))
                 .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
@@ -58,23 +58,23 @@
                 .orElse(0);
     }
 
-    private static Runnable own(EventLoop loop, int port) throws InterruptedException {
+    private static Runnable bankflow(EventLoop loop, int port) throws InterruptedException {
         StoreSettings settings = StoreSettings.of(
                 SettingsFile.parse(
                         "x", "[store]\naddress = \"127.0.0.1:" + port + "\"\nperiod = \"20ms\"\nwithin = \"20ms\"\n"),
                 Path.of("."));
         StoreProbe probe = StoreProbe.begin(loop, settings, 1, 1);
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch exchanged = new CountDownLatch(1);
         loop.scheduleAtFixedRate(
                 () -> {
                     if (probe.exchanges() > 1) {
-                        asked.countDown();
+                        exchanged.countDown();
                     }
                 },
                 0,
                 1,
                 TimeUnit.MILLISECONDS);
-        asked.await(10, TimeUnit.SECONDS);
+        exchanged.await(10, TimeUnit.SECONDS);
         return probe::close;
     }
 
