--- a/src/main/java/pondridge/demo/Sites.java
+++ b/src/main/java/pondridge/demo/Sites.java
@@ -104,8 +104,8 @@
         }
 
         /** The links from one other site to this one, one for each gateway here. */
-        public List<FaultyLink> linksFrom(String other) {
-            return links.get(other);
+        public List<FaultyLink> linksFrom(String otherSite) {
+            return links.get(otherSite);
         }
 
         public List<StandinServer> servers() {
@@ -123,24 +123,24 @@
         }
 
         /** Cuts the servers off (open connections are reset, new ones refused) or makes them reachable again. */
-        public void cut(boolean on) {
-            cut(on, serverLinks.size());
+        public void cut(boolean unreachable) {
+            cut(unreachable, serverLinks.size());
         }
 
         /** Like {@link #cut(boolean)}, for only the first servers. */
-        public void cut(boolean on, int first) {
+        public void cut(boolean unreachable, int first) {
             for (FaultyLink serverLink : serverLinks.subList(0, first)) {
-                serverLink.refuse(on);
-                if (on) {
+                serverLink.refuse(unreachable);
+                if (unreachable) {
                     serverLink.reset();
                 }
             }
         }
 
         /** Stalls the links to the servers (connections stay open, no bytes pass) or lets them pass bytes again. */
-        public void stall(boolean on) {
+        public void stall(boolean stalled) {
             serverLinks.forEach(serverLink ->
-                    serverLink.set(FaultyLink.Condition.delayed(0, 0).stalled(on)));
+                    serverLink.set(FaultyLink.Condition.delayed(0, 0).stalled(stalled)));
         }
 
         /** Publishes this state of all servers to the gateways. */
