--- a/src/main/java/pondridge/lab/Bed.java
+++ b/src/main/java/pondridge/lab/Bed.java
@@ -16,151 +16,162 @@
 import pondridge.Balancer.Upstream;
 import pondridge.Rules;
 
-/** Plays a {@link Scene} with the real module. */
+/** Runs a {@link Scene} with the real decision module. */
 public final class Bed {
-    /** The module's clock begins here: in lists a start at 0 means long ago. */
-    private static final long BEGIN = 1_000_000_000_000L;
+    /** Start of the modules' clock. It is not 0, since a start time of 0 in a list means a server that is long warm. */
+    private static final long CLOCK_START_NANOS = 1_000_000_000_000L;
 
-    private static final long SECOND = 1_000_000_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-    /** One request as its client sees it, over its tries. */
-    private record Asked(long at, int module, int kind, double requests, boolean again) {}
+    /**
+     * One request of a client, over all its tries.
+     *
+     * @param relativeWork its work relative to the mean work
+     * @param retry whether this is the try after a refusal
+     */
+    private record ClientRequest(long startNanos, int sidecar, int classIndex, double relativeWork, boolean retry) {}
 
-    /** A try at a module. */
+    /** One try of a client's request at a sidecar. */
     private static final class Try {
-        final Asked asked;
-        final long at;
+        final ClientRequest clientRequest;
+        final long receivedNanos;
         final List<Upstreams.Work> attempts = new ArrayList<>();
-        final List<Boolean> out = new ArrayList<>();
+        final List<Boolean> pending = new ArrayList<>();
         boolean ended;
 
-        Try(Asked asked, long at) {
-            this.asked = asked;
-            this.at = at;
+        Try(ClientRequest clientRequest, long receivedNanos) {
+            this.clientRequest = clientRequest;
+            this.receivedNanos = receivedNanos;
         }
     }
 
-    private final Scene scene;
+    private final Scene scenario;
     private final Random random;
     private final Queue queue = new Queue();
-    private final Tally tally;
-    private final Upstreams upstreams;
-    private final Host[] hosts;
-    private final long[] startedAt;
-    private final boolean[] gone;
-    private long now;
-    private long ids;
-    private int turn;
-    private long clientsStillUntil;
+    private final Tally result;
+    private final Upstreams servers;
+    private final SidecarHost[] sidecars;
+    private final long[] startedNanos;
+    private final boolean[] removed;
+    private long nowNanos;
+    private long nextRequestId;
+    private int nextSidecar;
+    private long clientsPausedUntilNanos;
 
-    private Bed(Scene scene) {
-        this.scene = scene;
-        this.random = new Random(scene.seed());
-        this.tally = new Tally(scene.upstreams().size());
-        this.upstreams = new Upstreams(queue, tally, scene);
-        this.hosts = new Host[scene.modules()];
-        this.startedAt = new long[scene.upstreams().size()];
-        this.gone = new boolean[startedAt.length];
+    private Bed(Scene scenario) {
+        this.scenario = scenario;
+        this.random = new Random(scenario.seed());
+        this.result = new Tally(scenario.servers().size());
+        this.servers = new Upstreams(queue, result, scenario);
+        this.sidecars = new SidecarHost[scenario.sidecars()];
+        this.startedNanos = new long[scenario.servers().size()];
+        this.removed = new boolean[startedNanos.length];
     }
 
-    /** Plays it to its end. */
-    public static Tally play(Scene scene) {
-        Bed bed = new Bed(scene);
-        scene.changes().forEach(change -> bed.queue.at(change.at(), at -> bed.change(at, change)));
-        bed.queue.at(0, at -> {
-            for (int i = 0; i < bed.hosts.length; i++) {
-                if (bed.hosts[i] == null) {
-                    bed.startSidecar(at, i);
+    /** Runs the scenario to its end. */
+    public static Tally play(Scene scenario) {
+        Bed simulation = new Bed(scenario);
+        scenario.events()
+                .forEach(event ->
+                        simulation.queue.schedule(event.atNanos(), atNanos -> simulation.applyEvent(atNanos, event)));
+        simulation.queue.schedule(0, atNanos -> {
+            for (int i = 0; i < simulation.sidecars.length; i++) {
+                if (simulation.sidecars[i] == null) {
+                    simulation.startSidecar(atNanos, i);
                 }
             }
-            bed.arrive(at);
+            simulation.arrive(atNanos);
         });
-        bed.queue.play(scene.end());
-        return bed.tally;
+        simulation.queue.runUntil(scenario.endNanos());
+        return simulation.result;
     }
 
-    private void change(long at, Scene.Change change) {
-        int which = change.which();
-        switch (change.event()) {
+    private void applyEvent(long atNanos, Scene.Change event) {
+        int index = event.index();
+        switch (event.type()) {
             case GONE -> {
-                gone[which] = true;
-                upstreams.gone(at, which);
+                removed[index] = true;
+                servers.crash(atNanos, index);
             }
             case COLD -> {
-                gone[which] = false;
-                startedAt[which] = BEGIN + at;
-                upstreams.gone(at, which);
-                upstreams.start(which, scene.upstreams().get(which), at);
+                removed[index] = false;
+                startedNanos[index] = CLOCK_START_NANOS + atNanos;
+                servers.crash(atNanos, index);
+                servers.start(index, scenario.servers().get(index), atNanos);
             }
-            case STILL_SERVER -> upstreams.still(at, which, change.lasts());
+            case STILL_SERVER -> servers.pause(atNanos, index, event.pauseNanos());
             case STILL_SIDECAR -> {
-                if (hosts[which] == null) {
-                    startSidecar(at, which);
+                if (sidecars[index] == null) {
+                    startSidecar(atNanos, index);
                 }
-                hosts[which].stillUntil = at + change.lasts();
+                sidecars[index].pausedUntilNanos = atNanos + event.pauseNanos();
             }
-            case STILL_CLIENTS -> clientsStillUntil = at + change.lasts();
-            default -> startSidecar(at, which);
+            case STILL_CLIENTS -> clientsPausedUntilNanos = atNanos + event.pauseNanos();
+            default -> startSidecar(atNanos, index);
         }
-        if (change.event() == Scene.Event.GONE || change.event() == Scene.Event.COLD) {
-            List<Upstream> news = List.of(entry(which));
-            for (Host host : hosts) {
-                if (host != null) {
-                    long lag = scene.newsWithin() == 0 ? 0 : random.nextLong(scene.newsWithin());
-                    queue.at(at + lag, then -> host.tell(then, ListKind.DELTA, news));
+        if (event.type() == Scene.Event.GONE || event.type() == Scene.Event.COLD) {
+            List<Upstream> update = List.of(entry(index));
+            for (SidecarHost sidecar : sidecars) {
+                if (sidecar != null) {
+                    long delayNanos =
+                            scenario.maxUpdateDelayNanos() == 0 ? 0 : random.nextLong(scenario.maxUpdateDelayNanos());
+                    queue.schedule(
+                            atNanos + delayNanos, dueNanos -> sidecar.deliverList(dueNanos, ListKind.DELTA, update));
                 }
             }
         }
     }
 
-    private Upstream entry(int which) {
-        return new Upstream(which, 0, 0, 0, gone[which] ? State.GONE : State.READY, 1, startedAt[which]);
+    private Upstream entry(int index) {
+        return new Upstream(index, 0, 0, 0, removed[index] ? State.GONE : State.READY, 1, startedNanos[index]);
     }
 
-    private void startSidecar(long at, int which) {
-        now = at;
-        if (hosts[which] != null) {
-            hosts[which].over = true;
+    private void startSidecar(long atNanos, int index) {
+        nowNanos = atNanos;
+        if (sidecars[index] != null) {
+            sidecars[index].stopped = true;
         }
-        hosts[which] = new Host(which, random.nextLong());
+        sidecars[index] = new SidecarHost(index, random.nextLong());
         List<Upstream> list = new ArrayList<>();
-        for (int i = 0; i < gone.length; i++) {
-            if (!gone[i]) {
+        for (int i = 0; i < removed.length; i++) {
+            if (!removed[i]) {
                 list.add(entry(i));
             }
         }
-        hosts[which].module.start(BEGIN + at);
-        hosts[which].tell(at, ListKind.CACHED, list);
+        sidecars[index].module.start(CLOCK_START_NANOS + atNanos);
+        sidecars[index].deliverList(atNanos, ListKind.CACHED, list);
     }
 
-    private void arrive(long at) {
-        Scene.Arrivals arrivals = scene.arrivals();
-        double gap = SECOND / arrivals.perSecond();
-        double wait = arrivals.even() ? gap : -Math.log(1 - random.nextDouble()) * gap;
-        queue.at(at + (long) wait, this::arrive);
-        int module = arrivals.even() ? turn++ % hosts.length : random.nextInt(hosts.length);
+    private void arrive(long atNanos) {
+        Scene.Arrivals arrivals = scenario.arrivals();
+        double meanGapNanos = NANOS_PER_SECOND / arrivals.requestsPerSecond();
+        double delayNanos = arrivals.evenlySpaced() ? meanGapNanos : -Math.log(1 - random.nextDouble()) * meanGapNanos;
+        queue.schedule(atNanos + (long) delayNanos, this::arrive);
+        int sidecar = arrivals.evenlySpaced() ? nextSidecar++ % sidecars.length : random.nextInt(sidecars.length);
         double draw = random.nextDouble();
-        int kind = 0;
-        while (kind + 1 < arrivals.shares().size() && draw >= arrivals.shares().get(kind)) {
-            draw -= arrivals.shares().get(kind++);
+        int classIndex = 0;
+        while (classIndex + 1 < arrivals.classShares().size()
+                && draw >= arrivals.classShares().get(classIndex)) {
+            draw -= arrivals.classShares().get(classIndex++);
         }
-        double requests = 1 + arrivals.spread() * (2 * random.nextDouble() - 1);
-        Asked asked = new Asked(Math.max(at, clientsStillUntil), module, kind, requests, false);
-        queue.at(asked.at, then -> {
-            tally.at(then).offered++;
-            hosts[asked.module].ask(then, asked);
+        double relativeWork = 1 + arrivals.workSpread() * (2 * random.nextDouble() - 1);
+        ClientRequest clientRequest =
+                new ClientRequest(Math.max(atNanos, clientsPausedUntilNanos), sidecar, classIndex, relativeWork, false);
+        queue.schedule(clientRequest.startNanos, dueNanos -> {
+            result.secondAt(dueNanos).offered++;
+            sidecars[clientRequest.sidecar].receive(dueNanos, clientRequest);
         });
     }
 
-    /** One sidecar's host: carries out what its module orders. */
-    private final class Host implements Actions {
+    /** One sidecar: executes the actions of its decision module. */
+    private final class SidecarHost implements Actions {
         private final Rules module;
         private final Map<Long, Try> tries = new HashMap<>();
-        private boolean over;
-        private long stillUntil;
+        private boolean stopped;
+        private long pausedUntilNanos;
 
-        Host(int rank, long seed) {
-            Settings all = scene.settings();
+        SidecarHost(int rank, long seed) {
+            Settings all = scenario.settings();
             this.module = new Rules(
                     new Settings(
                             rank,
@@ -181,135 +192,183 @@
                     this);
         }
 
-        void tell(long at, ListKind kind, List<Upstream> entries) {
-            now = at;
-            if (!over) {
-                module.listChanged(BEGIN + at, kind, entries);
+        void deliverList(long atNanos, ListKind kind, List<Upstream> entries) {
+            nowNanos = atNanos;
+            if (!stopped) {
+                module.listChanged(CLOCK_START_NANOS + atNanos, kind, entries);
             }
         }
 
-        /** At once, or when it no longer stands still. */
-        private void awake(long at, LongConsumer what) {
-            if (at < stillUntil) {
-                queue.at(stillUntil, then -> awake(then, what));
+        /** Runs an action now, or once the sidecar is no longer paused. */
+        private void runWhenResumed(long atNanos, LongConsumer action) {
+            if (atNanos < pausedUntilNanos) {
+                queue.schedule(pausedUntilNanos, dueNanos -> runWhenResumed(dueNanos, action));
             } else {
-                now = at;
-                what.accept(at);
+                nowNanos = atNanos;
+                action.accept(atNanos);
             }
         }
 
-        /** The client says how much time it has left; one that stands still reads that later. */
-        void ask(long at, Asked asked) {
-            long left = asked.at + scene.settings().classes().get(asked.kind).deadline() - at;
-            awake(at, then -> {
-                long id = ids++;
-                tries.put(id, new Try(asked, then));
-                double hint = scene.arrivals().hinted()
-                        ? asked.requests * scene.arrivals().work()
+        /**
+         * Receives a request. The client computes the remaining time when it sends the request, so a pause
+         * of the sidecar does not shorten it.
+         */
+        void receive(long atNanos, ClientRequest clientRequest) {
+            long remainingNanos = clientRequest.startNanos
+                    + scenario.settings()
+                            .classes()
+                            .get(clientRequest.classIndex)
+                            .deadline()
+                    - atNanos;
+            runWhenResumed(atNanos, dueNanos -> {
+                long id = nextRequestId++;
+                tries.put(id, new Try(clientRequest, dueNanos));
+                double workHint = scenario.arrivals().workHinted()
+                        ? clientRequest.relativeWork * scenario.arrivals().meanWorkNanos()
                         : 0;
-                module.request(BEGIN + then, new Request(id, asked.kind, 0, 0, left, (long) hint, asked.again, false));
+                module.request(
+                        CLOCK_START_NANOS + dueNanos,
+                        new Request(
+                                id,
+                                clientRequest.classIndex,
+                                0,
+                                0,
+                                remainingNanos,
+                                (long) workHint,
+                                clientRequest.retry,
+                                false));
             });
         }
 
         @Override
-        public void send(long request, long upstream, long timeout) {
-            Try mine = tries.get(request);
-            Asked asked = mine.asked;
-            int attempt = mine.attempts.size();
-            long sentAt = now;
-            long last = asked.at + scene.settings().classes().get(asked.kind).deadline();
+        public void send(long request, long upstream, long timeoutNanos) {
+            Try clientTry = tries.get(request);
+            ClientRequest clientRequest = clientTry.clientRequest;
+            int attempt = clientTry.attempts.size();
+            long sentNanos = nowNanos;
+            long deadlineNanos = clientRequest.startNanos
+                    + scenario.settings()
+                            .classes()
+                            .get(clientRequest.classIndex)
+                            .deadline();
             Upstreams.Work work = new Upstreams.Work(
-                    asked.requests,
-                    (long) (asked.requests * scene.arrivals().work()),
-                    (at, outcome) -> queue.at(
-                            at + scene.travel() / 2,
-                            then -> awake(then, read -> end(read, request, attempt, upstream, outcome, sentAt))));
-            mine.attempts.add(work);
-            mine.out.add(true);
-            queue.at(now + scene.travel() / 2, at -> upstreams.take(at, (int) upstream, work));
-            queue.at(
-                    timeout > 0 ? Math.min(last, now + timeout) : last,
-                    at -> awake(at, then -> end(then, request, attempt, upstream, Outcome.TIMEOUT, sentAt)));
+                    clientRequest.relativeWork,
+                    (long) (clientRequest.relativeWork * scenario.arrivals().meanWorkNanos()),
+                    (atNanos, outcome) -> queue.schedule(
+                            atNanos + scenario.roundTripNanos() / 2,
+                            dueNanos -> runWhenResumed(
+                                    dueNanos,
+                                    readNanos ->
+                                            attemptEnded(readNanos, request, attempt, upstream, outcome, sentNanos))));
+            clientTry.attempts.add(work);
+            clientTry.pending.add(true);
+            queue.schedule(
+                    nowNanos + scenario.roundTripNanos() / 2, atNanos -> servers.submit(atNanos, (int) upstream, work));
+            queue.schedule(
+                    timeoutNanos > 0 ? Math.min(deadlineNanos, nowNanos + timeoutNanos) : deadlineNanos,
+                    atNanos -> runWhenResumed(
+                            atNanos,
+                            dueNanos ->
+                                    attemptEnded(dueNanos, request, attempt, upstream, Outcome.TIMEOUT, sentNanos)));
         }
 
-        private void end(long at, long request, int attempt, long upstream, Outcome outcome, long sentAt) {
-            now = at;
-            Try mine = tries.get(request);
-            if (over || !mine.out.get(attempt)) {
+        private void attemptEnded(
+                long atNanos, long request, int attempt, long upstream, Outcome outcome, long sentNanos) {
+            nowNanos = atNanos;
+            Try clientTry = tries.get(request);
+            if (stopped || !clientTry.pending.get(attempt)) {
                 return;
             }
-            mine.out.set(attempt, false);
+            clientTry.pending.set(attempt, false);
             if (outcome == Outcome.REJECTED) {
-                tally.at(at).rejected++;
+                result.secondAt(atNanos).rejected++;
             }
-            mine.attempts.get(attempt).withdrawn = true;
-            if (outcome == Outcome.OK && !mine.ended) {
-                mine.ended = true;
-                RequestClass kind = scene.settings().classes().get(mine.asked.kind);
-                if (at - mine.asked.at <= kind.aim()) {
-                    tally.at(mine.asked.at).inTime++;
+            clientTry.attempts.get(attempt).abandoned = true;
+            if (outcome == Outcome.OK && !clientTry.ended) {
+                clientTry.ended = true;
+                RequestClass requestClass = scenario.settings().classes().get(clientTry.clientRequest.classIndex);
+                if (atNanos - clientTry.clientRequest.startNanos <= requestClass.aim()) {
+                    result.secondAt(clientTry.clientRequest.startNanos).inTime++;
                 } else {
-                    tally.at(mine.asked.at).late++;
+                    result.secondAt(clientTry.clientRequest.startNanos).answeredLate++;
                 }
             }
-            module.outcome(BEGIN + at, request, attempt, upstream, outcome, at - sentAt, mine.ended, new float[0]);
+            module.outcome(
+                    CLOCK_START_NANOS + atNanos,
+                    request,
+                    attempt,
+                    upstream,
+                    outcome,
+                    atNanos - sentNanos,
+                    clientTry.ended,
+                    new float[0]);
         }
 
         @Override
-        public void refuse(long request, long wait) {
-            Try mine = tries.get(request);
-            mine.ended = true;
-            Asked asked = mine.asked;
-            if (!mine.attempts.isEmpty()) {
-                tally.at(now).refusedAfterAttempts++;
-            } else if (mine.at == now) {
-                tally.at(now).refusedAtOnce++;
+        public void refuse(long request, long retryAfterNanos) {
+            Try clientTry = tries.get(request);
+            clientTry.ended = true;
+            ClientRequest clientRequest = clientTry.clientRequest;
+            if (!clientTry.attempts.isEmpty()) {
+                result.secondAt(nowNanos).refusedAfterAttempts++;
+            } else if (clientTry.receivedNanos == nowNanos) {
+                result.secondAt(nowNanos).refusedAtOnce++;
             } else {
-                tally.at(now).refusedAfterWait++;
+                result.secondAt(nowNanos).refusedAfterWait++;
             }
-            long again = now + Math.max(scene.arrivals().again(), wait);
-            if (asked.again
-                    || scene.arrivals().again() == 0
-                    || again
-                            >= asked.at
-                                    + scene.settings().classes().get(asked.kind).deadline()) {
-                tally.at(asked.at).refused++;
+            long retryNanos = nowNanos + Math.max(scenario.arrivals().retryDelayNanos(), retryAfterNanos);
+            if (clientRequest.retry
+                    || scenario.arrivals().retryDelayNanos() == 0
+                    || retryNanos
+                            >= clientRequest.startNanos
+                                    + scenario.settings()
+                                            .classes()
+                                            .get(clientRequest.classIndex)
+                                            .deadline()) {
+                result.secondAt(clientRequest.startNanos).refused++;
                 return;
             }
-            queue.at(again, at -> {
-                tally.at(asked.at).again++;
-                hosts[asked.module].ask(at, new Asked(asked.at, asked.module, asked.kind, asked.requests, true));
+            queue.schedule(retryNanos, atNanos -> {
+                result.secondAt(clientRequest.startNanos).retries++;
+                sidecars[clientRequest.sidecar].receive(
+                        atNanos,
+                        new ClientRequest(
+                                clientRequest.startNanos,
+                                clientRequest.sidecar,
+                                clientRequest.classIndex,
+                                clientRequest.relativeWork,
+                                true));
             });
         }
 
         @Override
         public void fail(long request) {
-            Try mine = tries.get(request);
-            mine.ended = true;
-            tally.at(mine.asked.at).refused++;
+            Try clientTry = tries.get(request);
+            clientTry.ended = true;
+            result.secondAt(clientTry.clientRequest.startNanos).refused++;
         }
 
         @Override
         public void cancel(long request, int attempt) {
             Upstreams.Work work = tries.get(request).attempts.get(attempt);
-            work.withdrawn = true;
-            work.told.accept(now, Outcome.CANCELLED);
+            work.abandoned = true;
+            work.onEnd.accept(nowNanos, Outcome.CANCELLED);
         }
 
         @Override
-        public void timer(long token, long at) {
-            queue.at(
-                    Math.max(now, at - BEGIN),
-                    when -> awake(when, then -> {
-                        if (!over) {
-                            module.timer(BEGIN + then, token);
+        public void timer(long token, long atNanos) {
+            queue.schedule(
+                    Math.max(nowNanos, atNanos - CLOCK_START_NANOS),
+                    firedNanos -> runWhenResumed(firedNanos, dueNanos -> {
+                        if (!stopped) {
+                            module.timer(CLOCK_START_NANOS + dueNanos, token);
                         }
                     }));
         }
 
         @Override
         public void probe(long upstream) {
-            throw new UnsupportedOperationException("the bed has no probes");
+            throw new UnsupportedOperationException("probes are not simulated");
         }
 
         @Override
--- a/src/main/java/pondridge/lab/ColdBudget.java
+++ b/src/main/java/pondridge/lab/ColdBudget.java
@@ -4,60 +4,66 @@
 import pondridge.Balancer.Limits;
 
 /**
- * What a cold server gets against what it bears, as the operators' pages count it: over any window of the
- * time that the settings name, requests of mean work, those that it refuses included, may be N + 2 x root of
- * N + 2, N being the overload factor times its present capacity times that window.
+ * Checks the load of a server against the limit that holds during its cold-start ramp. In any window of length
+ * {@code tipAfter}, at most N + 2 x sqrt(N) + 2 requests of mean work may arrive, rejected ones included. N is
+ * the overload factor times the server's present capacity times the length of the window.
+ * The limit is the one in the operators' specification of cold servers.
  */
 public final class ColdBudget {
-    private record Got(long at, double requests) {}
+    private record Arrival(long atNanos, double requests) {}
 
     private final Limits limits;
-    private final long startedAt;
-    private final double warm;
-    private final ArrayDeque<Got> window = new ArrayDeque<>();
-    private double sum;
-    private double worstSum;
-    private double worstBound = 1;
-
-    /** A server that starts now; {@code warm} is its capacity when warm, in requests a nanosecond. */
-    ColdBudget(Limits limits, long startedAt, double warm) {
+    private final long startedNanos;
+    private final double warmCapacityPerNano;
+    private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
+    private double arrivedInWindow;
+    private double worstWindowRequests;
+    private double worstWindowLimit = 1;
+
+    /**
+     * Creates the budget for one start of a server.
+     *
+     * @param warmCapacityPerNano requests per nanosecond after the ramp
+     */
+    ColdBudget(Limits limits, long startedNanos, double warmCapacityPerNano) {
         this.limits = limits;
-        this.startedAt = startedAt;
-        this.warm = warm;
+        this.startedNanos = startedNanos;
+        this.warmCapacityPerNano = warmCapacityPerNano;
     }
 
-    /** Part of its capacity that it has now; it grows evenly from the cold share to the whole. */
-    double part(long now) {
-        double age = limits.rampTime() == 0 ? 1 : (now - startedAt) / (double) limits.rampTime();
-        return limits.coldShare() + (1 - limits.coldShare()) * Math.max(0, Math.min(1, age));
+    /** Returns the present fraction of the warm capacity. It grows linearly from the cold share to 1 over the ramp. */
+    double capacityFraction(long nowNanos) {
+        double rampProgress = limits.rampTime() == 0 ? 1 : (nowNanos - startedNanos) / (double) limits.rampTime();
+        return limits.coldShare() + (1 - limits.coldShare()) * Math.max(0, Math.min(1, rampProgress));
     }
 
-    /** Some more has come; false if that is more than it bears. */
-    boolean bears(long now, double requests) {
-        if (part(now) >= 1) {
+    /** Records an arrival. Returns false if the load of the current window exceeds the limit. */
+    boolean recordArrival(long nowNanos, double requests) {
+        if (capacityFraction(nowNanos) >= 1) {
             return true;
         }
-        window.add(new Got(now, requests));
-        sum += requests;
-        while (now - window.peek().at >= limits.tipAfter()) {
-            sum -= window.poll().requests;
+        arrivals.add(new Arrival(nowNanos, requests));
+        arrivedInWindow += requests;
+        while (nowNanos - arrivals.peek().atNanos >= limits.tipAfter()) {
+            arrivedInWindow -= arrivals.poll().requests;
         }
-        double n = limits.overloadFactor() * part(now) * warm * limits.tipAfter();
-        double bound = n + 2 * Math.sqrt(n) + 2;
-        if (sum * worstBound > worstSum * bound) {
-            worstSum = sum;
-            worstBound = bound;
+        double expected =
+                limits.overloadFactor() * capacityFraction(nowNanos) * warmCapacityPerNano * limits.tipAfter();
+        double limit = expected + 2 * Math.sqrt(expected) + 2;
+        if (arrivedInWindow * worstWindowLimit > worstWindowRequests * limit) {
+            worstWindowRequests = arrivedInWindow;
+            worstWindowLimit = limit;
         }
-        return sum <= bound;
+        return arrivedInWindow <= limit;
     }
 
-    /** What came in the window that was the worst, by its part of the bound. */
+    /** Returns the requests of mean work in the window with the highest load relative to its limit. */
     public double worstSum() {
-        return worstSum;
+        return worstWindowRequests;
     }
 
-    /** The bound of that window. */
+    /** Returns the limit of the window with the highest load relative to its limit. */
     public double worstBound() {
-        return worstBound;
+        return worstWindowLimit;
     }
 }
--- a/src/main/java/pondridge/lab/Queue.java
+++ b/src/main/java/pondridge/lab/Queue.java
@@ -3,22 +3,22 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Events by their time; those of one time in the order in which they were put. */
+/** Event queue in virtual time. Events due at the same time run in the order in which they were scheduled. */
 final class Queue {
-    private record Event(long at, long serial, LongConsumer what) {}
+    private record Event(long dueNanos, long sequence, LongConsumer action) {}
 
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
-    private long serials;
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
+            a.dueNanos != b.dueNanos ? Long.compare(a.dueNanos, b.dueNanos) : Long.compare(a.sequence, b.sequence));
+    private long nextSequence;
 
-    void at(long at, LongConsumer what) {
-        events.add(new Event(at, serials++, what));
+    void schedule(long dueNanos, LongConsumer action) {
+        events.add(new Event(dueNanos, nextSequence++, action));
     }
 
-    void play(long end) {
-        while (!events.isEmpty() && events.peek().at <= end) {
+    void runUntil(long endNanos) {
+        while (!events.isEmpty() && events.peek().dueNanos <= endNanos) {
             Event event = events.poll();
-            event.what.accept(event.at);
+            event.action.accept(event.dueNanos);
         }
     }
 }
--- a/src/main/java/pondridge/lab/Scene.java
+++ b/src/main/java/pondridge/lab/Scene.java
@@ -4,64 +4,71 @@
 import pondridge.Balancer.Settings;
 
 /**
- * What one trial plays; times in nanoseconds from the day's begin.
+ * Input of one simulation run. Times are in nanoseconds from the start of the run.
  *
- * @param seed the only source of chance, also of the modules' seeds
- * @param settings what every module is set to, its rank aside
- * @param modules how many sidecars there are; the settings may say another number
- * @param upstreams the servers, numbered from 0; all are listed as long started unless a change says else
- * @param arrivals what clients ask of all sidecars together
- * @param changes what happens to servers and sidecars, in any order
- * @param newsWithin each sidecar hears of a server's change within this, drawn for each
- * @param travel how long a request takes to a server and an answer back
- * @param end when the day ends
+ * @param seed the only source of randomness; the seeds of the decision modules are drawn from it
+ * @param settings settings of every decision module, except for its rank
+ * @param sidecars number of sidecars; {@code settings.replicas} may differ from it
+ * @param servers the servers, numbered from 0; each is listed as warm unless an event restarts it
+ * @param arrivals requests of clients to all sidecars together
+ * @param events what happens to servers, sidecars and clients, in any order
+ * @param maxUpdateDelayNanos upper bound of the delay, drawn for each sidecar, until a server's change reaches it
+ * @param roundTripNanos network time of a request to a server and its response back
+ * @param endNanos end of the run
  */
 public record Scene(
         long seed,
         Settings settings,
-        int modules,
-        List<Machine> upstreams,
+        int sidecars,
+        List<Machine> servers,
         Arrivals arrivals,
-        List<Change> changes,
-        long newsWithin,
-        long travel,
-        long end) {
+        List<Change> events,
+        long maxUpdateDelayNanos,
+        long roundTripNanos,
+        long endNanos) {
     public Scene {
-        upstreams = List.copyOf(upstreams);
-        changes = List.copyOf(changes);
+        servers = List.copyOf(servers);
+        events = List.copyOf(events);
     }
 
     /**
-     * A server.
+     * A modelled server.
      *
-     * @param threads how many requests it works on at a time
-     * @param places how many more may wait; beyond that it refuses at once
-     * @param falls whether it falls over, and stays down, when it is cold and gets too much
+     * @param threads number of requests that it processes concurrently
+     * @param queueSlots number of further requests that may wait; it rejects any beyond that at once
+     * @param crashesOnOverload whether it crashes, and stays down, when it gets more than its cold-start budget
      */
-    public record Machine(int threads, int places, boolean falls) {}
+    public record Machine(int threads, int queueSlots, boolean crashesOnOverload) {}
 
     /**
-     * The clients.
+     * Load from the clients.
      *
-     * @param perSecond first tries, over all sidecars
-     * @param even evenly spaced over the time and the sidecars in turn; else each by chance
-     * @param shares each class's part of the requests
-     * @param work mean work of a request, what it takes a warm thread
-     * @param spread the work is evenly drawn between this part less and this part more than the mean
-     * @param hinted whether requests tell their work
-     * @param again a refused client comes once more after this; 0 for never
+     * @param requestsPerSecond first tries per second, over all sidecars
+     * @param evenlySpaced true for a constant interval and the sidecars in round-robin order; false for Poisson
+     *     arrivals at random sidecars
+     * @param classShares each class's share of the requests
+     * @param meanWorkNanos mean processing time of a request on a warm thread
+     * @param workSpread the work is drawn uniformly from the mean plus or minus this fraction of it
+     * @param workHinted whether requests carry their work as a hint
+     * @param retryDelayNanos a refused client retries once after this time; 0 for no retry
      */
     public record Arrivals(
-            double perSecond, boolean even, List<Double> shares, long work, double spread, boolean hinted, long again) {
+            double requestsPerSecond,
+            boolean evenlySpaced,
+            List<Double> classShares,
+            long meanWorkNanos,
+            double workSpread,
+            boolean workHinted,
+            long retryDelayNanos) {
         public Arrivals {
-            shares = List.copyOf(shares);
+            classShares = List.copyOf(classShares);
         }
     }
 
     /**
-     * What may happen: a server goes, a server starts anew and is cold, a sidecar starts anew; a server, a
-     * sidecar or all clients stand still for a while, as in a collection, and then go on with all that came,
-     * or should have been asked, meanwhile.
+     * Type of an event: a server is removed, a server restarts cold, a sidecar restarts; or a server, a sidecar
+     * or all clients pause, as in a garbage collection. After a pause they process everything that arrived, or
+     * was due to be sent, in the meantime.
      */
     public enum Event {
         GONE,
@@ -72,10 +79,15 @@
         STILL_CLIENTS
     }
 
-    /** One of it; {@code lasts} is for what stands still. */
-    public record Change(long at, Event event, int which, long lasts) {
-        public Change(long at, Event event, int which) {
-            this(at, event, which, 0);
+    /**
+     * One event of the run.
+     *
+     * @param index number of the server or sidecar that it concerns
+     * @param pauseNanos length of a pause; 0 for all other types
+     */
+    public record Change(long atNanos, Event type, int index, long pauseNanos) {
+        public Change(long atNanos, Event type, int index) {
+            this(atNanos, type, index, 0);
         }
     }
 }
--- a/src/main/java/pondridge/lab/Tally.java
+++ b/src/main/java/pondridge/lab/Tally.java
@@ -3,52 +3,52 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What became of a day's requests, by second, and what reached each server. */
+/** Result of a simulation run: outcomes of requests and load of each server, by second of virtual time. */
 public final class Tally {
-    private static final long SECOND = 1_000_000_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-    /** One second; requests count in the second in which their first try came. */
+    /** Counts of one second. The outcome of a request counts in the second of its first try. */
     public static final class Second {
         /** First tries. */
         public int offered;
-        /** Tries after a refusal. */
-        public int again;
-        /** Answered within the aim, of all tries. */
+        /** Retries of clients after a refusal. */
+        public int retries;
+        /** Requests answered within the latency objective of their class, counted from the first try. */
         public int inTime;
-        /** Answered later. */
-        public int late;
-        /** Refused or failed for good. */
+        /** Requests answered after the latency objective. */
+        public int answeredLate;
+        /** Requests refused or failed with no retry left. */
         public int refused;
-        /** Tries that a sidecar refused then as they came: shed, or held to be hopeless. */
+        /** Tries that a sidecar refused on arrival in this second: shed, or unlikely to meet the deadline. */
         public int refusedAtOnce;
-        /** Tries that a sidecar refused then after they had waited for room, with nothing sent. */
+        /** Tries that a sidecar refused in this second after queueing, with no attempt sent. */
         public int refusedAfterWait;
-        /** Tries that a sidecar refused then after servers had refused them or had not answered. */
+        /** Tries that a sidecar refused in this second after failed or unanswered attempts. */
         public int refusedAfterAttempts;
-        /** Attempts that servers refused, by when a sidecar heard of it. */
+        /** Attempts rejected by servers, by the second in which the sidecar received the rejection. */
         public int rejected;
-        /** By server: requests of mean work that reached it then, also those that it refused. */
+        /** By server: requests of mean work that arrived at it in this second, rejected ones included. */
         public final double[] reached;
-        /** By server: requests of mean work that it finished then. */
-        public final double[] done;
+        /** By server: requests of mean work that it completed in this second. */
+        public final double[] completedRequests;
 
         Second(int servers) {
             reached = new double[servers];
-            done = new double[servers];
+            completedRequests = new double[servers];
         }
     }
 
     private final int servers;
     private final List<Second> seconds = new ArrayList<>();
     final List<ColdBudget> budgets = new ArrayList<>();
-    int overfilled;
-    int fallen;
+    int budgetExceeded;
+    int crashed;
 
     Tally(int servers) {
         this.servers = servers;
     }
 
-    /** One second of the day. */
+    /** Returns the counts of one second, numbered from 0. */
     public Second second(int number) {
         while (seconds.size() <= number) {
             seconds.add(new Second(servers));
@@ -56,38 +56,38 @@
         return seconds.get(number);
     }
 
-    Second at(long now) {
-        return second((int) (now / SECOND));
+    Second secondAt(long nowNanos) {
+        return second((int) (nowNanos / NANOS_PER_SECOND));
     }
 
-    void reached(long now, int server, double requests) {
-        at(now).reached[server] += requests;
+    void recordArrival(long nowNanos, int server, double requests) {
+        secondAt(nowNanos).reached[server] += requests;
     }
 
-    void done(long now, int server, double requests) {
-        at(now).done[server] += requests;
+    void recordCompleted(long nowNanos, int server, double requests) {
+        secondAt(nowNanos).completedRequests[server] += requests;
     }
 
-    /** Of every start of a server, in order. */
+    /** Returns the cold-start budget of each restart of a server, in the order of the restarts. */
     public List<ColdBudget> budgets() {
         return List.copyOf(budgets);
     }
 
-    /** Requests that came to a cold server beyond what it bears. */
+    /** Returns the number of arrivals that exceeded the cold-start budget of a server. */
     public int overfilled() {
-        return overfilled;
+        return budgetExceeded;
     }
 
-    /** Servers that fell over. */
-    public int fallen() {
-        return fallen;
+    /** Returns the number of crashes of servers. */
+    public int crashed() {
+        return crashed;
     }
 
-    /** Requests of mean work that a server finished in some seconds. */
-    public double done(int server, int from, int to) {
+    /** Returns the requests of mean work that a server completed from one second up to, but excluding, another. */
+    public double done(int server, int fromSecond, int toSecond) {
         double sum = 0;
-        for (int i = from; i < to; i++) {
-            sum += second(i).done[server];
+        for (int i = fromSecond; i < toSecond; i++) {
+            sum += second(i).completedRequests[server];
         }
         return sum;
     }
--- a/src/main/java/pondridge/lab/Upstreams.java
+++ b/src/main/java/pondridge/lab/Upstreams.java
@@ -7,129 +7,135 @@
 import pondridge.Balancer.Limits;
 import pondridge.Balancer.Outcome;
 
-/** The modelled servers. Each works on as many requests as it has threads; while cold, each takes longer. */
+/** The modelled servers. Each processes as many requests at a time as it has threads, and more slowly while cold. */
 final class Upstreams {
-    /** A request at a server; {@code told} gets its end, and when. */
+    /** A request at a server; {@code onEnd} receives the time and the outcome of its end. */
     static final class Work {
         final double requests;
-        final long nanos;
-        final BiConsumer<Long, Outcome> told;
-        boolean withdrawn;
+        final long warmNanos;
+        final BiConsumer<Long, Outcome> onEnd;
+        boolean abandoned;
 
-        Work(double requests, long nanos, BiConsumer<Long, Outcome> told) {
+        Work(double requests, long warmNanos, BiConsumer<Long, Outcome> onEnd) {
             this.requests = requests;
-            this.nanos = nanos;
-            this.told = told;
+            this.warmNanos = warmNanos;
+            this.onEnd = onEnd;
         }
     }
 
-    /** One server, from one start on. */
+    /** One server, for the time between one start and the next. */
     static final class Server {
         final int number;
-        final Scene.Machine machine;
+        final Scene.Machine model;
         final ColdBudget budget;
-        final long startedAt;
-        final ArrayDeque<Work> waiting = new ArrayDeque<>();
-        final List<Work> inWork = new ArrayList<>();
+        final long startedNanos;
+        final ArrayDeque<Work> queued = new ArrayDeque<>();
+        final List<Work> inProgress = new ArrayList<>();
         boolean down;
-        long stillUntil;
-        long stood;
+        long pausedUntilNanos;
+        long totalPauseNanos;
 
-        Server(int number, Scene.Machine machine, ColdBudget budget, long startedAt) {
+        Server(int number, Scene.Machine model, ColdBudget budget, long startedNanos) {
             this.number = number;
-            this.machine = machine;
+            this.model = model;
             this.budget = budget;
-            this.startedAt = startedAt;
+            this.startedNanos = startedNanos;
         }
     }
 
     private final Queue queue;
-    private final Tally tally;
+    private final Tally result;
     final List<Server> servers = new ArrayList<>();
     private final Limits limits;
-    private final double meanWork;
+    private final double meanWorkNanos;
 
-    Upstreams(Queue queue, Tally tally, Scene scene) {
+    Upstreams(Queue queue, Tally result, Scene scenario) {
         this.queue = queue;
-        this.tally = tally;
-        this.limits = scene.settings().limits();
-        this.meanWork = scene.arrivals().work();
-        for (Scene.Machine machine : scene.upstreams()) {
+        this.result = result;
+        this.limits = scenario.settings().limits();
+        this.meanWorkNanos = scenario.arrivals().meanWorkNanos();
+        for (Scene.Machine model : scenario.servers()) {
             servers.add(null);
-            start(servers.size() - 1, machine, -limits.rampTime());
+            start(servers.size() - 1, model, -limits.rampTime());
         }
     }
 
-    void start(int number, Scene.Machine machine, long at) {
-        ColdBudget budget = new ColdBudget(limits, at, machine.threads() / meanWork);
-        servers.set(number, new Server(number, machine, budget, at));
-        if (at >= 0) {
-            tally.budgets.add(budget);
+    void start(int number, Scene.Machine model, long nowNanos) {
+        ColdBudget budget = new ColdBudget(limits, nowNanos, model.threads() / meanWorkNanos);
+        servers.set(number, new Server(number, model, budget, nowNanos));
+        if (nowNanos >= 0) {
+            result.budgets.add(budget);
         }
     }
 
-    /** It has gone: all that it holds breaks. */
-    void gone(long now, int number) {
+    /** Takes a server down; all requests that it holds end with a connection reset. */
+    void crash(long nowNanos, int number) {
         Server server = servers.get(number);
         server.down = true;
-        server.inWork.forEach(work -> work.told.accept(now, Outcome.RESET));
-        server.waiting.forEach(work -> work.told.accept(now, Outcome.RESET));
-        server.inWork.clear();
-        server.waiting.clear();
+        server.inProgress.forEach(work -> work.onEnd.accept(nowNanos, Outcome.RESET));
+        server.queued.forEach(work -> work.onEnd.accept(nowNanos, Outcome.RESET));
+        server.inProgress.clear();
+        server.queued.clear();
     }
 
-    /** It does nothing for a while; its work takes so much longer. */
-    void still(long now, int number, long lasts) {
+    /** Pauses a server; all requests in progress take longer by the length of the pause. */
+    void pause(long nowNanos, int number, long pauseNanos) {
         Server server = servers.get(number);
-        server.stillUntil = now + lasts;
-        server.stood += lasts;
+        server.pausedUntilNanos = nowNanos + pauseNanos;
+        server.totalPauseNanos += pauseNanos;
     }
 
-    void take(long now, int number, Work work) {
+    /** Delivers a request to a server, after its pause where it is paused. */
+    void submit(long nowNanos, int number, Work work) {
         Server server = servers.get(number);
-        if (now < server.stillUntil && !server.down) {
-            queue.at(server.stillUntil, at -> take(at, number, work));
+        if (nowNanos < server.pausedUntilNanos && !server.down) {
+            queue.schedule(server.pausedUntilNanos, atNanos -> submit(atNanos, number, work));
             return;
         }
-        tally.reached(now, number, work.requests);
-        if (!server.budget.bears(now, work.requests) && !server.down) {
-            tally.overfilled++;
-            if (server.machine.falls()) {
-                tally.fallen++;
-                gone(now, number);
+        result.recordArrival(nowNanos, number, work.requests);
+        if (!server.budget.recordArrival(nowNanos, work.requests) && !server.down) {
+            result.budgetExceeded++;
+            if (server.model.crashesOnOverload()) {
+                result.crashed++;
+                crash(nowNanos, number);
             }
         }
         if (server.down) {
-            work.told.accept(now, Outcome.CONNECT_FAILED);
-        } else if (server.inWork.size() < server.machine.threads()) {
-            begin(now, server, work);
-        } else if (server.waiting.size() < server.machine.places()) {
-            server.waiting.add(work);
+            work.onEnd.accept(nowNanos, Outcome.CONNECT_FAILED);
+        } else if (server.inProgress.size() < server.model.threads()) {
+            begin(nowNanos, server, work);
+        } else if (server.queued.size() < server.model.queueSlots()) {
+            server.queued.add(work);
         } else {
-            work.told.accept(now, Outcome.REJECTED);
+            work.onEnd.accept(nowNanos, Outcome.REJECTED);
         }
     }
 
-    private void begin(long now, Server server, Work work) {
-        server.inWork.add(work);
-        finish(now + (long) (work.nanos / server.budget.part(now)), server, work, server.stood);
+    private void begin(long nowNanos, Server server, Work work) {
+        server.inProgress.add(work);
+        scheduleCompletion(
+                nowNanos + (long) (work.warmNanos / server.budget.capacityFraction(nowNanos)),
+                server,
+                work,
+                server.totalPauseNanos);
     }
 
-    private void finish(long then, Server server, Work work, long stood) {
-        queue.at(then, at -> {
-            if (server.stood > stood) {
-                finish(at + server.stood - stood, server, work, server.stood);
+    private void scheduleCompletion(long dueNanos, Server server, Work work, long pauseNanosAtStart) {
+        queue.schedule(dueNanos, atNanos -> {
+            if (server.totalPauseNanos > pauseNanosAtStart) {
+                scheduleCompletion(
+                        atNanos + server.totalPauseNanos - pauseNanosAtStart, server, work, server.totalPauseNanos);
                 return;
             }
-            if (!server.inWork.remove(work)) {
+            if (!server.inProgress.remove(work)) {
                 return;
             }
-            tally.done(at, server.number, work.requests);
-            work.told.accept(at, Outcome.OK);
-            while (!server.waiting.isEmpty() && server.inWork.size() < server.machine.threads()) {
-                Work next = server.waiting.poll();
-                if (!next.withdrawn) {
-                    begin(at, server, next);
+            result.recordCompleted(atNanos, server.number, work.requests);
+            work.onEnd.accept(atNanos, Outcome.OK);
+            while (!server.queued.isEmpty() && server.inProgress.size() < server.model.threads()) {
+                Work next = server.queued.poll();
+                if (!next.abandoned) {
+                    begin(atNanos, server, next);
                 }
             }
         });
--- a/src/main/java/pondridge/lab/package-info.java
+++ b/src/main/java/pondridge/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A bed for trials of the decision module in virtual time: many instances of it, modelled servers and
- * clients, one queue of events, no threads and no clock. The same scene gives the same day.
+ * Discrete-event simulation of the decision module: many instances of it, modelled servers and clients, one
+ * event queue, virtual time, no threads and no system clock. The same scenario always gives the same result.
  */
 package pondridge.lab;
--- a/src/main/java/pondridge/scale/HollowFleet.java
+++ b/src/main/java/pondridge/scale/HollowFleet.java
@@ -9,86 +9,86 @@
 import pondridge.Options;
 import pondridge.scale.ScalePlan.Step;
 
-/** All hollow sidecars of one size, on a few loops of their own. Of the run's thread. */
+/** All hollow sidecars of one fleet size, on their own event loops. Used on the thread of the run only. */
 final class HollowFleet implements AutoCloseable {
-    private final Role role;
-    private final ListWay way;
+    private final MeasuredLoopGroup followerLoops;
+    private final ListDistribution distribution;
     private final Options options;
-    private final Knowledge knowledge;
-    private final Random seeds;
-    private final double region;
+    private final Knowledge tracker;
+    private final Random seedSource;
+    private final double regionFraction;
     private final EventLoop[] loops;
     private final HollowSidecar[] members;
-    private final LongAdder failed = new LongAdder();
+    private final LongAdder failedCalls = new LongAdder();
 
-    /** So many, none of which has begun. */
-    HollowFleet(int size, ScalePlan plan, ListWay way, Options options, Knowledge knowledge) {
-        this.role = new Role("follower", plan.loops());
-        this.way = way;
+    /** Creates a fleet in which no sidecar is started yet. */
+    HollowFleet(int size, ScalePlan plan, ListDistribution distribution, Options options, Knowledge tracker) {
+        this.followerLoops = new MeasuredLoopGroup("follower", plan.followerLoops());
+        this.distribution = distribution;
         this.options = options;
-        this.knowledge = knowledge;
-        this.seeds = new Random(plan.seed());
-        this.region = plan.cases().stream()
-                .filter(each -> each.act() == ScalePlan.Act.REGION_CUT)
-                .mapToDouble(Step::part)
+        this.tracker = tracker;
+        this.seedSource = new Random(plan.seed());
+        this.regionFraction = plan.cases().stream()
+                .filter(step -> step.act() == ScalePlan.Act.REGION_CUT)
+                .mapToDouble(Step::regionFraction)
                 .findFirst()
                 .orElse(0);
         this.members = new HollowSidecar[size];
         this.loops = new EventLoop[size];
         for (int i = 0; i < size; i++) {
-            loops[i] = role.next();
+            loops[i] = followerLoops.next();
         }
     }
 
-    /** All begin, or begin anew, at once; what they knew is gone. */
-    void join() {
-        // At once, so that nobody takes what they knew before for what they know now.
+    /** Starts or restarts all sidecars at once, with empty lists. */
+    void joinAll() {
+        // Cleared here for all, so that versions received before the restart don't count as received after it.
         for (int i = 0; i < members.length; i++) {
-            knowledge.forget(i);
+            tracker.clear(i);
         }
         for (int i = 0; i < members.length; i++) {
             int number = i;
-            long seed = seeds.nextLong();
+            long seed = seedSource.nextLong();
             loops[i].execute(() -> {
                 if (members[number] != null) {
-                    members[number].end();
+                    members[number].stop();
                 }
-                knowledge.forget(number);
+                tracker.clear(number);
                 members[number] = new HollowSidecar(
                         number,
                         loops[number],
                         options,
                         seed,
-                        way,
-                        number < region * members.length,
-                        knowledge,
-                        failed::increment);
-                members[number].begin();
+                        distribution,
+                        number < regionFraction * members.length,
+                        tracker,
+                        failedCalls::increment);
+                members[number].start();
             });
         }
     }
 
-    /** Calls for the list that have failed so far. */
-    long failed() {
-        return failed.sum();
+    /** Returns the number of failed list requests so far. */
+    long failedCalls() {
+        return failedCalls.sum();
     }
 
     long cpuNanos() {
-        return role.cpuNanos();
+        return followerLoops.cpuNanos();
     }
 
     @Override
     public void close() {
-        List<Future<?>> ends = new ArrayList<>();
+        List<Future<?>> stopped = new ArrayList<>();
         for (int i = 0; i < members.length; i++) {
             int number = i;
-            ends.add(loops[i].submit(() -> {
+            stopped.add(loops[i].submit(() -> {
                 if (members[number] != null) {
-                    members[number].end();
+                    members[number].stop();
                 }
             }));
         }
-        ends.forEach(Future::awaitUninterruptibly);
-        role.close();
+        stopped.forEach(Future::awaitUninterruptibly);
+        followerLoops.close();
     }
 }
--- a/src/main/java/pondridge/scale/HollowSidecar.java
+++ b/src/main/java/pondridge/scale/HollowSidecar.java
@@ -14,15 +14,15 @@
 import pondridge.core.Transport;
 
 /**
- * A sidecar of which only what follows the list is there: the real decision module in the real engine, and
- * the real client of the list, over a real socket. It has no front and no way out, so no request comes or
- * goes, and pools of connections are not in what it weighs. Of its loop's thread.
+ * A sidecar reduced to the part that follows the endpoint list: the real decision module in the real engine, and
+ * the real list client over a real socket. It has no frontend and no upstream transport, so it handles no
+ * requests, and its memory does not include connection pools. Used on the thread of its event loop only.
  */
 final class HollowSidecar {
-    private static final int MOST_OPEN = 16;
+    private static final int MAX_OPEN_REQUESTS = 16;
 
-    /** Leads nowhere. */
-    private static final Transport NOWHERE = new Transport() {
+    /** Transport that sends nothing. */
+    private static final Transport NO_TRANSPORT = new Transport() {
         @Override
         public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {}
 
@@ -45,67 +45,67 @@
     };
 
     private final int number;
-    private final Knowledge knowledge;
-    private final Runnable failed;
+    private final Knowledge tracker;
+    private final Runnable onFailure;
     private final Engine engine;
-    private final ListWay.Link link;
-    private boolean ended;
+    private final ListDistribution.Subscription subscription;
+    private boolean stopped;
 
-    /** One that has not begun; {@code failed} is told of each call for the list that fails. */
+    /** Creates a sidecar that is not started yet; {@code onFailure} runs for each failed list request. */
     HollowSidecar(
             int number,
             EventLoop loop,
             Options options,
             long seed,
-            ListWay way,
-            boolean region,
-            Knowledge knowledge,
-            Runnable failed) {
+            ListDistribution distribution,
+            boolean inRegion,
+            Knowledge tracker,
+            Runnable onFailure) {
         this.number = number;
-        this.knowledge = knowledge;
-        this.failed = failed;
-        this.engine = new Engine(loop, options, seed, MOST_OPEN, NOWHERE);
-        this.link = way.attach(number, loop, region, this::listed);
+        this.tracker = tracker;
+        this.onFailure = onFailure;
+        this.engine = new Engine(loop, options, seed, MAX_OPEN_REQUESTS, NO_TRANSPORT);
+        this.subscription = distribution.subscribe(number, loop, inRegion, this::listChanged);
     }
 
-    /** Begins with an empty list. */
-    void begin() {
+    /** Starts the sidecar with an empty list. */
+    void start() {
         engine.start(
                 new Directory() {
                     @Override
                     public void watch(boolean on) {
-                        if (!ended) {
-                            link.watch(on);
+                        if (!stopped) {
+                            subscription.watch(on);
                         }
                     }
 
                     @Override
                     public void fetch() {
-                        if (!ended) {
-                            link.fetch();
+                        if (!stopped) {
+                            subscription.fetch();
                         }
                     }
                 },
                 List.of());
-        link.follow();
+        subscription.start();
     }
 
-    private void listed(ListKind kind, List<Target> targets) {
-        if (ended) {
+    private void listChanged(ListKind kind, List<Target> targets) {
+        if (stopped) {
             return;
         }
         engine.listed(kind, targets);
         if (kind == ListKind.FAILED) {
-            failed.run();
+            onFailure.run();
         } else {
-            knowledge.had(number, link.version(), System.nanoTime());
+            tracker.recordReceived(number, subscription.version(), System.nanoTime());
         }
     }
 
-    /** Lets go of the list; timers of the module end by themselves. */
-    void end() {
-        ended = true;
+    /** Cancels the subscription; timers of the module expire by themselves. */
+    void stop() {
+        stopped = true;
         engine.retire();
-        link.end();
+        subscription.cancel();
     }
 }
--- a/src/main/java/pondridge/scale/Knowledge.java
+++ b/src/main/java/pondridge/scale/Knowledge.java
@@ -8,90 +8,95 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Who knows which version of the list, and how long after it was put that was. A follower that has a version
- * has all before it, since later ones supersede them. Times in nanoseconds of any one clock, given as
- * arguments; safe on any thread.
+ * Tracks which follower received which version of the list, and the delay since its publication. A follower with
+ * a version counts as having all earlier ones, since later versions supersede them. Times are passed as
+ * arguments, in nanoseconds of any single clock. Thread-safe.
  */
 public final class Knowledge {
-    private static final long LONGEST = 3_600_000_000L;
+    private static final long MAX_RECORDED_MICROS = 3_600_000_000L;
 
     /**
-     * How long changes took, in milliseconds, over all pairs of a change and a follower.
+     * Propagation delays over all pairs of a change and a follower.
      *
-     * @param last until the slowest follower had the slowest change
+     * @param lastMillis the longest delay of any change to any follower
      */
-    public record Times(double p50, double p99, double last) {}
+    public record Times(double p50Millis, double p99Millis, double lastMillis) {}
 
-    private final long[] has;
-    /** The last version that is about what a follower follows, and what is of no use to whom. */
-    private final long[] needs;
+    private final long[] receivedVersion;
+    /** For each follower, the last version that changed one of its services. */
+    private final long[] requiredVersion;
 
-    private final Map<Long, IntPredicate> concerned = new HashMap<>();
-    private final TreeMap<Long, Long> putAt = new TreeMap<>();
-    /** In microseconds. */
-    private Histogram took = new Histogram(LONGEST, 3);
+    /** For each published version, the followers to which it is sent. */
+    private final Map<Long, IntPredicate> concernedFollowers = new HashMap<>();
 
-    /** Of so many followers, none of which knows anything. */
+    private final TreeMap<Long, Long> publishedNanos = new TreeMap<>();
+    private Histogram delaysMicros = new Histogram(MAX_RECORDED_MICROS, 3);
+
+    /** Creates a tracker in which no follower has any version. */
     public Knowledge(int followers) {
-        has = new long[followers];
-        needs = new long[followers];
-        Arrays.fill(has, -1);
-        Arrays.fill(needs, ListWay.FIRST);
+        receivedVersion = new long[followers];
+        requiredVersion = new long[followers];
+        Arrays.fill(receivedVersion, -1);
+        Arrays.fill(requiredVersion, ListDistribution.FIRST);
     }
 
-    /** From now on counts anew, only what is put from now on. */
-    public synchronized void begin() {
-        putAt.clear();
-        concerned.clear();
-        took = new Histogram(LONGEST, 3);
+    /** Discards the recorded delays; only versions published from here on are measured. */
+    public synchronized void reset() {
+        publishedNanos.clear();
+        concernedFollowers.clear();
+        delaysMicros = new Histogram(MAX_RECORDED_MICROS, 3);
     }
 
-    /** A follower begins anew and knows nothing. */
-    public synchronized void forget(int follower) {
-        has[follower] = -1;
+    /** Records that a follower restarted and has no version. */
+    public synchronized void clear(int follower) {
+        receivedVersion[follower] = -1;
     }
 
-    /** A version is put at the source now; before any follower can have it. */
-    public void put(long version, long now) {
-        put(version, now, follower -> true);
+    /** Records the publication of a version; to be called before any follower can receive it. */
+    public void recordPublished(long version, long nowNanos) {
+        recordPublished(version, nowNanos, follower -> true);
     }
 
-    /** The same, of which some followers are never told, since it is about nothing that they follow. */
-    public synchronized void put(long version, long now, IntPredicate about) {
-        putAt.put(version, now);
-        concerned.put(version, about);
-        for (int i = 0; i < needs.length; i++) {
-            if (about.test(i)) {
-                needs[i] = version;
+    /** Records the publication of a version that is sent only to the followers whose services it concerns. */
+    public synchronized void recordPublished(long version, long nowNanos, IntPredicate concerns) {
+        publishedNanos.put(version, nowNanos);
+        concernedFollowers.put(version, concerns);
+        for (int i = 0; i < requiredVersion.length; i++) {
+            if (concerns.test(i)) {
+                requiredVersion[i] = version;
             }
         }
     }
 
-    /** A follower's module has this version now. */
-    public synchronized void had(int follower, long version, long now) {
-        if (version > has[follower]) {
-            for (Map.Entry<Long, Long> each :
-                    putAt.subMap(has[follower], false, version, true).entrySet()) {
-                if (concerned.get(each.getKey()).test(follower)) {
-                    took.recordValue(Math.min(LONGEST, Math.max(0, now - each.getValue()) / 1_000));
+    /** Records that a follower's decision module has received a version. */
+    public synchronized void recordReceived(int follower, long version, long nowNanos) {
+        if (version > receivedVersion[follower]) {
+            for (Map.Entry<Long, Long> published : publishedNanos
+                    .subMap(receivedVersion[follower], false, version, true)
+                    .entrySet()) {
+                if (concernedFollowers.get(published.getKey()).test(follower)) {
+                    delaysMicros.recordValue(
+                            Math.min(MAX_RECORDED_MICROS, Math.max(0, nowNanos - published.getValue()) / 1_000));
                 }
             }
-            has[follower] = version;
+            receivedVersion[follower] = version;
         }
     }
 
-    /** How many followers don't have this version yet, or the last one before it that is about theirs. */
-    public synchronized int missing(long version) {
+    /** Returns the number of followers that lack this version, or the last earlier one that concerns them. */
+    public synchronized int countMissing(long version) {
         int missing = 0;
-        for (int i = 0; i < has.length; i++) {
-            missing += has[i] < Math.min(version, needs[i]) ? 1 : 0;
+        for (int i = 0; i < receivedVersion.length; i++) {
+            missing += receivedVersion[i] < Math.min(version, requiredVersion[i]) ? 1 : 0;
         }
         return missing;
     }
 
-    /** Of all that was put since {@link #begin}; zeros where nobody had any of it. */
-    public synchronized Times times() {
+    /** Returns the delays of all versions published since {@link #reset}; zeros where none was received. */
+    public synchronized Times propagationTimes() {
         return new Times(
-                took.getValueAtPercentile(50) / 1e3, took.getValueAtPercentile(99) / 1e3, took.getMaxValue() / 1e3);
+                delaysMicros.getValueAtPercentile(50) / 1e3,
+                delaysMicros.getValueAtPercentile(99) / 1e3,
+                delaysMicros.getMaxValue() / 1e3);
     }
 }
--- a/src/main/java/pondridge/scale/Role.java
+++ b/src/main/java/pondridge/scale/MeasuredLoopGroup.java
@@ -10,39 +10,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The event loops of one part of the run, so that its processor time can be told apart from the others'. That
- * is the time of its threads alone: what the collector and the compiler do for them is not in it.
+ * The event loops of one component of the run, to measure its CPU time separately. Only the time of these
+ * threads counts: garbage collection and JIT compilation on their behalf are not included.
  */
-final class Role implements AutoCloseable {
+final class MeasuredLoopGroup implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup group;
-    private final long[] threads;
+    private final long[] threadIds;
 
-    /** Starts so many threads. */
-    Role(String name, int loops) {
+    /** Starts one thread for each loop. */
+    MeasuredLoopGroup(String name, int loops) {
         group = new MultiThreadIoEventLoopGroup(
                 loops, new DefaultThreadFactory("scale-" + name, true), NioIoHandler.newFactory());
-        threads = new long[loops];
+        threadIds = new long[loops];
         int i = 0;
-        for (EventExecutor each : group) {
-            threads[i++] = each.submit(() -> Thread.currentThread().getId())
+        for (EventExecutor executor : group) {
+            threadIds[i++] = executor.submit(() -> Thread.currentThread().getId())
                     .syncUninterruptibly()
                     .getNow();
         }
     }
 
-    /** One of its loops, in turn. */
+    /** Returns one of the loops, in round-robin order. */
     EventLoop next() {
         return group.next();
     }
 
-    /** Processor time of all its threads so far, in nanoseconds. */
+    /** Returns the CPU time of all threads so far. */
     long cpuNanos() {
-        ThreadMXBean told = ManagementFactory.getThreadMXBean();
-        long sum = 0;
-        for (long thread : threads) {
-            sum += Math.max(0, told.getThreadCpuTime(thread));
+        ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
+        long totalNanos = 0;
+        for (long threadId : threadIds) {
+            totalNanos += Math.max(0, threadBean.getThreadCpuTime(threadId));
         }
-        return sum;
+        return totalNanos;
     }
 
     @Override
--- a/src/main/java/pondridge/scale/ProcessSidecar.java
+++ b/src/main/java/pondridge/scale/ProcessSidecar.java
@@ -19,75 +19,76 @@
 import pondridge.demo.Child;
 
 /**
- * A real sidecar as a process of the shipped program. It follows the list as the platform's discovery has it.
+ * A real sidecar as a separate process of the shipped program. It follows the list of the platform's discovery.
  */
 final class ProcessSidecar implements RealSidecar {
-    private static final int SOCKETS = 1_024;
-    private static final long LIMIT = 30_000_000_000L;
-    private static final long PAUSE = 20_000_000;
-    private static final int READ_MS = 1_000;
+    private static final int MAX_SOCKETS = 1_024;
+    private static final long STARTUP_TIMEOUT_NANOS = 30_000_000_000L;
+    private static final long POLL_INTERVAL_NANOS = 20_000_000;
+    private static final int READ_TIMEOUT_MILLIS = 1_000;
     private final Child child;
-    private final InetSocketAddress door;
+    private final InetSocketAddress address;
 
     /**
-     * Starts one; {@link #awaitUp} waits until it takes requests.
+     * Starts the process; {@link #awaitReady} waits until it accepts requests.
      *
-     * @param folder where its configuration goes
+     * @param configFolder folder for the configuration file
      */
-    ProcessSidecar(String name, Path folder, Options options, long seed, InetSocketAddress discovery)
+    ProcessSidecar(String name, Path configFolder, Options options, long seed, InetSocketAddress discovery)
             throws IOException {
-        // It can't say which port it has drawn, so a free one is drawn for it.
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            door = (InetSocketAddress) any.getLocalSocketAddress();
+        // The program can't report a port chosen by the system, so a free port is chosen here.
+        try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            address = (InetSocketAddress) probe.getLocalSocketAddress();
         }
         ObjectNode config = Json.MAPPER
                 .createObjectNode()
                 .put("name", name)
-                .put("listen", "127.0.0.1:" + door.getPort())
+                .put("listen", "127.0.0.1:" + address.getPort())
                 .put("discovery", "127.0.0.1:" + discovery.getPort())
                 .put("seed", Long.toHexString(seed));
-        config.putObject("limits").put("sockets", SOCKETS);
+        config.putObject("limits").put("sockets", MAX_SOCKETS);
         ObjectNode settings = config.putObject("settings");
         options.lines().forEach(settings::put);
-        Path file = Files.writeString(folder.resolve(name + ".json"), config.toString());
+        Path file = Files.writeString(configFolder.resolve(name + ".json"), config.toString());
         child = Child.start(
                 name, "pondridge.sidecar.Main", List.of(), Map.of("PROXY_CONFIG", file.toString()), line -> {});
     }
 
-    /** Waits until it says that it is up. */
-    void awaitUp() throws IOException {
-        long until = System.nanoTime() + LIMIT;
-        while (!up()) {
-            if (!child.handle().isAlive() || System.nanoTime() - until > 0) {
+    /** Waits until the sidecar reports that it is ready. */
+    void awaitReady() throws IOException {
+        long deadline = System.nanoTime() + STARTUP_TIMEOUT_NANOS;
+        while (!isReady()) {
+            if (!child.handle().isAlive() || System.nanoTime() - deadline > 0) {
                 throw new IOException(child.name()
-                        + (child.handle().isAlive() ? " is not up after 30 s" : " has ended before it was up"));
+                        + (child.handle().isAlive() ? " is not ready after 30 s" : " exited before it was ready"));
             }
-            LockSupport.parkNanos(PAUSE);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
-    private boolean up() {
-        try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
-            socket.setSoTimeout(READ_MS);
+    private boolean isReady() {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.getOutputStream()
                     .write("GET /up HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            String line = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
+            String statusLine = new BufferedReader(
+                            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
                     .readLine();
-            return line != null && line.startsWith("HTTP/1.1 200");
+            return statusLine != null && statusLine.startsWith("HTTP/1.1 200");
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Kills it, however the run ends. */
+    /** Kills the process. */
     void kill() {
         child.handle().destroyForcibly();
     }
 
     @Override
-    public InetSocketAddress door() {
-        return door;
+    public InetSocketAddress address() {
+        return address;
     }
 
     @Override
@@ -96,7 +97,7 @@
     }
 
     @Override
-    public long residentKb() {
+    public long residentKib() {
         try {
             return Files.readAllLines(
                             Path.of("/proc", Long.toString(child.handle().pid()), "status"))
--- a/src/main/java/pondridge/scale/RealSidecar.java
+++ b/src/main/java/pondridge/scale/RealSidecar.java
@@ -2,16 +2,16 @@
 
 import java.net.InetSocketAddress;
 
-/** A whole sidecar that takes requests, beside the hollow ones. Of the run's thread. */
+/** A complete sidecar that serves requests, beside the hollow ones. Used on the thread of the run only. */
 interface RealSidecar extends AutoCloseable {
-    /** Where clients connect. */
-    InetSocketAddress door();
+    /** Returns the address to which clients connect. */
+    InetSocketAddress address();
 
-    /** Processor time so far, in nanoseconds. */
+    /** Returns the CPU time so far. */
     long cpuNanos();
 
-    /** Resident memory in KiB; 0 for one that is no process of its own. */
-    long residentKb();
+    /** Returns the resident memory; 0 for a sidecar that is not a separate process. */
+    long residentKib();
 
     @Override
     void close();
--- a/src/main/java/pondridge/scale/ScalePlan.java
+++ b/src/main/java/pondridge/scale/ScalePlan.java
@@ -11,23 +11,24 @@
 import pondridge.settings.SettingsFile;
 
 /**
- * What a scale run does: the sizes it goes through, and the cases that it plays at each. Times in
- * nanoseconds.
+ * Plan of a scale run: the fleet sizes, and the cases that are run at each size.
  *
- * @param name of the file, for what is said of it
- * @param sizes how many hollow sidecars there are, one size after the other
- * @param entries lines of the list
- * @param zones over which they are spread
- * @param loops threads that the hollow sidecars share
- * @param pushed lists are pushed to an agent, instead of asked for
- * @param askWithin the rule by which sidecars ask anew, where they ask
- * @param sidecars real ones beside the hollow ones
- * @param processes whether those are processes of the shipped program, or run here
- * @param perSecond requests on the real ones, all together
- * @param control how lists travel by way of relays; null for the platform's discovery
- * @param relays how many there are, and {@code services} over which the lines are spread, of which a hollow
- *     sidecar follows {@code follows}
- * @param limit after so long a case has failed whose change is not known everywhere
+ * @param name name of the file, for error messages
+ * @param sizes numbers of hollow sidecars, in the order of the run
+ * @param entries number of entries in the list
+ * @param zones number of zones over which the entries are spread
+ * @param followerLoops event loops that the hollow sidecars share
+ * @param pushed whether lists are pushed to an agent rather than requested
+ * @param refetchWithinNanos value of the rule {@code askWithin}, for sidecars that request the list
+ * @param realSidecars number of real sidecars beside the hollow ones
+ * @param separateProcesses whether the real sidecars are processes of the shipped program, rather than event loops
+ *     of this process
+ * @param requestsPerSecond request rate on all real sidecars together
+ * @param propagationTimeoutNanos a case fails if its last change has not reached all followers after this time
+ * @param control settings of the distribution through relays; null for the platform's discovery
+ * @param relays number of relays
+ * @param services number of services over which the entries are spread
+ * @param servicesPerFollower number of services that each hollow sidecar follows
  */
 public record ScalePlan(
         String name,
@@ -35,50 +36,47 @@
         List<Integer> sizes,
         int entries,
         int zones,
-        int loops,
+        int followerLoops,
         boolean pushed,
-        long askWithin,
-        int sidecars,
-        boolean processes,
-        int perSecond,
-        long limit,
+        long refetchWithinNanos,
+        int realSidecars,
+        boolean separateProcesses,
+        int requestsPerSecond,
+        long propagationTimeoutNanos,
         ControlSettings control,
         int relays,
         int services,
-        int follows,
+        int servicesPerFollower,
         List<Step> cases) {
-    /**
-     * The most lines that all hollow sidecars of a run hold together: about a kilobyte each in the worst
-     * case.
-     */
-    static final long MOST_LINES = 4_000_000;
+    /** Most entries that all hollow sidecars of a run hold together; an entry takes up to about 1 KB of heap. */
+    static final long MAX_TOTAL_ENTRIES = 4_000_000;
 
     private static final int SPARE_DESCRIPTORS = 400;
-    /** Listing, upstreams and both ends of a client's connection. */
-    private static final int DESCRIPTORS_A_SIDECAR = 60;
+    /** Connections to discovery and to upstreams, and both ends of client connections. */
+    private static final int DESCRIPTORS_PER_REAL_SIDECAR = 60;
 
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** What a case does. */
+    /** Action of a case. */
     public enum Act {
-        /** Nothing, for a time. */
+        /** No change. */
         QUIET,
-        /** Single lines change, evenly spread over a time. */
+        /** Single entries change, evenly spread over the duration. */
         CHURN,
-        /** All lines of one zone go, one after the other over a time, or in one change. */
+        /** All entries of one zone are removed, one after the other over the duration, or in a single change. */
         ZONE_GONE,
-        /** All hollow sidecars begin anew, at once. */
+        /** All hollow sidecars restart at once. */
         JOIN,
-        /** The source is gone for a time: connections end and new ones are refused. */
+        /** The source, or one relay, is down for the duration: connections close and new ones are refused. */
         KILLED,
-        /** The source is gone for a time, and relays are not. */
+        /** The source is down for the duration, the relays are not. */
         SOURCE_KILLED,
-        /** The source says nothing for a time, on connections that stay open. */
+        /** The source, or one relay, sends nothing for the duration; connections stay open. */
         SILENT,
-        /** A part of the hollow sidecars can't reach the source for a time. */
+        /** A fraction of the hollow sidecars can't reach the source for the duration. */
         REGION_CUT;
 
-        String word() {
+        String configName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
@@ -86,29 +84,35 @@
     /**
      * One case.
      *
-     * @param length how long it lasts, or over how long its changes are spread
-     * @param perSecond changes a second, of {@link Act#CHURN}
-     * @param folded all changes in one
-     * @param before the one change of an outage comes right before it, and not at its end
-     * @param part of the hollow sidecars, of {@link Act#REGION_CUT}
+     * @param durationNanos duration, over which changes are spread
+     * @param changesPerSecond rate of changes, for {@link Act#CHURN}
+     * @param singleChange whether all changes are published as one, for {@link Act#ZONE_GONE}
+     * @param changeBefore whether the one change of an outage is published right before it, rather than at its end
+     * @param regionFraction fraction of the hollow sidecars that is cut off, for {@link Act#REGION_CUT}
      */
     public record Step(
-            String name, Act act, long length, double perSecond, boolean folded, boolean before, double part) {
-        /** Whether it is about an outage, whose end is what counts. */
+            String name,
+            Act act,
+            long durationNanos,
+            double changesPerSecond,
+            boolean singleChange,
+            boolean changeBefore,
+            double regionFraction) {
+        /** Returns whether the case is an outage, for which the recovery is measured. */
         public boolean outage() {
             return act == Act.KILLED || act == Act.SOURCE_KILLED || act == Act.SILENT || act == Act.REGION_CUT;
         }
     }
 
-    /** Reads a whole file; any mistake is a {@link SettingsException}. */
+    /** Reads a file; throws {@link SettingsException} on any error in it. */
     public static ScalePlan read(Path path) {
         SettingsFile file = SettingsFile.read(path);
-        ScalePlan read = of(file);
+        ScalePlan plan = of(file);
         file.finish();
-        return read;
+        return plan;
     }
 
-    /** Reads a file that may hold more. */
+    /** Reads the plan from a file that may contain further sections. */
     static ScalePlan of(SettingsFile file) {
         Section scale = file.section("scale");
         List<Step> cases = new ArrayList<>();
@@ -143,13 +147,13 @@
         if (plan.services > plan.entries) {
             throw scale.contradiction("services", "expected no more than entries, " + plan.entries);
         }
-        if (control && plan.sidecars > 0) {
+        if (control && plan.realSidecars > 0) {
             throw scale.contradiction("sidecars", "expected 0 with way control: real ones follow discovery");
         }
-        if ((long) plan.largest() * plan.entries * plan.follows / plan.services > MOST_LINES) {
+        if ((long) plan.largestSize() * plan.entries * plan.servicesPerFollower / plan.services > MAX_TOTAL_ENTRIES) {
             throw scale.contradiction(
                     "entries",
-                    "expected at most " + MOST_LINES / plan.largest() + " with " + plan.largest()
+                    "expected at most " + MAX_TOTAL_ENTRIES / plan.largestSize() + " with " + plan.largestSize()
                             + " hollow sidecars: all of them hold the list");
         }
         return plan;
@@ -158,66 +162,70 @@
     private static Step step(String name, Section section) {
         section.text("do", null);
         String word = section.word(
-                "do", null, Arrays.stream(Act.values()).map(Act::word).toList());
+                "do", null, Arrays.stream(Act.values()).map(Act::configName).toList());
         Act act = Act.valueOf(word.replace('-', '_').toUpperCase(Locale.ROOT));
-        boolean folded =
+        boolean singleChange =
                 section.word("told", "singly", List.of("singly", "folded")).equals("folded");
         Step step = new Step(
                 name,
                 act,
                 section.time("for", act == Act.JOIN ? "0ms" : "1s", "0ms", "10min"),
                 section.fraction("per_second", 1, 0.01, 1_000),
-                folded,
+                singleChange,
                 section.word("change", "after", List.of("after", "before")).equals("before"),
                 section.fraction("part", 0.3, 0.01, 1));
-        if (act == Act.CHURN && Schedule.count(step) == 0) {
+        if (act == Act.CHURN && Schedule.churnCount(step) == 0) {
             throw section.contradiction("for", "expected at least one change: for times per_second is less");
         }
-        if (act == Act.SILENT && step.length < 5_000 * MS) {
+        if (act == Act.SILENT && step.durationNanos < 5_000 * NANOS_PER_MILLI) {
             throw section.contradiction("for", "expected 5s or more: a shorter silence is not noticed");
         }
-        if (step.before && (!step.outage() || act == Act.SOURCE_KILLED)) {
+        if (step.changeBefore && (!step.outage() || act == Act.SOURCE_KILLED)) {
             throw section.contradiction("change", "expected with an outage, but not the source's");
         }
-        if (folded && act != Act.ZONE_GONE) {
+        if (singleChange && act != Act.ZONE_GONE) {
             throw section.contradiction("told", "expected with zone-gone alone");
         }
         return step;
     }
 
-    /** The most hollow sidecars at a time. */
-    public int largest() {
+    /** Returns the largest number of hollow sidecars. */
+    public int largestSize() {
         return sizes.stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /** Which service a line belongs to. */
-    int service(int line) {
-        return (int) ((long) line * services / entries);
+    /** Returns the service to which an entry belongs. */
+    int serviceOf(int entry) {
+        return (int) ((long) entry * services / entries);
     }
 
-    /** Whether a hollow sidecar follows a service: so many in a row, from where the one before ended. */
-    boolean follows(int follower, int service) {
-        return Math.floorMod(service - (long) follower * follows, services) < follows;
+    /** Returns whether a hollow sidecar follows a service. Its services start where those of the previous one end. */
+    boolean followsService(int follower, int service) {
+        return Math.floorMod(service - (long) follower * servicesPerFollower, services) < servicesPerFollower;
     }
 
-    /** How many servers there are: one a line, as far as that goes. */
-    int servers() {
-        return sidecars == 0 || perSecond == 0 ? 0 : Math.min(entries, 1_000);
+    /** Returns the number of servers: one per entry, up to 1,000; none without load on real sidecars. */
+    int serverCount() {
+        return realSidecars == 0 || requestsPerSecond == 0 ? 0 : Math.min(entries, 1_000);
     }
 
     /**
-     * Holds the plan against what this process may open.
+     * Checks that this process may open enough file descriptors for the plan.
      *
-     * @throws SettingsException where it needs more
+     * @param maxDescriptors limit of this process; 0 if it is unknown
+     * @throws SettingsException if the plan needs more
      */
-    void fits(long descriptors) {
-        // Both ends of a watch are in this process, and so are the servers and the clients.
-        long needs = 2L * largest() + servers() + (long) DESCRIPTORS_A_SIDECAR * sidecars + SPARE_DESCRIPTORS;
-        if (descriptors > 0 && needs > descriptors) {
+    void checkDescriptors(long maxDescriptors) {
+        // Both ends of each watch, the servers and the clients are in this process.
+        long needed = 2L * largestSize()
+                + serverCount()
+                + (long) DESCRIPTORS_PER_REAL_SIDECAR * realSidecars
+                + SPARE_DESCRIPTORS;
+        if (maxDescriptors > 0 && needed > maxDescriptors) {
             throw new SettingsException(
                     name,
                     "scale.sizes",
-                    "needs " + needs + " descriptors, this process may have " + descriptors + " (ulimit -n)");
+                    "needs " + needed + " descriptors, this process may have " + maxDescriptors + " (ulimit -n)");
         }
     }
 }
--- a/src/main/java/pondridge/scale/ScaleReport.java
+++ b/src/main/java/pondridge/scale/ScaleReport.java
@@ -9,126 +9,135 @@
 import pondridge.standin.EffectLedger.Verdict;
 
 /**
- * What a run has shown: a table of all cases at all sizes, and the slope of each figure over the
- * sizes.
+ * Report of a run: a table of all cases at all fleet sizes, and the slope of each figure over the sizes.
  *
- * @param verdicts of the real sidecars' ledger, one a size
+ * @param results one for each case at each size
+ * @param verdicts verdicts of the ledger on the real sidecars, one for each size
  */
-public record ScaleReport(long seed, List<Row> rows, List<Verdict> verdicts) {
-    /** Whether every change was known everywhere in time and the real sidecars broke no rule. */
+public record ScaleReport(long seed, List<CaseResult> results, List<Verdict> verdicts) {
+    /** Returns whether every change reached all followers in time and the real sidecars broke no rule. */
     public boolean clean() {
-        return rows.stream().allMatch(each -> each.missing() == 0)
+        return results.stream().allMatch(result -> result.missingFollowers() == 0)
                 && verdicts.stream().allMatch(Verdict::clean);
     }
 
-    /** All of it. */
+    /** Returns all lines of the report. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
-        lines.add(Row.head());
-        rows.forEach(each -> lines.add(each.cells()));
+        lines.add(CaseResult.tableHeader());
+        results.forEach(result -> lines.add(result.tableRow()));
         lines.addAll(slopes());
-        for (Verdict each : verdicts) {
+        for (Verdict verdict : verdicts) {
             lines.add(String.format(
                     Locale.ROOT,
                     "real: asked=%d served=%d refused=%d failed=%d "
                             + "lost=%d doubled=%d after-drain=%d late=%d clean=%s",
-                    each.asked(),
-                    each.served(),
-                    each.refused(),
-                    each.failed(),
-                    each.unanswered(),
-                    each.doubled(),
-                    each.afterDrain(),
-                    each.late(),
-                    each.clean()));
-            if (!each.clean()) {
-                lines.addAll(each.words());
+                    verdict.asked(),
+                    verdict.served(),
+                    verdict.refused(),
+                    verdict.failed(),
+                    verdict.unanswered(),
+                    verdict.doubled(),
+                    verdict.afterDrain(),
+                    verdict.late(),
+                    verdict.clean()));
+            if (!verdict.clean()) {
+                lines.addAll(verdict.words());
             }
         }
         lines.add("scale: seed=" + seed + " clean=" + clean());
         return lines;
     }
 
-    /** A line for each figure of each case; none where there is but one size. */
+    /** Returns one line for each figure of each case; none if there is only one size. */
     List<String> slopes() {
-        Map<String, List<Row>> cases = new LinkedHashMap<>();
-        rows.forEach(each -> cases.computeIfAbsent(each.step().name(), name -> new ArrayList<>())
-                .add(each));
+        Map<String, List<CaseResult>> cases = new LinkedHashMap<>();
+        results.forEach(result -> cases.computeIfAbsent(result.step().name(), name -> new ArrayList<>())
+                .add(result));
         List<String> lines = new ArrayList<>();
-        rows.stream()
+        results.stream()
                 .findFirst()
-                .map(each -> cases.get(each.step().name()))
+                .map(result -> cases.get(result.step().name()))
                 .filter(all -> all.size() > 1)
-                .ifPresent(all -> lines.add(
-                        slope("follower", "all", "heap-kb-per-follower", all, each -> each.heapKb() * each.size())));
+                .ifPresent(all -> lines.add(slope(
+                        "follower",
+                        "all",
+                        "heap-kb-per-follower",
+                        all,
+                        result -> result.heapKibPerFollower() * result.size())));
         cases.forEach((name, all) -> {
-            if (all.stream().mapToInt(Row::size).distinct().count() > 1) {
-                String per = "-per-" + all.get(0).event();
+            if (all.stream().mapToInt(CaseResult::size).distinct().count() > 1) {
+                String perEvent = "-per-" + all.get(0).eventUnit();
                 lines.add(slope(
                         "source",
                         name,
-                        "bytes" + per + "-per-watcher",
+                        "bytes" + perEvent + "-per-watcher",
                         all,
-                        each -> each.source().bytes() / each.events()));
+                        result -> result.sourceCounts().bytes() / result.eventCount()));
                 lines.add(slope(
                         "source",
                         name,
-                        "messages" + per + "-per-watcher",
+                        "messages" + perEvent + "-per-watcher",
                         all,
-                        each -> each.source().messages() / each.events()));
+                        result -> result.sourceCounts().messages() / result.eventCount()));
                 lines.add(slope(
                         "source",
                         name,
-                        "cpu-us" + per + "-per-watcher",
+                        "cpu-us" + perEvent + "-per-watcher",
                         all,
-                        each -> each.sourceCpu() / 1e3 / each.events()));
-                if (all.get(0).relayed().bytes() > 0) {
+                        result -> result.sourceCpuNanos() / 1e3 / result.eventCount()));
+                if (all.get(0).relayCounts().bytes() > 0) {
                     lines.add(slope(
                             "relay",
                             name,
-                            "bytes" + per + "-per-watcher",
+                            "bytes" + perEvent + "-per-watcher",
                             all,
-                            each -> each.relayed().bytes() / each.events()));
+                            result -> result.relayCounts().bytes() / result.eventCount()));
                     lines.add(slope(
                             "relay",
                             name,
-                            "messages" + per + "-per-watcher",
+                            "messages" + perEvent + "-per-watcher",
                             all,
-                            each -> each.relayed().messages() / each.events()));
+                            result -> result.relayCounts().messages() / result.eventCount()));
                     lines.add(slope(
                             "relay",
                             name,
-                            "cpu-us" + per + "-per-watcher",
+                            "cpu-us" + perEvent + "-per-watcher",
                             all,
-                            each -> each.relayCpu() / 1e3 / each.events()));
+                            result -> result.relayCpuNanos() / 1e3 / result.eventCount()));
                 }
                 lines.add(slope(
                         "follower",
                         name,
-                        "cpu-us" + per + "-per-follower",
+                        "cpu-us" + perEvent + "-per-follower",
                         all,
-                        each -> each.followerCpu() / 1e3 / each.events()));
-                lines.add(slope("fleet", name, "known-p99-ms-per-follower", all, each -> each.known()
-                        .p99()));
-                lines.add(slope("fleet", name, "known-last-ms-per-follower", all, each -> each.known()
-                        .last()));
+                        result -> result.followerCpuNanos() / 1e3 / result.eventCount()));
+                lines.add(slope("fleet", name, "known-p99-ms-per-follower", all, result -> result.propagation()
+                        .p99Millis()));
+                lines.add(slope("fleet", name, "known-last-ms-per-follower", all, result -> result.propagation()
+                        .lastMillis()));
             }
         });
         return lines;
     }
 
-    private static String slope(String role, String name, String figure, List<Row> rows, ToDoubleFunction<Row> of) {
-        Slope line = Slope.of(
-                rows.stream().mapToDouble(Row::size).toArray(),
-                rows.stream().mapToDouble(of).toArray());
+    private static String slope(
+            String role,
+            String caseName,
+            String figure,
+            List<CaseResult> results,
+            ToDoubleFunction<CaseResult> valueOf) {
+        Slope slope = Slope.of(
+                results.stream().mapToDouble(CaseResult::size).toArray(),
+                results.stream().mapToDouble(valueOf).toArray());
         return String.format(
                 Locale.ROOT,
                 "slope: role=%s case=%s figure=%s value=%.4f base=%.2f spread=%.3f",
                 role,
-                name,
+                caseName,
                 figure,
-                line.value(),
-                line.base(),
-                line.spread());
+                slope.value(),
+                slope.intercept(),
+                slope.relativeResidual());
     }
 }
--- a/src/main/java/pondridge/scale/ScaleRun.java
+++ b/src/main/java/pondridge/scale/ScaleRun.java
@@ -23,162 +23,173 @@
 import pondridge.standin.EffectLedger.Verdict;
 
 /**
- * Plays a {@link ScalePlan}: at each size a new source, a few real sidecars and the hollow ones, and on them
- * one case after the other, each on the whole list again. Of one thread.
+ * Runs a {@link ScalePlan}. Each fleet size has a new source, its own real sidecars and its own hollow sidecars; the
+ * cases run on them one after the other, each starting with all entries ready. Single-threaded.
  */
 public final class ScaleRun {
-    private static final long WAIT_MS = 2_000;
-    private static final long LOAD_MIN = 2_000_000_000L;
-    private static final long POLL_MS = 10;
-    private static final int MOST_COLLECTIONS = 10;
-    private static final long COLLECTION_MS = 100;
-    private static final int WARM = 20;
-    private static final int PATIENCE_S = 120;
+    private static final long CLIENT_TIMEOUT_MILLIS = 2_000;
+    private static final long MIN_LOAD_NANOS = 2_000_000_000L;
+    private static final long POLL_INTERVAL_MILLIS = 10;
+    private static final int MAX_COLLECTIONS = 10;
+    private static final long COLLECTION_PAUSE_MILLIS = 100;
+    private static final int WARM_UP_SIZE = 20;
+    private static final int LOAD_TIMEOUT_SECONDS = 120;
 
-    /** Makes the source of one size. */
+    /** Creates the distribution of the list for one fleet size. */
     public interface Source {
-        /** One that has this list. */
-        ListWay start(ScalePlan plan, List<Target> first);
+        /** Starts a distribution with these initial entries. */
+        ListDistribution start(ScalePlan plan, List<Target> initialEntries);
 
         /** The platform's discovery. */
-        Source DISCOVERY = (plan, first) -> new DiscoveryWay(plan.pushed(), first);
+        Source DISCOVERY = (plan, initialEntries) -> new DiscoveryListDistribution(plan.pushed(), initialEntries);
 
-        /** The way that the plan names. */
-        Source PLANNED =
-                (plan, first) -> plan.control() == null ? DISCOVERY.start(plan, first) : new ControlWay(plan, first);
+        /** The mechanism that the plan names. */
+        Source PLANNED = (plan, initialEntries) -> plan.control() == null
+                ? DISCOVERY.start(plan, initialEntries)
+                : new ControlListDistribution(plan, initialEntries);
     }
 
     private final ScalePlan plan;
-    private final Source source;
+    private final Source distributionFactory;
     private final Consumer<String> progress;
     private final Options options;
-    private final List<Integer> lines;
-    private final List<Row> rows = new ArrayList<>();
+    private final List<Integer> allEntries;
+    private final List<CaseResult> results = new ArrayList<>();
 
-    /** One to be played; {@code progress} is told the line of each case as it ends. */
-    public ScaleRun(ScalePlan plan, Source source, Consumer<String> progress) {
+    /** Creates a run; {@code progress} receives the result line of each case when it ends. */
+    public ScaleRun(ScalePlan plan, Source distributionFactory, Consumer<String> progress) {
         this.plan = plan;
-        this.source = source;
+        this.distributionFactory = distributionFactory;
         this.progress = progress;
         this.options = Usual.options(
-                WAIT_MS,
+                CLIENT_TIMEOUT_MILLIS,
                 "discovery=" + (plan.pushed() || plan.control() != null ? "automatic" : "subscribe"),
-                "rules.askWithin=" + plan.askWithin());
-        this.lines = IntStream.range(0, plan.entries()).boxed().toList();
+                "rules.askWithin=" + plan.refetchWithinNanos());
+        this.allEntries = IntStream.range(0, plan.entries()).boxed().toList();
     }
 
     /**
-     * Plays all of it.
+     * Runs all sizes and cases.
      *
-     * @throws pondridge.settings.SettingsException before anything has begun, where the plan needs more than
-     *     this process may have
+     * @throws pondridge.settings.SettingsException before anything is started, if the plan needs more file
+     *     descriptors than this process may open
      */
     public ScaleReport play() throws IOException, InterruptedException {
-        plan.fits(descriptors());
-        new Size(WARM).warmUp();
+        plan.checkDescriptors(maxDescriptors());
+        new SizeRun(WARM_UP_SIZE).warmUp();
         List<Verdict> verdicts = new ArrayList<>();
         for (int size : plan.sizes()) {
-            verdicts.add(new Size(size).play());
+            verdicts.add(new SizeRun(size).run());
         }
-        return new ScaleReport(plan.seed(), List.copyOf(rows), List.copyOf(verdicts));
+        return new ScaleReport(plan.seed(), List.copyOf(results), List.copyOf(verdicts));
     }
 
-    private static long descriptors() {
-        return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean told
-                ? told.getMaxFileDescriptorCount()
+    private static long maxDescriptors() {
+        return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean systemBean
+                ? systemBean.getMaxFileDescriptorCount()
                 : 0;
     }
 
-    /** What closed connections hold goes only with the collection after the one that finds them closed. */
+    /**
+     * Returns the heap use after garbage collections. It collects several times, since memory held by closed
+     * connections is freed only by the collection after the one that finds them closed.
+     */
     private static long heapAfterCollection() throws InterruptedException {
-        long used = Long.MAX_VALUE;
-        for (int i = 0; i < MOST_COLLECTIONS; i++) {
+        long usedBytes = Long.MAX_VALUE;
+        for (int i = 0; i < MAX_COLLECTIONS; i++) {
             System.gc();
-            long now = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
-            if (i > 1 && now > used - used / 100) {
-                return now;
+            long currentBytes =
+                    ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
+            if (i > 1 && currentBytes > usedBytes - usedBytes / 100) {
+                return currentBytes;
             }
-            used = now;
-            Thread.sleep(COLLECTION_MS);
+            usedBytes = currentBytes;
+            Thread.sleep(COLLECTION_PAUSE_MILLIS);
         }
-        return used;
+        return usedBytes;
     }
 
-    /** One size, with all that lives as long. */
-    private final class Size {
+    /** Run of one fleet size, with the objects that live as long. */
+    private final class SizeRun {
         private final int size;
-        private final Knowledge knowledge;
-        private RealBed bed;
-        private ListWay way;
+        private final Knowledge tracker;
+        private RealTestbed testbed;
+        private ListDistribution distribution;
         private HollowFleet fleet;
-        private long version = ListWay.FIRST;
-        private double heapKb;
+        private long version = ListDistribution.FIRST;
+        private double heapKibPerFollower;
 
-        Size(int size) {
+        SizeRun(int size) {
             this.size = size;
-            this.knowledge = new Knowledge(size);
+            this.tracker = new Knowledge(size);
         }
 
-        Verdict play() throws IOException, InterruptedException {
-            try (RealBed real = new RealBed(plan, options, WAIT_MS);
-                    ListWay begun = source.start(plan, real.targets(lines, State.READY));
-                    HollowFleet hollow = new HollowFleet(size, plan, begun, options, knowledge)) {
-                bed = real;
-                way = begun;
-                fleet = hollow;
-                bed.start(way);
-                long before = heapAfterCollection();
-                fleet.join();
-                if (!known()) {
-                    throw new IOException(
-                            knowledge.missing(version) + " of " + size + " hollow sidecars never had the first list");
+        Verdict run() throws IOException, InterruptedException {
+            try (RealTestbed newTestbed = new RealTestbed(plan, options, CLIENT_TIMEOUT_MILLIS);
+                    ListDistribution newDistribution =
+                            distributionFactory.start(plan, newTestbed.targets(allEntries, State.READY));
+                    HollowFleet newFleet = new HollowFleet(size, plan, newDistribution, options, tracker)) {
+                testbed = newTestbed;
+                distribution = newDistribution;
+                fleet = newFleet;
+                testbed.start(distribution);
+                long heapBefore = heapAfterCollection();
+                fleet.joinAll();
+                if (!awaitPropagation()) {
+                    throw new IOException(tracker.countMissing(version) + " of " + size
+                            + " hollow sidecars did not receive the initial list");
                 }
-                heapKb = (heapAfterCollection() - before) / 1024.0 / size;
+                heapKibPerFollower = (heapAfterCollection() - heapBefore) / 1024.0 / size;
                 for (Step step : plan.cases()) {
-                    Row row = new Playing(step).play();
-                    rows.add(row);
-                    progress.accept(row.line());
+                    CaseResult result = new CaseRun(step).run();
+                    results.add(result);
+                    progress.accept(result.keyValueLine());
                 }
-                return bed.verdict();
+                return testbed.verdict();
             }
         }
 
-        /** Loads what all sizes need: else the first one's heap and processor time would have it. */
+        /**
+         * Initializes classes and other state that all sizes share; otherwise its heap and CPU time would count for
+         * the first size.
+         */
         void warmUp() throws InterruptedException {
-            try (RealBed real = new RealBed(plan, options, WAIT_MS);
-                    ListWay begun = source.start(plan, real.targets(lines, State.READY));
-                    HollowFleet hollow = new HollowFleet(size, plan, begun, options, knowledge)) {
-                bed = real;
-                way = begun;
-                hollow.join();
-                known();
-                put(List.of(0), State.READY);
-                known();
+            try (RealTestbed newTestbed = new RealTestbed(plan, options, CLIENT_TIMEOUT_MILLIS);
+                    ListDistribution newDistribution =
+                            distributionFactory.start(plan, newTestbed.targets(allEntries, State.READY));
+                    HollowFleet newFleet = new HollowFleet(size, plan, newDistribution, options, tracker)) {
+                testbed = newTestbed;
+                distribution = newDistribution;
+                newFleet.joinAll();
+                awaitPropagation();
+                publish(List.of(0), State.READY);
+                awaitPropagation();
             }
         }
 
-        private boolean known() throws InterruptedException {
-            return await(() -> knowledge.missing(version) == 0);
+        private boolean awaitPropagation() throws InterruptedException {
+            return awaitCondition(() -> tracker.countMissing(version) == 0);
         }
 
-        private void put(List<Integer> changed, State state) {
+        private void publish(List<Integer> changed, State state) {
             version++;
-            bed.told(changed, state);
-            int[] services = changed.stream().mapToInt(plan::service).distinct().toArray();
-            knowledge.put(version, System.nanoTime(), follower -> Arrays.stream(services)
-                    .anyMatch(each -> plan.follows(follower, each)));
-            way.put(bed.targets(changed, state));
+            testbed.announceState(changed, state);
+            int[] changedServices =
+                    changed.stream().mapToInt(plan::serviceOf).distinct().toArray();
+            tracker.recordPublished(version, System.nanoTime(), follower -> Arrays.stream(changedServices)
+                    .anyMatch(service -> plan.followsService(follower, service)));
+            distribution.publish(testbed.targets(changed, state));
         }
 
-        /** One case. */
-        private final class Playing {
+        /** Run of one case. */
+        private final class CaseRun {
             private final Step step;
             private final Schedule schedule;
-            private long began;
-            private long failedBefore;
-            private long failedDown;
+            private long startedNanos;
+            private long failedCallsBefore;
+            private long failedCallsInOutage;
 
-            Playing(Step step) {
+            CaseRun(Step step) {
                 this.step = step;
                 this.schedule = new Schedule(
                         step,
@@ -187,122 +198,124 @@
                         plan.seed() + step.name().hashCode());
             }
 
-            Row play() throws IOException, InterruptedException {
-                CompletableFuture<Void> load =
-                        bed.load(size + "-" + step.name(), Math.max(LOAD_MIN, step.length()) / 1e9);
-                knowledge.begin();
-                ListWay.Counts counted = way.counts();
-                ListWay.Counts relayed = way.relayed();
-                int watches = way.watches();
-                long sourceCpu = way.cpuNanos();
-                long relayCpu = way.relayNanos();
-                long followerCpu = fleet.cpuNanos();
-                long realCpu = bed.cpuNanos();
-                failedBefore = fleet.failed();
-                began = System.nanoTime();
-                act();
-                until(began + step.length());
-                boolean done = known();
+            CaseResult run() throws IOException, InterruptedException {
+                CompletableFuture<Void> load = testbed.startLoad(
+                        size + "-" + step.name(), Math.max(MIN_LOAD_NANOS, step.durationNanos()) / 1e9);
+                tracker.reset();
+                ListDistribution.Counts sourceCountsBefore = distribution.sourceCounts();
+                ListDistribution.Counts relayCountsBefore = distribution.relayCounts();
+                int subscriptionsBefore = distribution.subscriptions();
+                long sourceCpuNanosBefore = distribution.sourceCpuNanos();
+                long relayCpuNanosBefore = distribution.relayCpuNanos();
+                long followerCpuNanosBefore = fleet.cpuNanos();
+                long realCpuNanosBefore = testbed.cpuNanos();
+                failedCallsBefore = fleet.failedCalls();
+                startedNanos = System.nanoTime();
+                runAction();
+                sleepUntil(startedNanos + step.durationNanos());
+                boolean propagated = awaitPropagation();
                 if (step.outage()) {
-                    backAll(watches);
+                    awaitResubscribed(subscriptionsBefore);
                 }
-                double seconds = (System.nanoTime() - began) / 1e9;
-                double events = step.act() == Act.QUIET
+                double seconds = (System.nanoTime() - startedNanos) / 1e9;
+                double eventCount = step.act() == Act.QUIET
                         ? seconds
                         : Math.max(1, schedule.changes().size());
-                Row row = new Row(
+                CaseResult result = new CaseResult(
                         size,
                         plan.entries(),
                         step,
-                        events,
+                        eventCount,
                         seconds,
-                        knowledge.times(),
-                        done ? 0 : knowledge.missing(version),
-                        way.counts().since(counted),
-                        way.cpuNanos() - sourceCpu,
-                        way.relayed().since(relayed),
-                        way.relayNanos() - relayCpu,
-                        fleet.cpuNanos() - followerCpu,
-                        fleet.failed() - failedBefore,
-                        failedDown,
-                        heapKb,
-                        bed.cpuNanos() - realCpu,
-                        bed.residentKb());
-                join(load);
-                restore();
-                return row;
+                        tracker.propagationTimes(),
+                        propagated ? 0 : tracker.countMissing(version),
+                        distribution.sourceCounts().since(sourceCountsBefore),
+                        distribution.sourceCpuNanos() - sourceCpuNanosBefore,
+                        distribution.relayCounts().since(relayCountsBefore),
+                        distribution.relayCpuNanos() - relayCpuNanosBefore,
+                        fleet.cpuNanos() - followerCpuNanosBefore,
+                        fleet.failedCalls() - failedCallsBefore,
+                        failedCallsInOutage,
+                        heapKibPerFollower,
+                        testbed.cpuNanos() - realCpuNanosBefore,
+                        testbed.residentKib());
+                awaitLoad(load);
+                restoreEntries();
+                return result;
             }
 
-            private void act() throws InterruptedException {
+            private void runAction() throws InterruptedException {
                 if (step.outage()) {
-                    if (step.before()) {
-                        put(List.of(0), State.READY);
+                    if (step.changeBefore()) {
+                        publish(List.of(0), State.READY);
                     }
-                    outage(true);
-                    until(began + step.length());
-                    failedDown = fleet.failed() - failedBefore;
-                    if (!step.before()) {
-                        // One line is told again, unchanged: a version that nobody has who was away.
-                        put(List.of(0), State.READY);
+                    setOutage(true);
+                    sleepUntil(startedNanos + step.durationNanos());
+                    failedCallsInOutage = fleet.failedCalls() - failedCallsBefore;
+                    if (!step.changeBefore()) {
+                        // One unchanged entry is published again: a version that followers cut off by the outage lack.
+                        publish(List.of(0), State.READY);
                     }
-                    outage(false);
+                    setOutage(false);
                 } else if (step.act() == Act.JOIN) {
-                    knowledge.put(version, began);
-                    fleet.join();
+                    tracker.recordPublished(version, startedNanos);
+                    fleet.joinAll();
                 }
-                for (Schedule.Change each : schedule.changes()) {
-                    until(began + each.at());
-                    put(each.lines(), each.state());
+                for (Schedule.Change change : schedule.changes()) {
+                    sleepUntil(startedNanos + change.atNanos());
+                    publish(change.entries(), change.state());
                 }
             }
 
-            private void outage(boolean on) {
+            private void setOutage(boolean active) {
                 switch (step.act()) {
-                    case KILLED -> way.kill(on);
-                    case SOURCE_KILLED -> way.killSource(on);
-                    case SILENT -> way.silence(on);
-                    default -> way.cut(on);
+                    case KILLED -> distribution.setKilled(active);
+                    case SOURCE_KILLED -> distribution.setSourceKilled(active);
+                    case SILENT -> distribution.setSilent(active);
+                    default -> distribution.setRegionCut(active);
                 }
             }
 
-            /** Waits until all who were followed are again, the real ones among them. */
-            private void backAll(int watches) throws InterruptedException {
-                await(() -> way.watches() >= watches);
+            /** Waits until as many followers as before the outage are subscribed, real sidecars included. */
+            private void awaitResubscribed(int expected) throws InterruptedException {
+                awaitCondition(() -> distribution.subscriptions() >= expected);
             }
 
-            /** All lines are ready again before the next case, and all know it. */
-            private void restore() throws InterruptedException {
-                if (!schedule.away().isEmpty()) {
-                    put(schedule.away(), State.READY);
-                    known();
+            /** Sets all entries to ready for the next case and waits until all followers have received that. */
+            private void restoreEntries() throws InterruptedException {
+                if (!schedule.unavailable().isEmpty()) {
+                    publish(schedule.unavailable(), State.READY);
+                    awaitPropagation();
                 }
             }
         }
     }
 
-    /** Waits until it is so; false once that has taken longer than the plan's limit. */
-    private boolean await(BooleanSupplier so) throws InterruptedException {
-        long until = System.nanoTime() + plan.limit();
-        while (!so.getAsBoolean()) {
-            if (System.nanoTime() - until > 0) {
+    /** Waits until a condition holds. Returns false if that takes longer than the plan's propagation timeout. */
+    private boolean awaitCondition(BooleanSupplier condition) throws InterruptedException {
+        long deadline = System.nanoTime() + plan.propagationTimeoutNanos();
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() - deadline > 0) {
                 return false;
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         return true;
     }
 
-    private static void until(long time) {
-        for (long left = time - System.nanoTime(); left > 0; left = time - System.nanoTime()) {
-            LockSupport.parkNanos(left);
+    private static void sleepUntil(long nanoTime) {
+        for (long remainingNanos = nanoTime - System.nanoTime();
+                remainingNanos > 0;
+                remainingNanos = nanoTime - System.nanoTime()) {
+            LockSupport.parkNanos(remainingNanos);
         }
     }
 
-    private static void join(CompletableFuture<Void> load) throws IOException, InterruptedException {
+    private static void awaitLoad(CompletableFuture<Void> load) throws IOException, InterruptedException {
         try {
-            load.get(PATIENCE_S, TimeUnit.SECONDS);
+            load.get(LOAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("load doesn't end", e);
+            throw new IOException("load did not end within " + LOAD_TIMEOUT_SECONDS + " s", e);
         }
     }
 }
--- a/src/main/java/pondridge/scale/Schedule.java
+++ b/src/main/java/pondridge/scale/Schedule.java
@@ -9,74 +9,77 @@
 import pondridge.scale.ScalePlan.Step;
 
 /**
- * The changes of one case, drawn from a seed: when each comes, in nanoseconds from the case's begin, and
- * which lines of the list it sets to which state. Lines are numbered; line {@code i} is in zone {@code i}
- * modulo the zones.
+ * The list changes of one case, drawn from a seed: the time of each from the start of the case, and the entries
+ * of the list that it sets to a new state. Entries are numbered; entry {@code i} is in zone {@code i} modulo the
+ * number of zones.
  */
 public final class Schedule {
-    /** One change of the list, which is one version. */
-    public record Change(long at, List<Integer> lines, State state) {}
+    /** One change of the list, published as one version. */
+    public record Change(long atNanos, List<Integer> entries, State state) {}
 
     private final List<Change> changes = new ArrayList<>();
-    private final List<Integer> away = new ArrayList<>();
+    private final List<Integer> unavailable = new ArrayList<>();
 
-    /** Draws one for a list of so many lines, all of which are ready. */
-    public Schedule(Step step, int entries, int zones, long seed) {
+    /** Draws a schedule for a list whose entries are all ready. */
+    public Schedule(Step step, int entryCount, int zones, long seed) {
         Random random = new Random(seed);
         switch (step.act()) {
-            case CHURN -> churn(step, entries, random);
-            case ZONE_GONE -> zoneGone(step, entries, zones, random);
+            case CHURN -> churn(step, entryCount, random);
+            case ZONE_GONE -> zoneGone(step, entryCount, zones, random);
             default -> {}
         }
     }
 
-    /** How many changes a churn has. */
-    static int count(Step step) {
-        return (int) (step.length() / 1e9 * step.perSecond());
+    /** Returns the number of changes in a churn case. */
+    static int churnCount(Step step) {
+        return (int) (step.durationNanos() / 1e9 * step.changesPerSecond());
     }
 
-    /** Lines drain and come back, so that a quarter of the list at most is away at a time. */
-    private void churn(Step step, int entries, Random random) {
-        int count = count(step);
+    /** Entries drain and become ready again; at most a quarter of the list is draining at a time. */
+    private void churn(Step step, int entryCount, Random random) {
+        int count = churnCount(step);
         for (int i = 0; i < count; i++) {
-            long at = step.length() / count * i;
-            boolean back = away.size() >= Math.max(1, entries / 4) || !away.isEmpty() && random.nextBoolean();
-            if (back) {
-                changes.add(new Change(at, List.of(away.remove(random.nextInt(away.size()))), State.READY));
+            long atNanos = step.durationNanos() / count * i;
+            boolean restore =
+                    unavailable.size() >= Math.max(1, entryCount / 4) || !unavailable.isEmpty() && random.nextBoolean();
+            if (restore) {
+                changes.add(new Change(
+                        atNanos, List.of(unavailable.remove(random.nextInt(unavailable.size()))), State.READY));
             } else {
-                int line = random.nextInt(entries);
-                while (away.contains(line)) {
-                    line = random.nextInt(entries);
+                int entry = random.nextInt(entryCount);
+                while (unavailable.contains(entry)) {
+                    entry = random.nextInt(entryCount);
                 }
-                away.add(line);
-                changes.add(new Change(at, List.of(line), State.DRAINING));
+                unavailable.add(entry);
+                changes.add(new Change(atNanos, List.of(entry), State.DRAINING));
             }
         }
     }
 
-    private void zoneGone(Step step, int entries, int zones, Random random) {
+    private void zoneGone(Step step, int entryCount, int zones, Random random) {
         int zone = random.nextInt(zones);
-        away.addAll(IntStream.range(0, entries)
-                .filter(line -> line % zones == zone)
+        unavailable.addAll(IntStream.range(0, entryCount)
+                .filter(entry -> entry % zones == zone)
                 .boxed()
                 .toList());
-        Collections.shuffle(away, random);
-        if (step.folded()) {
-            changes.add(new Change(0, List.copyOf(away), State.GONE));
+        Collections.shuffle(unavailable, random);
+        if (step.singleChange()) {
+            changes.add(new Change(0, List.copyOf(unavailable), State.GONE));
         } else {
-            for (int i = 0; i < away.size(); i++) {
-                changes.add(new Change(step.length() / away.size() * i, List.of(away.get(i)), State.GONE));
+            for (int i = 0; i < unavailable.size(); i++) {
+                changes.add(new Change(
+                        step.durationNanos() / unavailable.size() * i, List.of(unavailable.get(i)), State.GONE));
             }
         }
     }
 
-    /** In the order of their times. */
+    /** Returns the changes in the order of their times. */
     public List<Change> changes() {
         return List.copyOf(changes);
     }
 
-    /** Lines that are not ready after it. */
-    public List<Integer> away() {
-        return List.copyOf(away);
+    /** Returns the entries that are not ready after the last change. */
+    public List<Integer> unavailable() {
+        return List.copyOf(unavailable);
     }
 }
--- a/src/main/java/pondridge/scale/Slope.java
+++ b/src/main/java/pondridge/scale/Slope.java
@@ -1,43 +1,43 @@
 package pondridge.scale;
 
 /**
- * A straight line through points, by least squares.
+ * A least-squares line through points.
  *
- * @param value what each step of x adds to y
- * @param base y where x is 0
- * @param spread how far points lie from the line, by the root of the mean square, as a part of the mean of y;
- *     0 for a perfect line and for two points
+ * @param value increase of y per unit of x
+ * @param intercept y where x is 0
+ * @param relativeResidual root mean square of the residuals, as a fraction of the mean of y; 0 for a perfect
+ *     line and for two points
  */
-public record Slope(double value, double base, double spread) {
-    /** Fits one through at least two points with different x. */
+public record Slope(double value, double intercept, double relativeResidual) {
+    /** Fits a line through points, at least two of which differ in x. */
     public static Slope of(double[] x, double[] y) {
         double meanX = mean(x);
         double meanY = mean(y);
-        double square = 0;
-        double cross = 0;
+        double sumOfSquaresX = 0;
+        double sumOfProducts = 0;
         for (int i = 0; i < x.length; i++) {
-            square += (x[i] - meanX) * (x[i] - meanX);
-            cross += (x[i] - meanX) * (y[i] - meanY);
+            sumOfSquaresX += (x[i] - meanX) * (x[i] - meanX);
+            sumOfProducts += (x[i] - meanX) * (y[i] - meanY);
         }
-        if (!(square > 0)) {
+        if (!(sumOfSquaresX > 0)) {
             throw new IllegalArgumentException("a slope needs two different sizes");
         }
-        double value = cross / square;
-        double base = meanY - value * meanX;
-        double residual = 0;
+        double value = sumOfProducts / sumOfSquaresX;
+        double intercept = meanY - value * meanX;
+        double sumOfSquaredResiduals = 0;
         for (int i = 0; i < x.length; i++) {
-            double off = y[i] - base - value * x[i];
-            residual += off * off;
+            double residual = y[i] - intercept - value * x[i];
+            sumOfSquaredResiduals += residual * residual;
         }
-        double spread = meanY == 0 ? 0 : Math.sqrt(residual / x.length) / Math.abs(meanY);
-        return new Slope(value, base, spread);
+        double relativeResidual = meanY == 0 ? 0 : Math.sqrt(sumOfSquaredResiduals / x.length) / Math.abs(meanY);
+        return new Slope(value, intercept, relativeResidual);
     }
 
-    private static double mean(double[] of) {
+    private static double mean(double[] values) {
         double sum = 0;
-        for (double each : of) {
-            sum += each;
+        for (double value : values) {
+            sum += value;
         }
-        return sum / of.length;
+        return sum / values.length;
     }
 }
--- a/src/main/java/pondridge/scale/package-info.java
+++ b/src/main/java/pondridge/scale/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Measures what a fleet costs as it grows: hollow sidecars, hundreds to thousands in this process, follow one
- * list beside a few real ones under load, at several sizes and through scripted faults; the slope of each
- * figure over the sizes is what capacity is planned with. What decides and computes ({@link
+ * Measures how the cost of a fleet grows with its size. Hundreds to thousands of hollow sidecars in this process
+ * follow one endpoint list beside a few real sidecars under load, at several fleet sizes and through scripted
+ * faults. Capacity is planned with the slope of each figure over the sizes. Planning and computation ({@link
  * pondridge.scale.ScalePlan}, {@link pondridge.scale.Schedule}, {@link pondridge.scale.Knowledge}, {@link
- * pondridge.scale.Slope}) is apart from sockets, and how lists travel is behind {@link
- * pondridge.scale.ListWay}.
+ * pondridge.scale.Slope}) use no sockets; {@link pondridge.scale.ListDistribution} is the interface to the
+ * mechanism that distributes the list.
  */
 package pondridge.scale;
--- a/src/test/java/pondridge/scale/ScaleTest.java
+++ b/src/test/java/pondridge/scale/ScaleTest.java
@@ -21,7 +21,8 @@
 import pondridge.settings.SettingsFile;
 
 /**
- * What a scale run computes, what its file says, and a short one of fifty hollow sidecars and two real ones.
+ * Tests the computations of a scale run, the parsing of its file, and short runs with up to fifty hollow sidecars
+ * and two real ones.
  */
 class ScaleTest {
     private static final String SHORT =
@@ -82,123 +83,140 @@
         return plan;
     }
 
-    /** Counts and bounds, no times: all know all, each change goes to each once, and the ledger is clean. */
+    /**
+     * Checks counts and bounds, not times: every change reaches every follower, is sent to each once, and the ledger
+     * is clean.
+     */
     @Test
     @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void aShortRunIsWhole() throws Exception {
+    void shortRunReachesAllFollowers() throws Exception {
         long seed = Long.getLong("seed", System.nanoTime() & 0xffff);
         System.out.println("scale run, seed " + seed);
         ScaleReport report = new ScaleRun(plan(SHORT.formatted(seed)), ScaleRun.Source.DISCOVERY, line -> {}).play();
-        String told = String.join("\n", report.lines());
-        assertTrue(report.clean(), told);
-        assertEquals(12, report.rows().size(), told);
-        for (Row row : report.rows()) {
-            int watchers = row.size() + 2;
-            assertEquals(watchers, row.source().watches(), told);
+        String lines = String.join("\n", report.lines());
+        assertTrue(report.clean(), lines);
+        assertEquals(12, report.results().size(), lines);
+        for (CaseResult result : report.results()) {
+            int followers = result.size() + 2;
+            assertEquals(followers, result.sourceCounts().subscriptions(), lines);
             assertTrue(
-                    row.known().p50() <= row.known().p99()
-                            && row.known().p99() <= row.known().last(),
-                    told);
-            switch (row.step().name()) {
-                case "churn" -> assertEquals(20L * watchers, row.source().changes(), told);
-                case "singly" -> assertEquals(6L * watchers, row.source().changes(), told);
-                case "folded" -> assertEquals(watchers, row.source().changes(), told);
-                case "join" -> assertEquals(row.size(), row.source().lists(), told);
+                    result.propagation().p50Millis() <= result.propagation().p99Millis()
+                            && result.propagation().p99Millis()
+                                    <= result.propagation().lastMillis(),
+                    lines);
+            switch (result.step().name()) {
+                case "churn" -> assertEquals(
+                        20L * followers, result.sourceCounts().deltas(), lines);
+                case "singly" -> assertEquals(
+                        6L * followers, result.sourceCounts().deltas(), lines);
+                case "folded" -> assertEquals(followers, result.sourceCounts().deltas(), lines);
+                case "join" -> assertEquals(result.size(), result.sourceCounts().fullLists(), lines);
                 case "killed" -> {
-                    assertEquals(watchers, row.source().lists(), told);
-                    assertTrue(row.failedDown() >= row.size(), told);
+                    assertEquals(followers, result.sourceCounts().fullLists(), lines);
+                    assertTrue(result.failedCallsInOutage() >= result.size(), lines);
                 }
                 default -> {
-                    assertEquals(row.size() * 2 / 5, row.source().lists(), told);
-                    assertEquals(watchers - row.size() * 2 / 5, row.source().changes(), told);
+                    assertEquals(result.size() * 2 / 5, result.sourceCounts().fullLists(), lines);
+                    assertEquals(
+                            followers - result.size() * 2 / 5,
+                            result.sourceCounts().deltas(),
+                            lines);
                 }
             }
             assertTrue(
-                    row.sourceCpu() > 0 && row.followerCpu() > 0 && row.source().bytes() > 0, told);
+                    result.sourceCpuNanos() > 0
+                            && result.followerCpuNanos() > 0
+                            && result.sourceCounts().bytes() > 0,
+                    lines);
         }
-        assertEquals(6 * 6 + 1, report.slopes().size(), told);
+        assertEquals(6 * 6 + 1, report.slopes().size(), lines);
     }
 
-    private static List<Map.Entry<String, String>> mistakes(String... texts) {
+    private static List<Map.Entry<String, String>> invalidPlans(String... texts) {
         return IntStream.range(0, texts.length / 2)
                 .mapToObj(i -> Map.entry(texts[2 * i], texts[2 * i + 1]))
                 .toList();
     }
 
     /**
-     * Lists through two relays: all know all, also when a relay goes right after a change was put, and nobody
-     * needs the whole again for it. A change of one service goes to those who follow it, and to no others.
+     * Distribution through two relays: every change reaches every follower, also when a relay is killed right after
+     * a publication, and no follower needs the full list again for that. A change of one service is sent only to
+     * the followers of the service.
      */
     @Test
     @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void aShortRunThroughRelaysIsWhole() throws Exception {
+    void shortRunThroughRelaysReachesAllFollowers() throws Exception {
         long seed = Long.getLong("seed", System.nanoTime() & 0xffff);
         System.out.println("scale run through relays, seed " + seed);
         ScaleReport report = new ScaleRun(plan(RELAYED.formatted(seed)), ScaleRun.Source.PLANNED, line -> {}).play();
-        String told = String.join("\n", report.lines());
-        assertTrue(report.clean(), told);
-        assertEquals(6, report.rows().size(), told);
-        for (Row row : report.rows()) {
-            ListWay.Counts relayed = row.relayed();
-            assertEquals(50, relayed.watches(), told);
-            assertTrue(row.sourceCpu() > 0 && row.relayCpu() > 0 && row.followerCpu() > 0, told);
-            assertTrue(row.source().bytes() < relayed.bytes(), told);
-            switch (row.step().name()) {
+        String lines = String.join("\n", report.lines());
+        assertTrue(report.clean(), lines);
+        assertEquals(6, report.results().size(), lines);
+        for (CaseResult result : report.results()) {
+            ListDistribution.Counts relayCounts = result.relayCounts();
+            assertEquals(50, relayCounts.subscriptions(), lines);
+            assertTrue(
+                    result.sourceCpuNanos() > 0 && result.relayCpuNanos() > 0 && result.followerCpuNanos() > 0, lines);
+            assertTrue(result.sourceCounts().bytes() < relayCounts.bytes(), lines);
+            switch (result.step().name()) {
                 case "one" -> {
-                    assertEquals(2, row.source().changes(), told);
-                    assertTrue(relayed.changes() == 12 || relayed.changes() == 13, told);
-                    assertEquals(0, relayed.lists(), told);
+                    assertEquals(2, result.sourceCounts().deltas(), lines);
+                    assertTrue(relayCounts.deltas() == 12 || relayCounts.deltas() == 13, lines);
+                    assertEquals(0, relayCounts.fullLists(), lines);
                 }
                 case "folded" -> {
-                    assertEquals(2, row.source().changes(), told);
-                    assertEquals(50, relayed.changes(), told);
-                    assertEquals(0, relayed.lists(), told);
+                    assertEquals(2, result.sourceCounts().deltas(), lines);
+                    assertEquals(50, relayCounts.deltas(), lines);
+                    assertEquals(0, relayCounts.fullLists(), lines);
                 }
-                case "join" -> assertEquals(50, relayed.lists() + relayed.changes(), told);
+                case "join" -> assertEquals(50, relayCounts.fullLists() + relayCounts.deltas(), lines);
                 case "relay" -> {
-                    assertTrue(row.source().lists() <= 1, told);
-                    assertEquals(0, relayed.lists(), told);
-                    assertTrue(relayed.changes() >= 12 && relayed.changes() <= 13, told);
+                    assertTrue(result.sourceCounts().fullLists() <= 1, lines);
+                    assertEquals(0, relayCounts.fullLists(), lines);
+                    assertTrue(relayCounts.deltas() >= 12 && relayCounts.deltas() <= 13, lines);
                 }
-                default -> assertEquals(0, relayed.lists(), told);
+                default -> assertEquals(0, relayCounts.fullLists(), lines);
             }
         }
     }
 
     @Test
-    void slopesAreThoseOfTheLine() {
+    void fitsLeastSquaresLine() {
         Slope line = Slope.of(new double[] {100, 300, 1_000}, new double[] {205, 605, 2_005});
         assertEquals(2, line.value(), 1e-9);
-        assertEquals(5, line.base(), 1e-9);
-        assertEquals(0, line.spread(), 1e-9);
-        Slope bent = Slope.of(new double[] {1, 2, 3}, new double[] {1, 4, 1});
-        assertEquals(0, bent.value(), 1e-9);
-        assertEquals(Math.sqrt(2) / 2, bent.spread(), 1e-9);
+        assertEquals(5, line.intercept(), 1e-9);
+        assertEquals(0, line.relativeResidual(), 1e-9);
+        Slope peak = Slope.of(new double[] {1, 2, 3}, new double[] {1, 4, 1});
+        assertEquals(0, peak.value(), 1e-9);
+        assertEquals(Math.sqrt(2) / 2, peak.relativeResidual(), 1e-9);
         assertThrows(IllegalArgumentException.class, () -> Slope.of(new double[] {5, 5}, new double[] {1, 2}));
     }
 
-    /** A follower that skips versions has them all when it has the last. */
+    /** A follower that skips versions counts as having all of them once it has the last. */
     @Test
-    void aLaterVersionIsAllBeforeIt() {
-        Knowledge knowledge = new Knowledge(2);
-        knowledge.put(1, 0);
-        knowledge.put(2, 1_000_000_000);
-        knowledge.had(0, 1, 2_000_000);
-        assertEquals(2, knowledge.missing(2));
-        knowledge.had(1, 2, 1_004_000_000);
-        knowledge.had(1, 1, 9_000_000_000L);
-        assertEquals(1, knowledge.missing(2));
-        assertEquals(2, knowledge.times().p50() / 2, 0.01, "2, 4 and 1004 ms");
-        assertEquals(1_004, knowledge.times().last(), 1);
-        knowledge.had(0, 2, 1_005_000_000);
-        assertEquals(0, knowledge.missing(2));
-        knowledge.forget(0);
-        assertEquals(1, knowledge.missing(1));
+    void laterVersionSupersedesEarlierOnes() {
+        Knowledge tracker = new Knowledge(2);
+        tracker.recordPublished(1, 0);
+        tracker.recordPublished(2, 1_000_000_000);
+        tracker.recordReceived(0, 1, 2_000_000);
+        assertEquals(2, tracker.countMissing(2));
+        tracker.recordReceived(1, 2, 1_004_000_000);
+        tracker.recordReceived(1, 1, 9_000_000_000L);
+        assertEquals(1, tracker.countMissing(2));
+        assertEquals(2, tracker.propagationTimes().p50Millis() / 2, 0.01, "2, 4 and 1004 ms");
+        assertEquals(1_004, tracker.propagationTimes().lastMillis(), 1);
+        tracker.recordReceived(0, 2, 1_005_000_000);
+        assertEquals(0, tracker.countMissing(2));
+        tracker.clear(0);
+        assertEquals(1, tracker.countMissing(1));
     }
 
-    /** Against a plain model of the list: nothing goes that is away, and what is away at the end is told. */
+    /**
+     * Checks schedules against a plain model of the list: only available entries are removed, only unavailable ones
+     * are restored, and the entries that are unavailable at the end are reported.
+     */
     @Test
-    void schedulesKeepToTheList() {
+    void schedulesAreConsistentWithTheList() {
         Random random = new Random(5);
         for (int i = 0; i < 500; i++) {
             int entries = 1 + random.nextInt(60);
@@ -213,35 +231,42 @@
                     false,
                     1);
             Schedule schedule = new Schedule(step, entries, zones, i);
-            Set<Integer> away = new HashSet<>();
-            long before = 0;
-            for (Schedule.Change each : schedule.changes()) {
-                assertTrue(each.at() >= before && each.at() < step.length());
-                before = each.at();
-                for (int line : each.lines()) {
-                    assertTrue(each.state() == State.READY ? away.remove(line) : away.add(line));
+            Set<Integer> unavailable = new HashSet<>();
+            long previousNanos = 0;
+            for (Schedule.Change change : schedule.changes()) {
+                assertTrue(change.atNanos() >= previousNanos && change.atNanos() < step.durationNanos());
+                previousNanos = change.atNanos();
+                for (int entry : change.entries()) {
+                    assertTrue(change.state() == State.READY ? unavailable.remove(entry) : unavailable.add(entry));
                 }
             }
-            assertEquals(away, Set.copyOf(schedule.away()));
+            assertEquals(unavailable, Set.copyOf(schedule.unavailable()));
             assertTrue(
                     churn
-                            ? away.size() <= Math.max(1, entries / 4)
-                            : away.stream().map(line -> line % zones).distinct().count() == 1);
-            assertEquals(schedule.changes(), new Schedule(step, entries, zones, i).changes(), "by its seed");
+                            ? unavailable.size() <= Math.max(1, entries / 4)
+                            : unavailable.stream()
+                                            .map(entry -> entry % zones)
+                                            .distinct()
+                                            .count()
+                                    == 1);
+            assertEquals(
+                    schedule.changes(),
+                    new Schedule(step, entries, zones, i).changes(),
+                    "the same seed draws the same schedule");
         }
     }
 
     @Test
-    void shippedPlansCanBeReadAndMistakesAreNamed() throws IOException {
+    void readsShippedPlansAndReportsErrors() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("scale"))) {
             assertEquals(
                     6,
                     files.map(ScalePlan::read)
-                            .filter(each -> each.largest() <= 3_000)
+                            .filter(each -> each.largestSize() <= 3_000)
                             .count());
         }
         String cases = "[cases]\na = { do = \"join\" }\n";
-        for (Map.Entry<String, String> each : mistakes(
+        for (Map.Entry<String, String> each : invalidPlans(
                 "",
                 "cases: expected at least one section",
                 "[cases]\na = { do = \"burn\" }",
@@ -270,16 +295,16 @@
                 "control.beet: unknown key",
                 "[scale]\nsize = 3\n" + cases,
                 "scale.size: unknown key")) {
-            SettingsException told = assertThrows(SettingsException.class, () -> plan(each.getKey()), each.getKey());
-            assertTrue(told.getMessage().contains(each.getValue()), told::getMessage);
+            SettingsException failure = assertThrows(SettingsException.class, () -> plan(each.getKey()), each.getKey());
+            assertTrue(failure.getMessage().contains(each.getValue()), failure::getMessage);
         }
         ScalePlan large = plan("[scale]\nsizes = [3000]\n" + cases);
-        large.fits(20_000);
-        SettingsException told = assertThrows(SettingsException.class, () -> large.fits(4_096));
+        large.checkDescriptors(20_000);
+        SettingsException failure = assertThrows(SettingsException.class, () -> large.checkDescriptors(4_096));
         assertTrue(
-                told.getMessage().startsWith("scale.toml: scale.sizes: needs ")
-                        && told.getMessage().contains("4096 (ulimit -n)"),
-                told::getMessage);
+                failure.getMessage().startsWith("scale.toml: scale.sizes: needs ")
+                        && failure.getMessage().contains("4096 (ulimit -n)"),
+                failure::getMessage);
         assertEquals(List.of(3_000), large.sizes());
     }
 }
