--- a/src/main/java/pondridge/Balancer.java
+++ b/src/main/java/pondridge/Balancer.java
@@ -4,12 +4,12 @@
 
 /**
  * The load-balancing policy of one sidecar. The methods are its input events, {@link Actions} its output and
- * {@link Settings} its configuration. {@link Rules} implements it.
+ * {@link Settings} its configuration. {@link LoadBalancingPolicy} implements it.
  *
  * <p><b>Obligations of the host.</b> An instance belongs to one sidecar and is used by one thread. Every event
  * carries the current time in nanoseconds from one monotonic clock with an arbitrary origin. {@link #start} is
- * called first, then {@link #listChanged} with a {@link ListKind#CACHED} list. Request ids are never reused.
- * Every {@link Actions#send} is followed by exactly one {@link #outcome}, even if the request has already ended.
+ * called first, then {@link #endpointListChanged} with a {@link EndpointListKind#CACHED} list. Request ids are never reused.
+ * Every {@link Actions#send} is followed by exactly one {@link #attemptEnded}, even if the request has already ended.
  * The attempts of a request are numbered 0, 1, 2, ... in the order in which they are sent. Timers fire at or
  * after their time, never inside the call that sets them. A restarted sidecar uses a new instance with a new
  * seed.
@@ -17,7 +17,7 @@
  * <p><b>Obligations of the instance.</b> Actions are issued during the call of an event and take effect in order,
  * at the time of that event. Each request gets one final response: the first {@link Outcome#OK}, which the host
  * forwards to the client, {@link Actions#refuse} or {@link Actions#fail}, no later than its deadline plus
- * {@link Limits#answerSlack()}. Equal settings, seeds and events give equal actions. Events about requests,
+ * {@link SafetyLimits#responseSlackNanos()}. Equal settings, seeds and events give equal actions. Events about requests,
  * attempts or upstreams that the instance no longer tracks are ignored.
  *
  * <p>Invalid settings are rejected with an {@link IllegalArgumentException} that names the setting.
@@ -50,27 +50,27 @@
         }
 
         /** Whether this outcome proves that the upstream did not execute the attempt. */
-        public boolean provesNeverRan() {
+        public boolean provesNotExecuted() {
             return notExecuted;
         }
     }
 
     /** Whether a class of requests may be retried after an attempt that may have been executed. */
-    enum Semantics {
+    enum RetrySemantics {
         REPEATABLE,
         BY_KEY,
         ONCE
     }
 
     /** Which upstreams share deduplication by key: all of them, those of one zone, or those of one cell. */
-    enum Scope {
+    enum KeyScope {
         ALL,
         ZONE,
         CELL
     }
 
     /** State of an upstream in the endpoint list. */
-    enum State {
+    enum UpstreamState {
         GONE,
         READY,
         DRAINING
@@ -80,7 +80,7 @@
      * Kind of an endpoint list event: changes only, the full list, the list cached before the start, or a
      * failed call to discovery.
      */
-    enum ListKind {
+    enum EndpointListKind {
         DELTA,
         FULL,
         CACHED,
@@ -88,13 +88,13 @@
     }
 
     /** Whether the endpoint list is pushed automatically or requires a subscription. */
-    enum Discovery {
+    enum DiscoveryMode {
         AUTOMATIC,
         SUBSCRIBE
     }
 
     /** Meaning of {@link Upstream#weight()}: LIVE weights change with the load, SILENT ones are always 1. */
-    enum Weights {
+    enum WeightKind {
         SILENT,
         NOMINAL,
         ROUGH,
@@ -104,67 +104,69 @@
     /**
      * A class of requests; times are in nanoseconds.
      *
-     * @param aim the latency objective: a response within this time earns the full utility
-     * @param aimStretch multiple of the request's work by which the objective grows, up to the deadline
-     * @param deadline the longest time that a client waits, over all its tries
-     * @param worth the utility of a response within the objective
-     * @param lateShare fraction of the utility earned between the objective and the deadline
-     * @param semantics whether requests may be retried after an attempt that may have been executed
-     * @param scope for BY_KEY: which upstreams share deduplication
-     * @param keyTtl for BY_KEY: how long duplicates are dropped, counted from the first attempt that may have been
+     * @param sloNanos the latency objective: a response within this time earns the full utility
+     * @param sloWorkFactor multiple of the request's work by which the objective grows, up to the deadline
+     * @param deadlineNanos the longest time that a client waits, over all its tries
+     * @param utility the utility of a response within the objective
+     * @param lateUtilityFraction fraction of the utility earned between the objective and the deadline
+     * @param retrySemantics whether requests may be retried after an attempt that may have been executed
+     * @param keyScope for BY_KEY: which upstreams share deduplication
+     * @param keyTtlNanos for BY_KEY: how long duplicates are dropped, counted from the first attempt that may have been
      *     executed
-     * @param stream the response is streamed: {@link Balancer#firstByte} reports its start
+     * @param streaming the response is streamed: {@link Balancer#firstByteReceived} reports its start
      */
     record RequestClass(
-            long aim,
-            double aimStretch,
-            long deadline,
-            double worth,
-            double lateShare,
-            Semantics semantics,
-            Scope scope,
-            long keyTtl,
-            boolean stream) {
+            long sloNanos,
+            double sloWorkFactor,
+            long deadlineNanos,
+            double utility,
+            double lateUtilityFraction,
+            RetrySemantics retrySemantics,
+            KeyScope keyScope,
+            long keyTtlNanos,
+            boolean streaming) {
         public RequestClass {
-            require(aim > 0, "class slo");
-            require(deadline >= aim, "class deadline");
-            require(worth >= 0 && Double.isFinite(worth), "class worth");
-            require(semantics != Semantics.BY_KEY || keyTtl >= 0 && scope != null, "class key scope and ttl");
+            require(sloNanos > 0, "class slo");
+            require(deadlineNanos >= sloNanos, "class deadline");
+            require(utility >= 0 && Double.isFinite(utility), "class worth");
+            require(
+                    retrySemantics != RetrySemantics.BY_KEY || keyTtlNanos >= 0 && keyScope != null,
+                    "class key scope and ttl");
         }
     }
 
     /**
      * A tenant.
      *
-     * @param portion its fair share of the service
+     * @param fairShare its fair share of the service
      * @param quotaPerSecond the rate, over all sidecars, up to which its work has full utility
      */
-    record Tenant(double portion, double quotaPerSecond) {
+    record Tenant(double fairShare, double quotaPerSecond) {
         public Tenant {
-            require(portion >= 0 && quotaPerSecond >= 0, "tenant portion and quota");
+            require(fairShare >= 0 && quotaPerSecond >= 0, "tenant portion and quota");
         }
     }
 
     /**
-     * Capabilities of the host; an action that it does not support is never issued. {@link Rules} does not use
+     * Capabilities of the host; an action that it does not support is never issued. {@link LoadBalancingPolicy} does not use
      * peer messages or parallel attempts.
      *
-     * @param tryLimit most attempts of one request
-     * @param maxRetryAfter longest retry delay to give to a client, in nanoseconds
-     * @param connectTimeout connect timeout of the host, in nanoseconds
+     * @param maxAttempts most attempts of one request
+     * @param maxRetryAfterNanos longest retry delay to give to a client, in nanoseconds
+     * @param connectTimeoutNanos connect timeout of the host, in nanoseconds
      */
-    record Allowed(
-            boolean cancel,
-            boolean probes,
-            boolean peers,
-            boolean parallelTries,
-            boolean retryAfter,
-            int tryLimit,
-            long maxRetryAfter,
-            long connectTimeout) {
-        public Allowed {
-            require(tryLimit >= 1, "try limit");
-            require(maxRetryAfter >= 0 && connectTimeout >= 0, "retry-after and connect timeout");
+    record HostCapabilities(
+            boolean canCancel,
+            boolean canProbe,
+            boolean canMessagePeers,
+            boolean canAttemptInParallel,
+            boolean canSendRetryAfter,
+            int maxAttempts,
+            long maxRetryAfterNanos,
+            long connectTimeoutNanos) {
+        public HostCapabilities {
+            require(maxAttempts >= 1, "try limit");
+            require(maxRetryAfterNanos >= 0 && connectTimeoutNanos >= 0, "retry-after and connect timeout");
         }
     }
 
@@ -172,78 +174,78 @@
      * Cost of overhead traffic, as a fraction of the total utility.
      *
      * @param probe cost of one probe per first try
-     * @param peer cost of one message of full size to a peer
+     * @param peerMessage cost of one message of full size to a peer
      */
-    record Charges(double probe, double peer) {
-        public Charges {
-            require(probe >= 0 && peer >= 0, "charges");
+    record OverheadCosts(double probe, double peerMessage) {
+        public OverheadCosts {
+            require(probe >= 0 && peerMessage >= 0, "charges");
         }
 
         /** Overhead traffic is free of charge. */
-        public static final Charges NONE = new Charges(0, 0);
+        public static final OverheadCosts NONE = new OverheadCosts(0, 0);
     }
 
     /**
      * Parameters of the four service rules; times are in nanoseconds.
      *
-     * @param answerSlack how long after its deadline a request may get its final response
-     * @param askWithin longest interval between two requests for the endpoint list
-     * @param drainGrace how soon new attempts to a draining upstream must stop
-     * @param coldShare fraction of its full capacity that a server has right after its start
-     * @param rampTime time over which a cold server's capacity grows evenly to its full value
+     * @param responseSlackNanos how long after its deadline a request may get its final response
+     * @param endpointRefreshNanos longest interval between two requests for the endpoint list
+     * @param drainGraceNanos how soon new attempts to a draining upstream must stop
+     * @param coldCapacityFraction fraction of its full capacity that a server has right after its start
+     * @param rampNanos time over which a cold server's capacity grows evenly to its full value
      * @param overloadFactor multiple of its capacity at which a cold server becomes overloaded
-     * @param tipAfter length of the window over which overload of a cold server is measured
+     * @param overloadWindowNanos length of the window over which overload of a cold server is measured
      */
-    record Limits(
-            long answerSlack,
-            long askWithin,
-            long drainGrace,
-            double coldShare,
-            long rampTime,
+    record SafetyLimits(
+            long responseSlackNanos,
+            long endpointRefreshNanos,
+            long drainGraceNanos,
+            double coldCapacityFraction,
+            long rampNanos,
             double overloadFactor,
-            long tipAfter) {
-        public Limits {
-            require(answerSlack >= 0 && askWithin >= 0 && drainGrace >= 0, "rule times");
-            require(coldShare > 0 && coldShare <= 1, "cold share");
-            require(rampTime >= 0 && tipAfter >= 0, "ramp and tip times");
+            long overloadWindowNanos) {
+        public SafetyLimits {
+            require(responseSlackNanos >= 0 && endpointRefreshNanos >= 0 && drainGraceNanos >= 0, "rule times");
+            require(coldCapacityFraction > 0 && coldCapacityFraction <= 1, "cold share");
+            require(rampNanos >= 0 && overloadWindowNanos >= 0, "ramp and tip times");
             require(overloadFactor >= 1, "overload factor");
         }
     }
 
     /**
-     * Settings of an instance. {@link Rules} does not use the rank, zone, weights, unit of utility or over-quota
+     * Settings of an instance. {@link LoadBalancingPolicy} does not use the rank, zone, weights, unit of utility or over-quota
      * utility; hosts set them for implementations that do.
      *
-     * @param rank index of this sidecar among {@code replicas}
-     * @param replicas number of sidecars of this tier
-     * @param quantum shortest time between two events, in nanoseconds
-     * @param reportFields names of the values in a load report
-     * @param valueByWork utility is earned per unit of work instead of per request
-     * @param overShareWorth utility of a request beyond its tenant's quota, as a fraction of its class's utility
+     * @param replicaIndex index of this sidecar among {@code replicas}
+     * @param replicaCount number of sidecars of this tier
+     * @param minEventIntervalNanos shortest time between two events, in nanoseconds
+     * @param loadReportFields names of the values in a load report
+     * @param utilityPerWork utility is earned per unit of work instead of per request
+     * @param overQuotaUtilityFraction utility of a request beyond its tenant's quota, as a fraction of its class's utility
      */
     record Settings(
-            int rank,
-            int replicas,
+            int replicaIndex,
+            int replicaCount,
             int zone,
-            long quantum,
-            Discovery discovery,
-            Weights weights,
+            long minEventIntervalNanos,
+            DiscoveryMode discoveryMode,
+            WeightKind weightKind,
             List<RequestClass> classes,
             List<Tenant> tenants,
-            Allowed allowed,
-            Limits limits,
-            List<String> reportFields,
-            Charges charges,
-            boolean valueByWork,
-            double overShareWorth) {
+            HostCapabilities capabilities,
+            SafetyLimits safetyLimits,
+            List<String> loadReportFields,
+            OverheadCosts overheadCosts,
+            boolean utilityPerWork,
+            double overQuotaUtilityFraction) {
         public Settings {
-            require(replicas >= 1 && rank >= 0, "rank and replicas");
-            require(quantum >= 0, "quantum");
+            require(replicaCount >= 1 && replicaIndex >= 0, "rank and replicas");
+            require(minEventIntervalNanos >= 0, "quantum");
             require(!classes.isEmpty(), "classes");
-            require(overShareWorth >= 0 && overShareWorth <= 1, "over-share worth");
+            require(overQuotaUtilityFraction >= 0 && overQuotaUtilityFraction <= 1, "over-share worth");
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
-            reportFields = List.copyOf(reportFields);
+            loadReportFields = List.copyOf(loadReportFields);
         }
     }
 
@@ -251,12 +253,13 @@
      * An upstream as given in the endpoint list.
      *
      * @param id opaque identifier, stable across restarts
-     * @param startedAt time of its last start, in nanoseconds; 0 for long ago
+     * @param startedAtNanos time of its last start, in nanoseconds; 0 for long ago
      */
-    record Upstream(long id, int zone, int kind, int cell, State state, float weight, long startedAt) {
-        /** Returns a copy with the state {@link State#GONE}. */
-        public Upstream gone() {
-            return new Upstream(id, zone, kind, cell, State.GONE, weight, startedAt);
+    record Upstream(
+            long id, int zone, int serverKind, int cell, UpstreamState state, float weight, long startedAtNanos) {
+        /** Returns a copy with the state {@link UpstreamState#GONE}. */
+        public Upstream asGone() {
+            return new Upstream(id, zone, serverKind, cell, UpstreamState.GONE, weight, startedAtNanos);
         }
     }
 
@@ -265,18 +268,18 @@
      *
      * @param requestClass index into {@link Settings#classes()}
      * @param tenant index into {@link Settings#tenants()}
-     * @param key hash of the resource that the request refers to; 0 for none
-     * @param timeLeft time until the client abandons this try, in nanoseconds
-     * @param costHint estimated work in nanoseconds; 0 if unknown
+     * @param resourceKey hash of the resource that the request refers to; 0 for none
+     * @param clientTimeoutNanos time until the client abandons this try, in nanoseconds
+     * @param costHintNanos estimated work in nanoseconds; 0 if unknown
      * @param clientRetry the client marked it as a retry
      */
     record Request(
             long id,
             int requestClass,
             int tenant,
-            long key,
-            long timeLeft,
-            long costHint,
+            long resourceKey,
+            long clientTimeoutNanos,
+            long costHintNanos,
             boolean clientRetry,
             boolean write) {}
 
@@ -292,28 +295,28 @@
         void fail(long request);
 
         /** Cancels one attempt. */
-        void cancel(long request, int attempt);
+        void cancelAttempt(long request, int attempt);
 
-        /** Requests a call of {@link Balancer#timer} with this token at or after the given time. */
-        void timer(long token, long dueNanos);
+        /** Requests a call of {@link Balancer#timerFired} with this token at or after the given time. */
+        void setTimer(long token, long dueNanos);
 
         /** Sends a probe to an upstream. */
         void probe(long upstream);
 
         /** Closes idle connections to an upstream. */
-        void closeIdle(long upstream);
+        void closeIdleConnections(long upstream);
 
         /** Sends at most 256 bytes to a peer, or to all peers if {@code peer} is {@link #ALL_PEERS}. */
-        void tell(int peer, byte[] message);
+        void sendToPeer(int peer, byte[] message);
 
         /** Writes a log line for operators. */
         void log(String line);
 
         /** Starts or ends the subscription to endpoint list changes; one list event follows. */
-        void subscribe(boolean subscribed);
+        void setSubscription(boolean subscribed);
 
         /** Requests the full endpoint list once; one list event follows. */
-        void fetchList();
+        void fetchEndpointList();
 
         /** Peer number that addresses all peers. */
         int ALL_PEERS = 0xffff;
@@ -322,17 +325,17 @@
     /** Starts the instance. */
     void start(long now);
 
-    /** The endpoint list has changed; {@code entries} is empty for {@link ListKind#FAILED}. */
-    void listChanged(long now, ListKind kind, List<Upstream> entries);
+    /** The endpoint list has changed; {@code entries} is empty for {@link EndpointListKind#FAILED}. */
+    void endpointListChanged(long now, EndpointListKind kind, List<Upstream> entries);
 
     /** A client's request has arrived. */
-    void request(long now, Request request);
+    void requestArrived(long now, Request request);
 
     /** A streamed response has started: its attempt is bound to the client and has no deadline any more. */
-    void firstByte(long now, long request, int attempt, long upstream, long elapsedNanos);
+    void firstByteReceived(long now, long request, int attempt, long upstream, long elapsedNanos);
 
     /** An attempt has ended; {@code requestEnded} if the request has ended, by this outcome or earlier. */
-    void outcome(
+    void attemptEnded(
             long now,
             long request,
             int attempt,
@@ -343,24 +346,24 @@
             float[] loadReport);
 
     /** The client has disconnected or cancelled the request. */
-    void hangup(long now, long request);
+    void clientDisconnected(long now, long request);
 
-    /** A timer set by {@link Actions#timer} has fired. */
-    void timer(long now, long token);
+    /** A timer set by {@link Actions#setTimer} has fired. */
+    void timerFired(long now, long token);
 
     /** A probe has ended. */
-    default void probeResult(long now, long upstream, Outcome outcome, long elapsedNanos, float[] loadReport) {}
+    default void probeEnded(long now, long upstream, Outcome outcome, long elapsedNanos, float[] loadReport) {}
 
     /** The host shuts down soon: requests still open at {@code endNanos} get their final response then. */
-    default void ending(long now, long endNanos) {}
+    default void shutdownScheduled(long now, long endNanos) {}
 
     /** Value of {@code sender} for messages with the outlier reports of other sidecars about upstreams. */
-    int HEARSAY = 0;
+    int PEER_OUTLIER_REPORTS = 0;
     /** Value of {@code sender} for leases on this sidecar's part of the common budget for cold upstreams. */
-    int LEASES = 1;
+    int COLD_START_LEASES = 1;
 
-    /** A message from other sidecars of this tier has arrived; see {@link #HEARSAY} and {@link #LEASES}. */
-    default void peerMessage(long now, int sender, byte[] message) {}
+    /** A message from other sidecars of this tier has arrived; see {@link #PEER_OUTLIER_REPORTS} and {@link #COLD_START_LEASES}. */
+    default void peerMessageReceived(long now, int sender, byte[] message) {}
 
     private static void require(boolean valid, String setting) {
         if (!valid) {
--- a/src/main/java/pondridge/Options.java
+++ b/src/main/java/pondridge/BalancerOptions.java
@@ -5,30 +5,30 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Charges;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.Limits;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.HostCapabilities;
+import pondridge.Balancer.KeyScope;
+import pondridge.Balancer.OverheadCosts;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.Balancer.SafetyLimits;
 import pondridge.Balancer.Settings;
 import pondridge.Balancer.Tenant;
-import pondridge.Balancer.Weights;
+import pondridge.Balancer.WeightKind;
 
 /**
  * Reads the settings of an instance from {@code path=value} lines. All hosts use it: it builds the
  * {@link Settings} and gives access to the values that only hosts need, such as names and connection limits.
  * Unknown keys are ignored; an invalid value raises an {@link IllegalArgumentException} that names its key.
  */
-public final class Options {
+public final class BalancerOptions {
     /** Applies where the settings require no refresh of the endpoint list. */
     private static final double DEFAULT_ENDPOINT_REFRESH_NANOS = 10e9;
 
     private final Map<String, String> values = new HashMap<>();
 
     /** Parses one {@code path=value} pair per line. */
-    public Options(String text) {
+    public BalancerOptions(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
@@ -40,14 +40,14 @@
     }
 
     /** All paths with their unparsed values, for hosts that pass the settings to another process. */
-    public Map<String, String> lines() {
+    public Map<String, String> asMap() {
         return Map.copyOf(values);
     }
 
     /** Returns a copy in which the given lines are added or replace the values of the same paths. */
-    public Options with(String lines) {
-        Options overrides = new Options(lines);
-        Options merged = new Options("");
+    public BalancerOptions withOverrides(String lines) {
+        BalancerOptions overrides = new BalancerOptions(lines);
+        BalancerOptions merged = new BalancerOptions("");
         merged.values.putAll(values);
         merged.values.putAll(overrides.values);
         return merged;
@@ -71,20 +71,20 @@
                 (int) number("replicasOfMe", 1),
                 (int) number("zone", 0),
                 (long) number("quantum", 0),
-                enumValue(Discovery.class, "discovery", Discovery.AUTOMATIC),
-                enumValue(Weights.class, "weights", Weights.SILENT),
+                enumValue(DiscoveryMode.class, "discovery", DiscoveryMode.AUTOMATIC),
+                enumValue(WeightKind.class, "weights", WeightKind.SILENT),
                 classes,
                 tenants,
                 allowed(),
                 limits(),
                 list("report.fields"),
-                new Charges(number("charges.probe", 0), number("charges.peer", 0)),
+                new OverheadCosts(number("charges.probe", 0), number("charges.peer", 0)),
                 "work".equals(values.get("valueBy")),
                 number("overShareWorth", 1));
     }
 
     private RequestClass requestClass(String path) {
-        Semantics semantics = enumValue(Semantics.class, path + "semantics", null);
+        RetrySemantics semantics = enumValue(RetrySemantics.class, path + "semantics", null);
         return new RequestClass(
                 (long) required(path + "slo"),
                 number(path + "aimStretch", 0),
@@ -92,13 +92,13 @@
                 number(path + "worth", 1),
                 number(path + "lateShare", 0),
                 semantics,
-                enumValue(Scope.class, path + "keyScope", Scope.CELL),
+                enumValue(KeyScope.class, path + "keyScope", KeyScope.CELL),
                 (long) number(path + "keyTtl", 0),
                 flag(path + "stream"));
     }
 
-    private Allowed allowed() {
-        return new Allowed(
+    private HostCapabilities allowed() {
+        return new HostCapabilities(
                 flag("caps.mayCancel"),
                 flag("caps.mayProbe"),
                 flag("caps.peers"),
@@ -109,10 +109,10 @@
                 (long) number("caps.connectTimeout", 0));
     }
 
-    private Limits limits() {
+    private SafetyLimits limits() {
         // An interval of 0 would make the balancer request the endpoint list repeatedly within one event.
         double refreshNanos = number("rules.askWithin", 0);
-        return new Limits(
+        return new SafetyLimits(
                 (long) required("rules.answerSlack"),
                 (long) (refreshNanos > 0 ? refreshNanos : DEFAULT_ENDPOINT_REFRESH_NANOS),
                 (long) required("rules.stopSendingWithin"),
@@ -123,7 +123,7 @@
     }
 
     /** The names of the objects in a list, in order; an object without a name is named by its index. */
-    public List<String> names(String path) {
+    public List<String> objectNames(String path) {
         List<String> names = new ArrayList<>();
         int count = (int) number(path + ".count", 0);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/pondridge/Rules.java
+++ b/src/main/java/pondridge/LoadBalancingPolicy.java
@@ -23,7 +23,7 @@
  * HealthTracker}, {@link AdmissionControl}) or track requests and attempts ({@link RequestTracker}). A comment
  * beside each exception to the normal path names the failure that it prevents.
  */
-public final class Rules implements Balancer {
+public final class LoadBalancingPolicy implements Balancer {
     private final Settings settings;
     private final Actions actions;
     private final Random random;
@@ -36,15 +36,15 @@
     private final HealthTracker health;
     private final AdmissionControl admission;
     private final LoadProbes probes;
-    private final Alarms timers;
+    private final TimerQueue timers;
 
     /** Creates the policy of one sidecar. The seed is the only source of randomness. */
-    public Rules(Settings settings, long seed, Actions actions) {
+    public LoadBalancingPolicy(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
         this.jitterRandom = new SplittableRandom(seed);
-        this.timers = new Alarms(actions);
+        this.timers = new TimerQueue(actions);
         this.serverList = new ServerList();
         this.health = new HealthTracker();
         this.admission = new AdmissionControl();
@@ -54,29 +54,29 @@
     @Override
     public void start(long now) {
         serverList.subscribe(now);
-        timers.flush();
+        timers.armHostTimer();
     }
 
     @Override
-    public void listChanged(long now, ListKind kind, List<Upstream> entries) {
+    public void endpointListChanged(long now, EndpointListKind kind, List<Upstream> entries) {
         serverList.updateWarmRate(now);
         serverList.listChanged(now, kind, entries);
         admission.drainQueues(now);
-        timers.flush();
+        timers.armHostTimer();
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void requestArrived(long now, Request request) {
         if (request.requestClass() >= settings.classes().size()) {
             throw new IllegalArgumentException("request of unknown class " + request.requestClass());
         }
         Call call = tracker.register(now, request);
         admission.admit(now, call);
-        timers.flush();
+        timers.armHostTimer();
     }
 
     @Override
-    public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {
+    public void firstByteReceived(long now, long request, int attempt, long upstream, long elapsed) {
         Call call = tracker.calls.get(request);
         if (call != null && attempt < call.attempts.size()) {
             call.streaming = true;
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void outcome(
+    public void attemptEnded(
             long now,
             long request,
             int attempt,
@@ -96,16 +96,16 @@
         admission.fleetLoad.onReport(now, load);
         tracker.outcome(now, request, attempt, outcome, ended);
         admission.drainQueues(now);
-        timers.flush();
+        timers.armHostTimer();
     }
 
     @Override
-    public void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) {
+    public void probeEnded(long now, long upstream, Outcome outcome, long elapsed, float[] load) {
         Server server = serverList.servers.get(upstream);
         if (server != null) {
             probes.onProbeResult(now, server, outcome, load);
         }
-        timers.flush();
+        timers.armHostTimer();
     }
 
     /**
@@ -120,9 +120,9 @@
      * {@link ServerList#coldBudgetAllows}.
      */
     @Override
-    public void peerMessage(long now, int from, byte[] message) {
+    public void peerMessageReceived(long now, int from, byte[] message) {
         ByteBuffer buffer = ByteBuffer.wrap(message);
-        while (from == LEASES && buffer.remaining() >= Long.BYTES + Float.BYTES + Integer.BYTES) {
+        while (from == COLD_START_LEASES && buffer.remaining() >= Long.BYTES + Float.BYTES + Integer.BYTES) {
             Server server = serverList.servers.get(buffer.getLong());
             double permits = buffer.getFloat();
             int durationMillis = buffer.getInt();
@@ -134,7 +134,7 @@
                 server.lease = new Lease(permits, now, now + durationMillis * 1_000_000L, random.nextDouble());
             }
         }
-        while (from == HEARSAY && buffer.remaining() >= Long.BYTES + Float.BYTES) {
+        while (from == PEER_OUTLIER_REPORTS && buffer.remaining() >= Long.BYTES + Float.BYTES) {
             Server server = serverList.servers.get(buffer.getLong());
             double slowdown = buffer.getFloat();
             if (server != null && slowdown > 1 && slowdown <= HealthTracker.MAX_PEER_SLOWDOWN) {
@@ -142,11 +142,11 @@
             }
         }
         admission.drainQueues(now);
-        timers.flush();
+        timers.armHostTimer();
     }
 
     @Override
-    public void hangup(long now, long request) {
+    public void clientDisconnected(long now, long request) {
         Call call = tracker.calls.get(request);
         if (call != null) {
             tracker.close(call, false);
@@ -158,22 +158,22 @@
      * would otherwise get no response at all.
      */
     @Override
-    public void ending(long now, long at) {
+    public void shutdownScheduled(long now, long at) {
         tracker.calls
                 .values()
-                .forEach(call -> timers.set(at, firedAt -> {
+                .forEach(call -> timers.schedule(at, firedAt -> {
                     if (!call.streaming) {
                         tracker.refuseOrFail(call);
                     }
                 }));
-        timers.flush();
+        timers.armHostTimer();
     }
 
     @Override
-    public void timer(long now, long token) {
-        timers.ring(now, token);
+    public void timerFired(long now, long token) {
+        timers.runDueTimers(now, token);
         admission.drainQueues(now);
-        timers.flush();
+        timers.armHostTimer();
     }
 
     /** The order of the ready servers, the current position in it, and the pick. */
@@ -309,9 +309,9 @@
         double reportedInFlight = Double.MAX_VALUE;
         final List<Call> probeWaiters = new ArrayList<>(2);
 
-        Server(Upstream entry, long now, Limits limits) {
-            this.servedWork = new DecayingSum(Math.max(1, limits.rampTime()), 0);
-            this.recentServedWork = new DecayingSum(Math.max(1, limits.tipAfter() / 3), 0);
+        Server(Upstream entry, long now, SafetyLimits limits) {
+            this.servedWork = new DecayingSum(Math.max(1, limits.rampNanos()), 0);
+            this.recentServedWork = new DecayingSum(Math.max(1, limits.overloadWindowNanos() / 3), 0);
             this.entry = entry;
             this.expectedResponsesUpdatedAt = now;
             this.coldTokensUpdatedAt = now;
@@ -365,11 +365,12 @@
         Call(Request request, RequestClass requestClass, long now, long elapsedOnEarlierTries) {
             this.request = request;
             this.requestClass = requestClass;
-            this.deadline = now + request.timeLeft();
-            double stretchedSloNanos = requestClass.aim() + requestClass.aimStretch() * request.costHint();
-            this.sloNanos = (long) Math.min(stretchedSloNanos, requestClass.deadline());
-            this.sloDeadline =
-                    now - elapsedOnEarlierTries + Math.min(request.timeLeft() + elapsedOnEarlierTries, sloNanos);
+            this.deadline = now + request.clientTimeoutNanos();
+            double stretchedSloNanos = requestClass.sloNanos() + requestClass.sloWorkFactor() * request.costHintNanos();
+            this.sloNanos = (long) Math.min(stretchedSloNanos, requestClass.deadlineNanos());
+            this.sloDeadline = now
+                    - elapsedOnEarlierTries
+                    + Math.min(request.clientTimeoutNanos() + elapsedOnEarlierTries, sloNanos);
         }
 
         /** Whether the last attempt is outstanding. There is never more than one. */
@@ -391,21 +392,22 @@
             // Bounded below: with an expected time of zero, timers set one expected time apart would never
             // advance.
             call.expectedNanos = Math.max(
-                    call.sloNanos / 1000.0, health.serviceTimes[request.requestClass()].expected(request.costHint()));
+                    call.sloNanos / 1000.0,
+                    health.serviceTimes[request.requestClass()].expectedNanos(request.costHintNanos()));
             // A client's later try is its last, so half the expected time is enough. A request with a short
             // client timeout keeps running on the server after its client has left, so most of them must be on
             // time. If all requests have short timeouts, refusing them would leave no response that shows a
             // recovery. The strict rule therefore applies only if the estimate was updated within one SLO.
             boolean shortTimeout = call.sloDeadline == call.deadline
-                    && request.timeLeft() < call.sloNanos
-                    && now - health.serviceTimes[request.requestClass()].learnedAt < call.sloNanos;
+                    && request.clientTimeoutNanos() < call.sloNanos
+                    && now - health.serviceTimes[request.requestClass()].lastSampleNanos < call.sloNanos;
             // Bounded above: a class expected to take longer than two SLOs would send nothing and never correct
             // its estimate.
             call.minRemainingNanos = shortTimeout
                     ? Call.ON_TIME_MARGIN * call.expectedNanos
-                    : 0.5 * Math.min(call.expectedNanos, Math.min(call.sloNanos, request.timeLeft()));
+                    : 0.5 * Math.min(call.expectedNanos, Math.min(call.sloNanos, request.clientTimeoutNanos()));
             calls.put(request.id(), call);
-            timers.set(call.deadline, firedAt -> {
+            timers.schedule(call.deadline, firedAt -> {
                 if (!call.streaming) {
                     refuseOrFail(call);
                 }
@@ -429,17 +431,18 @@
                     || call.streaming
                     || now >= call.deadline
                     || call.hasOutstandingAttempt()
-                    || call.attempts.size() >= settings.allowed().tryLimit()) {
+                    || call.attempts.size() >= settings.capabilities().maxAttempts()) {
                 return false;
             }
             Attempt uncertain = firstThatMayHaveRun(call);
             return uncertain == null
-                    || switch (call.requestClass.semantics()) {
+                    || switch (call.requestClass.retrySemantics()) {
                         case REPEATABLE -> true;
                         case ONCE -> false;
                             // One quantum is subtracted because the send takes effect at the end of this event
                             // batch.
-                        case BY_KEY -> now + settings.quantum() < uncertain.sentAt + call.requestClass.keyTtl();
+                        case BY_KEY -> now + settings.minEventIntervalNanos()
+                                < uncertain.sentAt + call.requestClass.keyTtlNanos();
                     };
         }
 
@@ -451,11 +454,11 @@
                 }
             }
             Attempt uncertain = firstThatMayHaveRun(call);
-            if (uncertain == null || call.requestClass.semantics() != Semantics.BY_KEY) {
+            if (uncertain == null || call.requestClass.retrySemantics() != RetrySemantics.BY_KEY) {
                 return true;
             }
             Upstream firstUpstream = uncertain.server.entry;
-            return switch (call.requestClass.scope()) {
+            return switch (call.requestClass.keyScope()) {
                 case ALL -> true;
                 case ZONE -> firstUpstream.zone() == server.entry.zone();
                 case CELL -> firstUpstream.cell() == server.entry.cell();
@@ -478,7 +481,8 @@
             // Work past its SLO occupies a core that requests still on time could use. The attempt is cancelled
             // only where probes show what an upstream holds; elsewhere cancelled work would keep running
             // unobserved.
-            boolean uselessAfterSlo = probes.enabled() && call.requestClass.lateShare() == 0 && call.sloDeadline > now;
+            boolean uselessAfterSlo =
+                    probes.enabled() && call.requestClass.lateUtilityFraction() == 0 && call.sloDeadline > now;
             actions.send(call.request.id(), server.entry.id(), uselessAfterSlo ? call.sloDeadline - now : 0);
         }
 
@@ -489,7 +493,7 @@
             }
             Attempt attempt = call.attempts.get(attemptIndex);
             attempt.outstanding = false;
-            attempt.mayHaveRun = !outcome.provesNeverRan();
+            attempt.mayHaveRun = !outcome.provesNotExecuted();
             Server server = attempt.server;
             server.inFlight--;
             health.onAttemptEnd(now, attempt, outcome, call);
@@ -523,8 +527,9 @@
                 return;
             }
             boolean retrySafe = firstThatMayHaveRun(call) == null
-                    || call.requestClass.semantics() == Semantics.REPEATABLE
-                    || call.requestClass.semantics() == Semantics.BY_KEY && call.requestClass.scope() == Scope.ALL;
+                    || call.requestClass.retrySemantics() == RetrySemantics.REPEATABLE
+                    || call.requestClass.retrySemantics() == RetrySemantics.BY_KEY
+                            && call.requestClass.keyScope() == KeyScope.ALL;
             if (retrySafe) {
                 actions.refuse(call.request.id(), admission.retryAfterNanos(call));
             } else {
@@ -541,8 +546,8 @@
             if (!call.closed
                     && call.hasOutstandingAttempt()
                     && !call.streaming
-                    && settings.allowed().cancel()) {
-                actions.cancel(call.request.id(), call.attempts.size() - 1);
+                    && settings.capabilities().canCancel()) {
+                actions.cancelAttempt(call.request.id(), call.attempts.size() - 1);
             }
             call.closed = true;
             call.queued = false;
@@ -577,8 +582,8 @@
          * A change missed during an interruption must be received within the drain grace plus the wait of one
          * call, so the jitter uses only a part of the drain grace.
          */
-        private final long reconnectJitterNanos = Math.min(
-                MAX_RECONNECT_JITTER_NANOS, (long) (0.8 * settings.limits().drainGrace()));
+        private final long reconnectJitterNanos = Math.min(MAX_RECONNECT_JITTER_NANOS, (long)
+                (0.8 * settings.safetyLimits().drainGraceNanos()));
         /**
          * With many sidecars, one that discovery rejects at once calls less often at first, in favor of those
          * that have waited longer; after this time without a response it calls at full pace.
@@ -594,7 +599,7 @@
          */
         private static final long MAX_PAUSE_AFTER_CALL_NANOS = 200_000_000L;
 
-        private final double overloadFactor = settings.limits().overloadFactor();
+        private final double overloadFactor = settings.safetyLimits().overloadFactor();
         /**
          * Multiple of the observed rate of warm servers that a cold one may receive: half of the overload that
          * a cold server tolerates.
@@ -610,7 +615,7 @@
                 Math.max(0.1, Math.min(0.5, overloadFactor / Math.max(warmRateFactor, growthFactor) - 1));
 
         private final DecayingSum servedWork =
-                new DecayingSum(Math.max(1, settings.limits().rampTime()), 0);
+                new DecayingSum(Math.max(1, settings.safetyLimits().rampNanos()), 0);
         private long warmServers;
         private double warmServerRate;
         private double lastWarmServerRate;
@@ -626,16 +631,16 @@
 
         void subscribe(long now) {
             subscriptionBroken = false;
-            if (settings.discovery() == Discovery.SUBSCRIBE) {
+            if (settings.discoveryMode() == DiscoveryMode.SUBSCRIBE) {
                 subscribedAt = now;
-                actions.subscribe(true);
+                actions.setSubscription(true);
                 scheduleSubscribe(now + SUBSCRIBE_TIMEOUT_NANOS);
             }
         }
 
         private void scheduleSubscribe(long subscribeAt) {
             long generation = ++subscribeGeneration;
-            timers.set(subscribeAt, now -> {
+            timers.schedule(subscribeAt, now -> {
                 if (generation == subscribeGeneration) {
                     subscribe(now);
                 }
@@ -666,12 +671,12 @@
          */
         private double intervalFactor(long waitedNanos) {
             double initialFactor =
-                    Math.max(1, Math.min(MAX_INTERVAL_FACTOR, settings.replicas() / REPLICAS_AT_FULL_PACE));
+                    Math.max(1, Math.min(MAX_INTERVAL_FACTOR, settings.replicaCount() / REPLICAS_AT_FULL_PACE));
             return Math.max(1, initialFactor - (initialFactor - 1) * waitedNanos / FULL_PACE_AFTER_NANOS);
         }
 
-        void listChanged(long now, ListKind kind, List<Upstream> entries) {
-            if (kind == ListKind.FAILED) {
+        void listChanged(long now, EndpointListKind kind, List<Upstream> entries) {
+            if (kind == EndpointListKind.FAILED) {
                 if (!subscriptionBroken) {
                     onSubscriptionFailure(now);
                 }
@@ -679,11 +684,11 @@
             }
             // A full list may arrive by a separate fetch while the subscription is broken. Taken for the
             // response of the subscription, it would end the calls for good.
-            if (kind != ListKind.CACHED && !subscriptionBroken) {
+            if (kind != EndpointListKind.CACHED && !subscriptionBroken) {
                 subscribeGeneration++;
                 failing = false;
             }
-            Set<Long> missing = new TreeSet<>(kind == ListKind.DELTA ? Set.of() : servers.keySet());
+            Set<Long> missing = new TreeSet<>(kind == EndpointListKind.DELTA ? Set.of() : servers.keySet());
             boolean changed = false;
             for (Upstream entry : entries) {
                 missing.remove(entry.id());
@@ -691,13 +696,13 @@
             }
             for (long id : missing) {
                 Server server = servers.get(id);
-                changed |= server.entry.state() == State.READY;
-                server.entry = server.entry.gone();
+                changed |= server.entry.state() == UpstreamState.READY;
+                server.entry = server.entry.asGone();
             }
             listReceived = true;
             if (changed) {
                 readyServers = servers.values().stream()
-                        .filter(s -> s.entry.state() == State.READY)
+                        .filter(s -> s.entry.state() == UpstreamState.READY)
                         .toList();
                 rotation.reshuffle(readyServers);
             }
@@ -706,20 +711,20 @@
         /** Applies one entry. Returns true if the set of ready servers changed. */
         private boolean update(long now, Upstream entry) {
             Server server = servers.get(entry.id());
-            boolean wasReady = server != null && server.entry.state() == State.READY;
+            boolean wasReady = server != null && server.entry.state() == UpstreamState.READY;
             // A restarted process inherits neither the load nor the faults of the one before.
-            boolean newProcess = server == null || entry.startedAt() > server.entry.startedAt();
+            boolean newProcess = server == null || entry.startedAtNanos() > server.entry.startedAtNanos();
             if (newProcess) {
-                long startedAt = entry.startedAt() == 0 && listReceived ? now : entry.startedAt();
-                server = new Server(entry, now, settings.limits());
+                long startedAt = entry.startedAtNanos() == 0 && listReceived ? now : entry.startedAtNanos();
+                server = new Server(entry, now, settings.safetyLimits());
                 server.turnCredit = random.nextDouble();
                 servers.put(entry.id(), server);
-                if (startedAt > 0 && now < startedAt + settings.limits().rampTime()) {
-                    server.coldUntil = startedAt + settings.limits().rampTime();
+                if (startedAt > 0 && now < startedAt + settings.safetyLimits().rampNanos()) {
+                    server.coldUntil = startedAt + settings.safetyLimits().rampNanos();
                 }
             }
             server.entry = entry;
-            return newProcess || wasReady != (entry.state() == State.READY);
+            return newProcess || wasReady != (entry.state() == UpstreamState.READY);
         }
 
         /**
@@ -738,13 +743,14 @@
                 // meantime.
                 return server.lease.hasPermit(now) && server.inFlight <= 1 + server.concurrencyLimit / 2;
             }
-            double rampProgress =
-                    1 - (server.coldUntil - now) / (double) settings.limits().rampTime();
-            double initialShare = settings.limits().coldShare();
+            double rampProgress = 1
+                    - (server.coldUntil - now)
+                            / (double) settings.safetyLimits().rampNanos();
+            double initialShare = settings.safetyLimits().coldCapacityFraction();
             double share = initialShare + (1 - initialShare) * Math.max(0, Math.min(1, rampProgress));
             updateWarmRate(now);
             double rate = warmServerRate * share;
-            double bucketDepth = rate * settings.limits().tipAfter() / 2;
+            double bucketDepth = rate * settings.safetyLimits().overloadWindowNanos() / 2;
             if (warmServers == 0) {
                 // With no warm server to compare with, a limit of one request at a time means one from every
                 // sidecar at once, and the sooner the server refuses, the more arrive. So the last known rate
@@ -753,7 +759,7 @@
                 // responses to all sidecars sum up to what the server can do, however much each of them sends.
                 // The capacity of a core is in units of expected time, which is a guess until a cold server has
                 // responded.
-                double coreShare = 1.0 / Math.max(1, settings.replicas());
+                double coreShare = 1.0 / Math.max(1, settings.replicaCount());
                 double recentWork = server.recentServedWork.value(now);
                 rate = Math.max(
                         lastWarmServerRate > 0
@@ -761,8 +767,8 @@
                                 : recentWork > 0 ? coreShare : coreShare * share,
                         growthFactor
                                 * recentWork
-                                / Math.max(1, settings.limits().tipAfter() / 3));
-                bucketDepth = rate * settings.limits().tipAfter() * burstFraction;
+                                / Math.max(1, settings.safetyLimits().overloadWindowNanos() / 3));
+                bucketDepth = rate * settings.safetyLimits().overloadWindowNanos() * burstFraction;
             } else if (rate == 0) {
                 return false; // no observations yet: the warm servers take the request
             }
@@ -773,8 +779,11 @@
                 // If all servers are cold and one request per sidecar is little for one core, the first request
                 // need not wait.
                 boolean startAtOnce = warmServers == 0
-                        && settings.replicas() * estimatedWork(call)
-                                <= overloadFactor * share * settings.limits().tipAfter() / 2;
+                        && settings.replicaCount() * estimatedWork(call)
+                                <= overloadFactor
+                                        * share
+                                        * settings.safetyLimits().overloadWindowNanos()
+                                        / 2;
                 server.coldTokens = startAtOnce ? 0 : -random.nextDouble() * estimatedWork(call);
             }
             server.coldTokens = Math.min(bucketDepth, server.coldTokens + rate * (now - server.coldTokensUpdatedAt));
@@ -795,7 +804,7 @@
             warmRateUpdatedAt = now;
             warmRateServers = readyServers;
             warmServers = 0;
-            double rampNanos = Math.max(1, settings.limits().rampTime());
+            double rampNanos = Math.max(1, settings.safetyLimits().rampNanos());
             double warmWork = 0;
             double warmWorkAtLastResponse = 0;
             for (Server server : readyServers) {
@@ -833,7 +842,7 @@
         }
 
         double estimatedWork(Call call) {
-            return call.request.costHint() > 0 ? call.request.costHint() : call.expectedNanos;
+            return call.request.costHintNanos() > 0 ? call.request.costHintNanos() : call.expectedNanos;
         }
     }
 
@@ -849,7 +858,7 @@
         private double fastestKindSlowdown = 1;
 
         SlowdownEstimate kindSlowdown(Server server) {
-            return slowdownsByKind.computeIfAbsent(server.entry.kind(), kind -> new SlowdownEstimate());
+            return slowdownsByKind.computeIfAbsent(server.entry.serverKind(), kind -> new SlowdownEstimate());
         }
 
         /**
@@ -860,16 +869,16 @@
          * requests wait longer on a slow machine.
          */
         double turnShare(Server server, Call call) {
-            double kindSlowdown = kindSlowdown(server).mean;
+            double kindSlowdown = kindSlowdown(server).meanRatio;
             return kindSlowdown * call.expectedNanos < ALL_TURNS_SLO_FRACTION * call.sloNanos
                     ? 1
                     : Math.min(1, Math.pow(fastestKindSlowdown / kindSlowdown, TURN_SHARE_EXPONENT));
         }
 
         private void learnKindSlowdown(Server server, double ratio) {
-            kindSlowdown(server).learn(ratio);
+            kindSlowdown(server).addSample(ratio);
             fastestKindSlowdown = slowdownsByKind.values().stream()
-                    .mapToDouble(kindSlowdown -> kindSlowdown.mean)
+                    .mapToDouble(kindSlowdown -> kindSlowdown.meanRatio)
                     .min()
                     .orElse(1);
         }
@@ -894,10 +903,10 @@
         HealthTracker() {
             for (int i = 0; i < serviceTimes.length; i++) {
                 serviceTimes[i] =
-                        new ServiceTimeEstimate(settings.classes().get(i).aim() / 10.0);
+                        new ServiceTimeEstimate(settings.classes().get(i).sloNanos() / 10.0);
             }
             shortestSloNanos = settings.classes().stream()
-                    .mapToLong(RequestClass::aim)
+                    .mapToLong(RequestClass::sloNanos)
                     .min()
                     .orElse(1);
         }
@@ -948,7 +957,8 @@
                 case OK -> {
                     probes.learnServiceTime(attempt, now - attempt.sentAt);
                     learnKindSlowdown(server, (now - attempt.sentAt) / call.expectedNanos);
-                    serviceTimes[call.request.requestClass()].learn(now, now - attempt.sentAt, call.request.costHint());
+                    serviceTimes[call.request.requestClass()].addSample(
+                            now, now - attempt.sentAt, call.request.costHintNanos());
                     onResponse(now, server);
                 }
                 case ERROR, RESET -> {
@@ -1016,10 +1026,10 @@
         /** In multiples of the shortest SLO: twice the window of the on-time statistics, which decide after it. */
         private static final int REPORT_LIFETIME_SLOS = 16;
 
-        private final int queueFieldIndex = settings.reportFields().indexOf("q");
-        private final boolean manyReplicas = settings.replicas() >= MIN_REPLICAS;
+        private final int queueFieldIndex = settings.loadReportFields().indexOf("q");
+        private final boolean manyReplicas = settings.replicaCount() >= MIN_REPLICAS;
         private final double meanWorth = settings.classes().stream()
-                .mapToDouble(RequestClass::worth)
+                .mapToDouble(RequestClass::utility)
                 .average()
                 .orElse(0);
         /**
@@ -1071,7 +1081,7 @@
         }
 
         double shedFraction(long now, RequestClass requestClass) {
-            double fraction = requestClass.worth() >= meanWorth
+            double fraction = requestClass.utility() >= meanWorth
                     ? Math.max(0, (level - HIGH_WORTH_LEVEL) / (1 - HIGH_WORTH_LEVEL))
                     : Math.min(1, level / HIGH_WORTH_LEVEL);
             return fraction > 0 && admitTrial(now) ? 0 : fraction;
@@ -1121,18 +1131,21 @@
                 tries.poll();
             }
             tries.add(new Try(
-                    request.requestClass(), request.tenant(), request.key(), call.deadline - request.timeLeft()));
+                    request.requestClass(),
+                    request.tenant(),
+                    request.resourceKey(),
+                    call.deadline - request.clientTimeoutNanos()));
         }
 
         /** Whether a matching request was opened at about that time. */
         boolean containsTryOpenedAt(Request request, long openedAt) {
-            long sloNanos = settings.classes().get(request.requestClass()).aim();
-            long tolerance = 2 * settings.quantum() + sloNanos / SLO_TOLERANCE_DIVISOR;
+            long sloNanos = settings.classes().get(request.requestClass()).sloNanos();
+            long tolerance = 2 * settings.minEventIntervalNanos() + sloNanos / SLO_TOLERANCE_DIVISOR;
             for (Try each : tries) {
                 if (Math.abs(each.openedAt - openedAt) <= tolerance
                         && each.requestClass == request.requestClass()
                         && each.tenant == request.tenant()
-                        && each.key == request.key()) {
+                        && each.key == request.resourceKey()) {
                     return true;
                 }
             }
@@ -1181,7 +1194,7 @@
                 // Four SLOs of the first class: long compared with response times, short compared with a burst
                 // of some seconds.
                 tenantQueues[i] = new TenantQueue(
-                        quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).aim());
+                        quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).sloNanos());
             }
         }
 
@@ -1196,8 +1209,8 @@
          */
         long elapsedOnEarlierTries(long now, Request request) {
             int classIndex = request.requestClass();
-            long timeLeft = request.timeLeft();
-            if (Math.abs(timeLeft - firstTryTimeLeft[classIndex]) <= 2 * settings.quantum()) {
+            long timeLeft = request.clientTimeoutNanos();
+            if (Math.abs(timeLeft - firstTryTimeLeft[classIndex]) <= 2 * settings.minEventIntervalNanos()) {
                 firstTryVotes[classIndex] = Math.min(firstTryVotes[classIndex] + 1, MAX_VOTES);
                 return 0;
             }
@@ -1206,7 +1219,7 @@
                 firstTryVotes[classIndex] = 0;
                 return 0;
             }
-            long elapsed = Math.max(0, settings.classes().get(classIndex).deadline() - timeLeft);
+            long elapsed = Math.max(0, settings.classes().get(classIndex).deadlineNanos() - timeLeft);
             return timeLeft > firstTryTimeLeft[classIndex]
                             || unservedRequests.containsTryOpenedAt(request, now - elapsed)
                     ? elapsed
@@ -1239,7 +1252,7 @@
                 tenantQueue(call).calls.push(call);
                 queuedCount++;
                 long latestStart = call.sloDeadline - (long) (Call.ON_TIME_MARGIN * call.expectedNanos);
-                timers.set(Math.max(now + 1, latestStart), firedAt -> {
+                timers.schedule(Math.max(now + 1, latestStart), firedAt -> {
                     if (call.queued) {
                         tracker.refuseOrFail(call);
                     }
@@ -1324,7 +1337,7 @@
             call.countedAsCompleted = true;
             rejected.add(now, outcome == Outcome.REJECTED ? 1 : 0);
             ServiceTimeEstimate serviceTime = health.serviceTimes[call.request.requestClass()];
-            double normalizedNanos = (now - attempt.sentAt) * serviceTime.mean / call.expectedNanos;
+            double normalizedNanos = (now - attempt.sentAt) * serviceTime.meanNanos / call.expectedNanos;
             if (outcome == Outcome.REJECTED || normalizedNanos > SLOW_SLO_FRACTION * call.sloNanos) {
                 if (attempt.sentAt >= server.lastLimitDecreaseAt) {
                     server.concurrencyLimit = Math.max(0.1, server.concurrencyLimit * 0.8);
@@ -1344,12 +1357,12 @@
             return now < call.sloDeadline
                     && (fleetLoad.isActive(now) ? fleetLoad.level : 1 - admitFraction(now)) < 0.8
                     && rejected.value(now)
-                            <= completed.value(now) + settings.allowed().tryLimit();
+                            <= completed.value(now) + settings.capabilities().maxAttempts();
         }
 
         long retryAfterNanos(Call call) {
-            return settings.allowed().retryAfter()
-                    ? Math.min(settings.allowed().maxRetryAfter(), call.sloNanos / 2)
+            return settings.capabilities().canSendRetryAfter()
+                    ? Math.min(settings.capabilities().maxRetryAfterNanos(), call.sloNanos / 2)
                     : 0;
         }
     }
@@ -1372,10 +1385,10 @@
          */
         private static final int PROBE_TIMEOUT_SLO_DIVISOR = 20;
 
-        private final int inFlightFieldIndex = settings.reportFields().indexOf("rif");
+        private final int inFlightFieldIndex = settings.loadReportFields().indexOf("rif");
         private final boolean affordable = inFlightFieldIndex >= 0
-                && settings.allowed().probes()
-                && settings.charges().probe() * PROBES_PER_REQUEST <= MAX_PROBE_CHARGE;
+                && settings.capabilities().canProbe()
+                && settings.overheadCosts().probe() * PROBES_PER_REQUEST <= MAX_PROBE_CHARGE;
         /** Fraction of the SLO that an upstream's requests in flight may take up; the rest is for variation. */
         private static final double FULL_SLO_FRACTION = 0.6;
 
@@ -1387,7 +1400,7 @@
          * show enough of an upstream's load.
          */
         boolean enabled() {
-            return affordable && settings.replicas() > serverList.readyServers.size();
+            return affordable && settings.replicaCount() > serverList.readyServers.size();
         }
 
         /** Probes the next entries in turn. Returns true if the request waits for the results. */
@@ -1403,7 +1416,7 @@
                 actions.probe(server.entry.id());
             }
             call.pendingProbes = call.probedServers.size();
-            timers.set(
+            timers.schedule(
                     now + call.sloNanos / PROBE_TIMEOUT_SLO_DIVISOR,
                     firedAt -> onProbesCompleted(firedAt, call, call.pendingProbes));
             return call.pendingProbes > 0;
--- a/src/main/java/pondridge/SlowdownEstimate.java
+++ b/src/main/java/pondridge/SlowdownEstimate.java
@@ -2,12 +2,12 @@
 
 /** Moving average of the response time of servers of one kind, relative to the class's average on all servers. */
 final class SlowdownEstimate {
-    double mean = 1;
+    double meanRatio = 1;
     /** Starts at 2, as if two samples of the initial mean had been seen. */
     private double sampleCount = 2;
 
-    void learn(double ratio) {
+    void addSample(double ratio) {
         sampleCount++;
-        mean += Math.max(0.03, 1 / sampleCount) * (Math.min(ratio, 4) - mean);
+        meanRatio += Math.max(0.03, 1 / sampleCount) * (Math.min(ratio, 4) - meanRatio);
     }
 }
--- a/src/main/java/pondridge/Alarms.java
+++ b/src/main/java/pondridge/TimerQueue.java
@@ -4,7 +4,7 @@
 import java.util.function.LongConsumer;
 
 /** Multiplexes the balancer's timers onto one timer of the host, in order of time and then of scheduling. */
-final class Alarms {
+final class TimerQueue {
     private record Timer(long dueNanos, long sequence, LongConsumer callback) {}
 
     private final PriorityQueue<Timer> queue = new PriorityQueue<>((a, b) ->
@@ -14,20 +14,20 @@
     private long hostTimerToken;
     private final Balancer.Actions actions;
 
-    Alarms(Balancer.Actions actions) {
+    TimerQueue(Balancer.Actions actions) {
         this.actions = actions;
     }
 
     /** Calls {@code callback} with the current time once {@code dueNanos} is reached. */
-    void set(long dueNanos, LongConsumer callback) {
+    void schedule(long dueNanos, LongConsumer callback) {
         queue.add(new Timer(dueNanos, nextSequence++, callback));
     }
 
     /** Sets the host's timer if the earliest timer is due before it. */
-    void flush() {
+    void armHostTimer() {
         if (!queue.isEmpty() && queue.peek().dueNanos < hostTimerNanos) {
             hostTimerNanos = queue.peek().dueNanos;
-            actions.timer(++hostTimerToken, hostTimerNanos);
+            actions.setTimer(++hostTimerToken, hostTimerNanos);
         }
     }
 
@@ -35,7 +35,7 @@
      * Runs all timers that are due. The host's timer is identified by its token, not by its time: a coarse host
      * clock may fire it early, and compared by time it would then never be set again.
      */
-    void ring(long now, long token) {
+    void runDueTimers(long now, long token) {
         if (token == hostTimerToken) {
             hostTimerNanos = Long.MAX_VALUE;
         }
--- a/src/main/java/pondridge/adapter/EventDispatcher.java
+++ b/src/main/java/pondridge/adapter/EventDispatcher.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 import pondridge.Balancer;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.Request;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
-import pondridge.Options;
-import pondridge.Rules;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
+import pondridge.LoadBalancingPolicy;
 
 /**
  * Dispatches the events of a batch to the balancer instances that they address. The instances share no state.
@@ -20,8 +20,8 @@
     private static final int MAX_LISTS = 16;
     private static final int MAX_INITIAL_CAPACITY = 1024;
     private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final ListKind[] LIST_KINDS = ListKind.values();
-    private static final State[] STATES = State.values();
+    private static final EndpointListKind[] LIST_KINDS = EndpointListKind.values();
+    private static final UpstreamState[] STATES = UpstreamState.values();
 
     private final Map<Integer, Balancer> instances = new HashMap<>();
     private final List<List<Upstream>> endpointLists = new ArrayList<>();
@@ -50,9 +50,9 @@
             case 1 -> createInstance(now, in);
             case 2 -> endpointListChanged(now, in);
             case 3 -> requestArrived(now, in);
-            case 4 -> instance(in).firstByte(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
+            case 4 -> instance(in).firstByteReceived(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
             case 5 -> instance(in)
-                    .outcome(
+                    .attemptEnded(
                             now,
                             in.u32(),
                             in.u8(),
@@ -61,16 +61,16 @@
                             in.time("timeTaken"),
                             in.u8() != 0,
                             in.loadReport());
-            case 6 -> instance(in).hangup(now, in.u32());
-            case 7 -> instance(in).timer(now, in.i64());
+            case 6 -> instance(in).clientDisconnected(now, in.u32());
+            case 7 -> instance(in).timerFired(now, in.i64());
             case 8 -> instance(in)
-                    .probeResult(
+                    .probeEnded(
                             now,
                             in.upstream(),
                             in.enumValue(OUTCOMES, in.u8(), "stateCode"),
                             in.time("timeTaken"),
                             in.loadReport());
-            case 9 -> instance(in).peerMessage(now, in.u16(), in.bytes(in.u16()));
+            case 9 -> instance(in).peerMessageReceived(now, in.u16(), in.bytes(in.u16()));
             case 10 -> instances.remove(in.u16());
             case 11 -> defineList(in);
             default -> throw new MalformedFrameException("unknown event code " + code + " at byte " + in.recordStart());
@@ -89,24 +89,25 @@
     private void createInstance(long now, FrameReader in) {
         int sidecar = in.u16();
         long seed = in.i64();
-        Balancer instance = new Rules(new Options(in.text(in.u32())).settings(), seed, replyWriter.actionsOf(sidecar));
+        Balancer instance = new LoadBalancingPolicy(
+                new BalancerOptions(in.text(in.u32())).settings(), seed, replyWriter.actionsOf(sidecar));
         instances.put(sidecar, instance);
         instance.start(now);
     }
 
     private void endpointListChanged(long now, FrameReader in) {
         Balancer instance = instance(in);
-        ListKind kind = in.enumValue(LIST_KINDS, in.u8(), "form");
+        EndpointListKind kind = in.enumValue(LIST_KINDS, in.u8(), "form");
         in.i64();
         long number = in.u32();
-        if (kind == ListKind.FAILED) {
-            instance.listChanged(now, kind, List.of());
+        if (kind == EndpointListKind.FAILED) {
+            instance.endpointListChanged(now, kind, List.of());
             return;
         }
         if (number >= MAX_LISTS || endpointLists.get((int) number) == null) {
             throw new MalformedFrameException("unknown list number " + number + " at byte " + in.recordStart());
         }
-        instance.listChanged(now, kind, endpointLists.get((int) number));
+        instance.endpointListChanged(now, kind, endpointLists.get((int) number));
     }
 
     private void requestArrived(long now, FrameReader in) {
@@ -118,7 +119,7 @@
         long clientTimeoutNanos = in.time("left");
         long costHintNanos = in.time("costGuess");
         int flags = in.u8();
-        instance.request(
+        instance.requestArrived(
                 now,
                 new Request(
                         id,
--- a/src/main/java/pondridge/adapter/ReplyFrameWriter.java
+++ b/src/main/java/pondridge/adapter/ReplyFrameWriter.java
@@ -86,13 +86,13 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
+        public void cancelAttempt(long request, int attempt) {
             startRecord(4, 7, sidecar);
             buffer.putInt((int) request).put((byte) attempt);
         }
 
         @Override
-        public void timer(long token, long dueNanos) {
+        public void setTimer(long token, long dueNanos) {
             startRecord(5, 18, sidecar);
             buffer.putLong(token).putLong(dueNanos);
         }
@@ -104,13 +104,13 @@
         }
 
         @Override
-        public void closeIdle(long upstream) {
+        public void closeIdleConnections(long upstream) {
             startRecord(7, 8, sidecar);
             putUpstream(upstream);
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendToPeer(int peer, byte[] message) {
             startVariableRecord(8, 4, message);
             buffer.putShort((short) peer).putShort((short) message.length).put(message);
         }
@@ -123,13 +123,13 @@
         }
 
         @Override
-        public void subscribe(boolean subscribed) {
+        public void setSubscription(boolean subscribed) {
             startRecord(11, 3, sidecar);
             buffer.put((byte) (subscribed ? 1 : 0));
         }
 
         @Override
-        public void fetchList() {
+        public void fetchEndpointList() {
             startRecord(12, 2, sidecar);
         }
     }
--- a/src/main/java/pondridge/cli/CheckCommand.java
+++ b/src/main/java/pondridge/cli/CheckCommand.java
@@ -29,17 +29,17 @@
 
     @Override
     public Integer call() {
-        if (SettingsFile.read(file).has("gateway")) {
+        if (SettingsFile.read(file).hasSection("gateway")) {
             GatewayCommand.Configuration gateway = GatewayCommand.Configuration.read(file);
             spec.commandLine()
                     .getOut()
                     .println(file + ": good, a gateway of site "
                             + gateway.settings().site() + " with "
-                            + gateway.settings().sites().size() + " other site(s)");
+                            + gateway.settings().remoteSites().size() + " other site(s)");
             return CommandLine.ExitCode.OK;
         }
         SettingsFile all = SettingsFile.read(file);
-        if (all.has("control")
+        if (all.hasSection("control")
                 && SERVING_ROLES.contains(
                         ControlSettings.of(all, file.toAbsolutePath().getParent())
                                 .role())) {
--- a/src/main/java/pondridge/cli/ControlCommand.java
+++ b/src/main/java/pondridge/cli/ControlCommand.java
@@ -17,7 +17,7 @@
 import pondridge.control.ControlRelay;
 import pondridge.control.ControlSettings;
 import pondridge.control.ControlSource;
-import pondridge.control.Events;
+import pondridge.control.EventLog;
 import pondridge.control.Traffic;
 import pondridge.settings.SettingsException;
 
@@ -39,7 +39,7 @@
     @Override
     public Integer call() throws InterruptedException, IOException {
         ControlSettings settings = ControlSettings.read(file);
-        Events events = Events.lines(settings.instance());
+        EventLog events = EventLog.jsonLines(settings.instance());
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         try {
@@ -55,7 +55,7 @@
                             new ControlClient(
                                             loop,
                                             settings,
-                                            (version, kind, targets, others) -> events.told(
+                                            (version, kind, targets, others) -> events.report(
                                                     "applied",
                                                     "",
                                                     version + " " + kind + ' ' + targets.size() + " entries "
@@ -68,7 +68,7 @@
                         case OFF -> throw new SettingsException(
                                 file.toString(), "control.role", "expected source, relay or follower, found off");
                     };
-            events.told(
+            events.report(
                     "ready",
                     "",
                     address == null ? "" : address.getAddress().getHostAddress() + ':' + address.getPort());
--- a/src/main/java/pondridge/cli/DemoCommand.java
+++ b/src/main/java/pondridge/cli/DemoCommand.java
@@ -26,11 +26,11 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 import pondridge.demo.Certificates;
-import pondridge.demo.Sites;
-import pondridge.demo.Usual;
-import pondridge.standin.EffectLedger;
-import pondridge.standin.EffectLedger.Verdict;
-import pondridge.standin.OpenLoad;
+import pondridge.demo.SiteTestbed;
+import pondridge.demo.StandinOptions;
+import pondridge.standin.ExecutionLedger;
+import pondridge.standin.ExecutionLedger.Verdict;
+import pondridge.standin.OpenLoopLoadGenerator;
 
 /** Runs two sites on loopback under load and cuts one of them off from its servers for a third of the time. */
 @Command(
@@ -83,9 +83,13 @@
         Path folder = Files.createTempDirectory("bankflow-demo");
         try {
             Certificates certificates = new Certificates(folder);
-            Sites.Shape shape = new Sites.Shape(List.of("a", "b"), 4, 1, 5 * MS, delayMs * MS, delayMs * MS / 4, "");
-            try (Sites sites = new Sites(
-                    shape, Usual.options(CLIENT_TIMEOUT_MS), seed, site -> securitySettings(certificates, site))) {
+            SiteTestbed.TestbedConfig shape =
+                    new SiteTestbed.TestbedConfig(List.of("a", "b"), 4, 1, 5 * MS, delayMs * MS, delayMs * MS / 4, "");
+            try (SiteTestbed sites = new SiteTestbed(
+                    shape,
+                    StandinOptions.withDeadline(CLIENT_TIMEOUT_MS),
+                    seed,
+                    site -> securitySettings(certificates, site))) {
                 out.printf(
                         "two sites, 4 servers and a gateway each, %d ms between them one way, mutual TLS,"
                                 + " %d requests/s at each%n",
@@ -112,46 +116,48 @@
 
     private static String securitySettings(Certificates certificates, String site) {
         try {
-            return certificates.site(site);
+            return certificates.issue(site);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private int run(Sites sites, PrintWriter out) throws InterruptedException, ExecutionException, TimeoutException {
+    private int run(SiteTestbed sites, PrintWriter out)
+            throws InterruptedException, ExecutionException, TimeoutException {
         Map<String, Long> timeouts = new LinkedHashMap<>();
         CLASS_SHARES.keySet().forEach(requestClass -> timeouts.put(requestClass, CLIENT_TIMEOUT_MS * MS));
-        OpenLoad.Plan plan = new OpenLoad.Plan(rate * seconds, rate, CLASS_SHARES, timeouts, 200);
-        OpenLoad atA = sites.load("a", seed);
-        OpenLoad atB = sites.load("b", seed + 1);
+        OpenLoopLoadGenerator.Plan plan =
+                new OpenLoopLoadGenerator.Plan(rate * seconds, rate, CLASS_SHARES, timeouts, 200);
+        OpenLoopLoadGenerator atA = sites.load("a", seed);
+        OpenLoopLoadGenerator atB = sites.load("b", seed + 1);
         CompletableFuture<Void> bothLoads = CompletableFuture.allOf(atA.start(plan), atB.start(plan));
         long third = seconds * 1_000L / 3;
         printStatus(out, sites, 0, "all is well");
         awaitAtMost(bothLoads, third);
-        sites.site("a").cut(true);
+        sites.site("a").cutServers(true);
         printStatus(out, sites, third, "a is cut from its servers");
         awaitAtMost(bothLoads, third);
         printStatus(out, sites, 2 * third, "the cut heals");
-        sites.site("a").cut(false);
+        sites.site("a").cutServers(false);
         bothLoads.get(seconds + DRAIN_TIMEOUT_S, TimeUnit.SECONDS);
-        sites.quiet(DRAIN_TIMEOUT_S * 1_000L);
+        sites.awaitIdle(DRAIN_TIMEOUT_S * 1_000L);
         printStatus(out, sites, seconds * 1_000L, "the end");
         out.println();
         out.printf(
                 "%-14s %7s %7s %7s %7s %8s %8s%n", "class", "asked", "served", "refused", "failed", "p50 ms", "p99 ms");
         for (String requestClass : CLASS_SHARES.keySet()) {
-            EffectLedger.Tally tally = sites.ledger().tally(requestClass);
+            ExecutionLedger.Tally tally = sites.ledger().tally(requestClass);
             Histogram latency = new Histogram(60_000_000_000L, 3);
-            for (OpenLoad load : List.of(atA, atB)) {
-                if (load.served().get(requestClass) != null) {
-                    latency.add(load.served().get(requestClass));
+            for (OpenLoopLoadGenerator load : List.of(atA, atB)) {
+                if (load.latencies().get(requestClass) != null) {
+                    latency.add(load.latencies().get(requestClass));
                 }
             }
             out.printf(
                     Locale.ROOT,
                     "%-14s %7d %7d %7d %7d %8.1f %8.1f%n",
                     requestClass,
-                    tally.asked(),
+                    tally.requests(),
                     tally.served(),
                     tally.refused(),
                     tally.failed(),
@@ -163,20 +169,20 @@
         out.printf(
                 "crossed %d, doubled %d, unanswered %d, late %d%n",
                 sites.site("a").count("crossed") + sites.site("b").count("crossed"),
-                verdict.doubled(),
+                verdict.duplicateEffects(),
                 verdict.unanswered(),
                 verdict.late());
-        verdict.words().forEach(out::println);
-        out.println(verdict.clean() ? "every rule was kept" : "A RULE WAS BROKEN: " + verdict);
+        verdict.violations().forEach(out::println);
+        out.println(verdict.passed() ? "every rule was kept" : "A RULE WAS BROKEN: " + verdict);
         out.flush();
-        return verdict.clean() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
+        return verdict.passed() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
     }
 
     private static void awaitAtMost(CompletableFuture<Void> load, long millis) {
         load.copy().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
-    private static void printStatus(PrintWriter out, Sites sites, long atMs, String event) {
+    private static void printStatus(PrintWriter out, SiteTestbed sites, long atMs, String event) {
         out.printf(
                 Locale.ROOT,
                 "%6.1f s  a: served %d, refused %d, failed %d, crossed %d   %s%n",
--- a/src/main/java/pondridge/cli/DrillCommand.java
+++ b/src/main/java/pondridge/cli/DrillCommand.java
@@ -44,7 +44,7 @@
             DrillReport report = drill.run();
             report.lines().forEach(out::println);
             out.flush();
-            return report.verdict().clean() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
+            return report.verdict().passed() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
         }
     }
 }
--- a/src/main/java/pondridge/cli/GatewayCommand.java
+++ b/src/main/java/pondridge/cli/GatewayCommand.java
@@ -17,10 +17,10 @@
 import pondridge.core.Transport;
 import pondridge.gateway.Gateway;
 import pondridge.gateway.GatewaySettings;
-import pondridge.platform.Config;
-import pondridge.platform.Discovery;
+import pondridge.platform.DiscoveryClient;
+import pondridge.platform.PlatformConfig;
 import pondridge.settings.SettingsException;
-import pondridge.transport.MixedUpstreams;
+import pondridge.transport.MixedProtocolTransport;
 
 /** Runs one gateway of a site until SIGTERM, then completes its open requests and exits. */
 @Command(name = "gateway", description = "Runs a gateway of a site until SIGTERM.")
@@ -35,12 +35,12 @@
     private boolean withParent;
 
     /** The configuration of a gateway: its own settings and those of the platform's file that they name. */
-    record Configuration(GatewaySettings settings, Config platform) {
+    record Configuration(GatewaySettings settings, PlatformConfig platform) {
         static Configuration read(Path file) {
             GatewaySettings settings = GatewaySettings.read(file);
             try {
-                Config platform = Config.read(settings.platform());
-                settings.agree(platform.options());
+                PlatformConfig platform = PlatformConfig.read(settings.platform());
+                settings.validateAgainst(platform.options());
                 return new Configuration(settings, platform);
             } catch (IllegalArgumentException | IOException e) {
                 throw new SettingsException(settings.platform().toString(), "", e.getMessage());
@@ -77,27 +77,27 @@
 
     private static void start(EventLoop loop, Configuration configuration, CompletableFuture<Gateway> started) {
         try {
-            Config platform = configuration.platform();
-            Transport upstreams = MixedUpstreams.of(
-                    loop, platform.options(), configuration.settings().upstreams(), platform.mostUpstream());
+            PlatformConfig platform = configuration.platform();
+            Transport upstreams = MixedProtocolTransport.of(
+                    loop, platform.options(), configuration.settings().upstreams(), platform.maxUpstreamConnections());
             Gateway gateway = new Gateway(
                     loop,
                     platform.options(),
                     configuration.settings(),
                     upstreams,
                     platform.seed(),
-                    platform.mostClients(),
+                    platform.maxClientConnections(),
                     System::nanoTime);
-            Discovery discovery = new Discovery(
+            DiscoveryClient discovery = new DiscoveryClient(
                     loop,
-                    platform.discovery(),
-                    platform.pushed(),
-                    platform.known().rev(),
-                    gateway::listed);
-            gateway.start(discovery, platform.known().targets(), platform.listen())
+                    platform.discoveryAddress(),
+                    platform.isDiscoveryPushed(),
+                    platform.cachedEndpoints().revision(),
+                    gateway::updateEndpoints);
+            gateway.start(discovery, platform.cachedEndpoints().targets(), platform.listenAddress())
                     .whenComplete((addresses, error) -> {
                         if (error == null) {
-                            discovery.follow();
+                            discovery.startIfPushed();
                             started.complete(gateway);
                         } else {
                             started.completeExceptionally(error);
@@ -108,9 +108,9 @@
         }
     }
 
-    private static long maxDeadlineMs(Config platform) {
+    private static long maxDeadlineMs(PlatformConfig platform) {
         return platform.options().settings().classes().stream()
-                        .mapToLong(RequestClass::deadline)
+                        .mapToLong(RequestClass::deadlineNanos)
                         .max()
                         .orElse(0)
                 / 1_000_000;
@@ -125,7 +125,7 @@
         long deadline = System.nanoTime() + (maxDeadlineMs + SHUTDOWN_SLACK_MS) * 1_000_000;
         try {
             while (System.nanoTime() - deadline < 0
-                    && !loop.submit(gateway::idle).get()) {
+                    && !loop.submit(gateway::isIdle).get()) {
                 Thread.sleep(POLL_MS);
             }
             loop.submit(gateway::close).get();
--- a/src/main/java/pondridge/cli/PlanCommand.java
+++ b/src/main/java/pondridge/cli/PlanCommand.java
@@ -13,12 +13,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import pondridge.siteloss.LossPlan;
-import pondridge.siteloss.LossPlanner;
+import pondridge.siteloss.SiteLossPlan;
+import pondridge.siteloss.SiteLossPlanner;
 import pondridge.siteloss.SitePlanSettings;
 import pondridge.siteloss.Topology;
-import pondridge.siteloss.Topology.Kind;
 import pondridge.siteloss.Topology.Site;
+import pondridge.siteloss.Topology.TrafficClass;
 
 /** Capacity planning: predicts the effect of losses. */
 @Command(
@@ -61,7 +61,7 @@
             for (Set<String> each : lost.isEmpty() ? siteAndPairLosses(names) : List.of(new LinkedHashSet<>(lost))) {
                 fits &= print(
                         topology,
-                        LossPlanner.plan(topology, each),
+                        SiteLossPlanner.plan(topology, each),
                         spec.commandLine().getOut());
             }
             return fits ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
@@ -80,36 +80,41 @@
     }
 
     /** Prints a plan; returns false if requests of the classes of the highest worth are refused. */
-    private static boolean print(Topology topology, LossPlan plan, PrintWriter out) {
-        out.println("lost: " + String.join(" and ", plan.lost()));
-        plan.unfit().forEach(site -> out.println("  " + site + " can't do what its own clients ask; it takes nothing"));
-        double topWorth =
-                topology.classes().stream().mapToDouble(Kind::worth).max().orElse(0);
+    private static boolean print(Topology topology, SiteLossPlan plan, PrintWriter out) {
+        out.println("lost: " + String.join(" and ", plan.lostSites()));
+        plan.overloadedSites()
+                .forEach(site -> out.println("  " + site + " can't do what its own clients ask; it takes nothing"));
+        double topWorth = topology.classes().stream()
+                .mapToDouble(TrafficClass::utility)
+                .max()
+                .orElse(0);
         boolean fits = true;
-        for (String from : plan.lost()) {
-            for (Kind kind : topology.classes()) {
-                double admitted = plan.admitted(from, kind.name());
+        for (String from : plan.lostSites()) {
+            for (TrafficClass kind : topology.classes()) {
+                double admitted = plan.admittedFraction(from, kind.name());
                 List<String> parts = new ArrayList<>();
                 plan.flows().stream()
-                        .filter(flow -> flow.from().equals(from) && flow.kind().equals(kind.name()))
-                        .forEach(flow -> parts.add(formatRate(flow.perSecond()) + " to " + flow.to()));
+                        .filter(flow ->
+                                flow.from().equals(from) && flow.trafficClass().equals(kind.name()))
+                        .forEach(flow -> parts.add(formatRate(flow.requestsPerSecond()) + " to " + flow.to()));
                 plan.refused().stream()
-                        .filter(each -> each.from().equals(from) && each.kind().equals(kind.name()))
-                        .forEach(each -> parts.add(formatRate(each.perSecond()) + " refused"));
+                        .filter(each ->
+                                each.from().equals(from) && each.trafficClass().equals(kind.name()))
+                        .forEach(each -> parts.add(formatRate(each.requestsPerSecond()) + " refused"));
                 if (!parts.isEmpty()) {
                     out.println("  " + from + ", " + kind.name() + ", requests a second: " + String.join(", ", parts));
                 }
-                fits &= kind.worth() < topWorth || admitted > 1 - REFUSED_SHARE_TOLERANCE;
+                fits &= kind.utility() < topWorth || admitted > 1 - REFUSED_SHARE_TOLERANCE;
             }
         }
-        plan.narrow().forEach(each -> out.println("  in the way: " + each));
+        plan.bottlenecks().forEach(each -> out.println("  in the way: " + each));
         if (!fits) {
             out.println("  WARNING: not even all of the classes worth most find room");
-        } else if (plan.slack() > 0) {
+        } else if (plan.requiredCapacityFraction() > 0) {
             out.println(String.format(
                     Locale.ROOT,
                     "  the classes worth most fit as long as the sites left" + " can do %.2f of what is said here",
-                    plan.slack()));
+                    plan.requiredCapacityFraction()));
         }
         return fits;
     }
--- a/src/main/java/pondridge/cli/ScaleCommand.java
+++ b/src/main/java/pondridge/cli/ScaleCommand.java
@@ -38,11 +38,11 @@
         }
         PrintWriter out = spec.commandLine().getOut();
         out.println("seed " + plan.seed());
-        ScaleReport report = new ScaleRun(plan, ScaleRun.Source.PLANNED, line -> {
+        ScaleReport report = new ScaleRun(plan, ScaleRun.DistributionFactory.FROM_PLAN, line -> {
                     out.println(line);
                     out.flush();
                 })
-                .play();
+                .run();
         report.lines().forEach(out::println);
         out.flush();
         return report.clean() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
--- a/src/main/java/pondridge/cli/StandinCommand.java
+++ b/src/main/java/pondridge/cli/StandinCommand.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import pondridge.standin.EffectLedger;
+import pondridge.standin.ExecutionLedger;
 import pondridge.standin.Fault;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
+import pondridge.standin.IdempotencyKeyStore;
 import pondridge.standin.StandinServer;
 import pondridge.standin.redis.RedisStandin;
 
@@ -85,12 +85,12 @@
                     };
             Map<Fault, Double> shares;
             try {
-                shares = FaultScript.parse(faults);
+                shares = FaultScript.parseFractions(faults);
             } catch (IllegalArgumentException e) {
                 throw usageError("--fault: " + e.getMessage());
             }
             MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            EffectLedger ledger = new EffectLedger(0, 0);
+            ExecutionLedger ledger = new ExecutionLedger(0, 0);
             try (StandinServer server = new StandinServer(
                     group.next(),
                     loopback(spec, listen),
@@ -102,12 +102,12 @@
                             65_535,
                             new FaultScript(seed, shares, workMs * 1_000_000, 10 * workMs * 1_000_000),
                             ledger,
-                            new KeyMemory()))) {
+                            new IdempotencyKeyStore()))) {
                 print(protocol + " at " + server.address());
                 CountDownLatch stopped = new CountDownLatch(1);
                 Runtime.getRuntime().addShutdownHook(new Thread(stopped::countDown));
                 stopped.await(forSeconds, TimeUnit.SECONDS);
-                print("ran " + server.runs() + ", connections at most " + server.mostConnections());
+                print("ran " + server.executions() + ", connections at most " + server.peakConnections());
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             }
@@ -156,7 +156,7 @@
                 throw new ParameterException(spec.commandLine(), "--memory-mb: expected 1 to 4096, found " + memoryMb);
             }
             MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            RedisStandin.Setup defaults = RedisStandin.Setup.usual();
+            RedisStandin.Setup defaults = RedisStandin.Setup.defaults();
             try (RedisStandin store = new RedisStandin(
                     group.next(),
                     loopback(spec, listen),
@@ -166,15 +166,16 @@
                             (long) memoryMb << 20,
                             !refuseWhenFull,
                             defaults.lagMs(),
-                            defaults.connections()))) {
-                store.faults().delay(delayMs);
+                            defaults.maxConnections()))) {
+                store.faults().setReplyDelayMillis(delayMs);
                 spec.commandLine().getOut().println("standin redis: at " + store.address());
                 CountDownLatch stopped = new CountDownLatch(1);
                 Runtime.getRuntime().addShutdownHook(new Thread(stopped::countDown));
                 stopped.await(forSeconds, TimeUnit.SECONDS);
                 spec.commandLine()
                         .getOut()
-                        .println("standin redis: " + store.commands() + " commands, " + store.bytes() + " bytes");
+                        .println("standin redis: " + store.commandCount() + " commands, " + store.transferredBytes()
+                                + " bytes");
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             }
--- a/src/main/java/pondridge/control/Codec.java
+++ b/src/main/java/pondridge/control/Codec.java
@@ -73,8 +73,8 @@
             if (ack.result() == FollowerState.ApplyResult.GAP || ack.result() == FollowerState.ApplyResult.MISMATCH) {
                 json.writeStringField("v", ack.result().name());
             }
-            if (ack.status().count() > 0) {
-                json.writeNumberField("count", ack.status().count());
+            if (ack.status().followerCount() > 0) {
+                json.writeNumberField("count", ack.status().followerCount());
                 json.writeNumberField("le", ack.status().lowestVersion().epoch());
                 json.writeNumberField("ln", ack.status().lowestVersion().number());
                 writeStrings(json, "behind", ack.status().laggingInstances());
--- a/src/main/java/pondridge/control/ControlClient.java
+++ b/src/main/java/pondridge/control/ControlClient.java
@@ -18,8 +18,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import pondridge.Balancer.ListKind;
-import pondridge.core.Directory;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Target;
 
 /**
@@ -28,7 +28,7 @@
  * in effect in any case. The client has no thread of its own: everything runs on the event loop, except
  * {@link #start} and {@link #close}, which may be called on any thread.
  */
-public final class ControlClient implements AutoCloseable, Directory {
+public final class ControlClient implements AutoCloseable, EndpointDiscovery {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     /** Is notified of updates, on the event loop. */
@@ -40,7 +40,7 @@
          * without targets, if the list was requested and the state is older than {@code stale}
          * @param settings values by service, a slash and name; null for a deleted setting
          */
-        void applied(Version version, ListKind kind, List<Target> targets, Map<String, String> settings);
+        void applied(Version version, EndpointListKind kind, List<Target> targets, Map<String, String> settings);
     }
 
     private final EventLoop loop;
@@ -50,7 +50,7 @@
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Listener listener;
     private final Supplier<PropagationStatus> downstreamStatus;
-    private final Events events;
+    private final EventLog events;
     private final Traffic traffic;
     private RelayConnection connection;
     private Future<?> pendingDial;
@@ -59,7 +59,8 @@
     private long deltasReceived;
 
     /** Creates a follower. Many may share an event loop, events and traffic. */
-    public ControlClient(EventLoop loop, ControlSettings settings, Listener listener, Events events, Traffic traffic) {
+    public ControlClient(
+            EventLoop loop, ControlSettings settings, Listener listener, EventLog events, Traffic traffic) {
         this(
                 loop,
                 settings,
@@ -76,7 +77,7 @@
             FollowerState state,
             Listener listener,
             Supplier<PropagationStatus> downstreamStatus,
-            Events events,
+            EventLog events,
             Traffic traffic) {
         this.loop = loop;
         this.settings = settings;
@@ -88,7 +89,8 @@
         for (InetSocketAddress each : settings.parentAddresses()) {
             addresses.put(each.getAddress().getHostAddress() + ':' + each.getPort(), each);
         }
-        this.selector = new RelaySelector(settings.instance(), List.copyOf(addresses.keySet()), settings.choice());
+        this.selector =
+                new RelaySelector(settings.instance(), List.copyOf(addresses.keySet()), settings.relaySelectorLimits());
     }
 
     /** Starts to connect. */
@@ -178,21 +180,21 @@
      */
     @Override
     public void watch(boolean on) {
-        if (on && ageNanos() <= settings.stale()) {
-            notifyListener(ListKind.DELTA, List.of());
+        if (on && ageNanos() <= settings.staleAfterNanos()) {
+            notifyListener(EndpointListKind.DELTA, List.of());
         }
     }
 
     /** Reports the full list from memory, or a failure if the state is stale. */
     @Override
     public void fetch() {
-        boolean fresh = ageNanos() <= settings.stale();
+        boolean fresh = ageNanos() <= settings.staleAfterNanos();
         notifyListener(
-                fresh ? ListKind.FULL : ListKind.FAILED,
+                fresh ? EndpointListKind.FULL : EndpointListKind.FAILED,
                 fresh ? state.resources().changesSince(-1, List.of(), false) : List.of());
     }
 
-    private void notifyListener(ListKind kind, List<Change> changes) {
+    private void notifyListener(EndpointListKind kind, List<Change> changes) {
         List<Target> targets = new ArrayList<>();
         Map<String, String> changedSettings = new LinkedHashMap<>();
         for (Change each : changes) {
@@ -202,15 +204,15 @@
                 continue;
             }
             try {
-                targets.add(Targets.toTarget(each.name(), each.state(), current == null ? "" : current.body()));
+                targets.add(TargetCodec.toTarget(each.name(), each.state(), current == null ? "" : current.body()));
             } catch (IllegalArgumentException e) {
-                events.told("entry_passed_over", each.service(), e.getMessage());
+                events.report("entry_passed_over", each.service(), e.getMessage());
             }
         }
         try {
             listener.applied(state.version(), kind, targets, changedSettings);
         } catch (RuntimeException e) {
-            events.told("listener_failed", "", e.toString());
+            events.report("listener_failed", "", e.toString());
         }
     }
 
@@ -227,7 +229,7 @@
         private boolean established;
 
         RelayConnection(String relay) {
-            super(settings.longestMessage(), traffic);
+            super(settings.maxMessageBytes(), traffic);
             this.relay = relay;
         }
 
@@ -259,15 +261,16 @@
 
         /** Checks periodically whether the connection is still of use. */
         private void scheduleCheck() {
-            long intervalNanos = state.hello().isRelay() ? settings.report() : settings.silence() / 4;
+            long intervalNanos =
+                    state.hello().isRelay() ? settings.statusIntervalNanos() : settings.silenceTimeoutNanos() / 4;
             timer = loop.schedule(
                     () -> {
                         long nowNanos = System.nanoTime();
-                        if (nowNanos - lastMessageNanos > settings.silence()) {
+                        if (nowNanos - lastMessageNanos > settings.silenceTimeoutNanos()) {
                             disconnect("silent");
                         } else if (established
-                                && nowNanos - establishedNanos > settings.stale()
-                                && state.ageNanos(nowNanos) > settings.stale()) {
+                                && nowNanos - establishedNanos > settings.staleAfterNanos()
+                                && state.ageNanos(nowNanos) > settings.staleAfterNanos()) {
                             established = false;
                             disconnect("stale state");
                         } else if (nowNanos > failbackNanos) {
@@ -323,16 +326,17 @@
                 established = true;
                 establishedNanos = nowNanos;
                 failbackNanos = selector.failbackAtNanos(relay, nowNanos);
-                events.told("following", relay, "from version " + versionBefore);
+                events.report("following", relay, "from version " + versionBefore);
             }
             selector.recordSuccess(relay);
             switch (result) {
                 case APPLIED -> {
                     snapshotsReceived += update.snapshot() ? 1 : 0;
                     deltasReceived += update.snapshot() ? 0 : 1;
-                    notifyListener(update.snapshot() ? ListKind.FULL : ListKind.DELTA, update.changes());
+                    notifyListener(
+                            update.snapshot() ? EndpointListKind.FULL : EndpointListKind.DELTA, update.changes());
                 }
-                case GAP, MISMATCH -> events.told(
+                case GAP, MISMATCH -> events.report(
                         "refused",
                         relay,
                         (result == FollowerState.ApplyResult.GAP
@@ -344,7 +348,7 @@
                 default -> {}
             }
             if (!state.missingServices().isEmpty() && !state.missingServices().equals(missingBefore)) {
-                events.told("not_there", relay, "services " + String.join(", ", state.missingServices()));
+                events.report("not_there", relay, "services " + String.join(", ", state.missingServices()));
             }
             sendAck(update.serial(), result);
         }
@@ -364,7 +368,7 @@
             connection = null;
             close();
             long nowNanos = System.nanoTime();
-            events.told("left", relay, reason + "; holding version " + state.version());
+            events.report("left", relay, reason + "; holding version " + state.version());
             if (established) {
                 scheduleUnlessConnected(selector.connectionLost(relay, nowNanos) - nowNanos, ControlClient.this::dial);
             } else {
--- a/src/main/java/pondridge/control/ControlRelay.java
+++ b/src/main/java/pondridge/control/ControlRelay.java
@@ -19,12 +19,16 @@
     private final ControlClient client;
 
     public ControlRelay(
-            EventLoop loop, ControlSettings settings, Events events, Traffic upstreamTraffic, Traffic watcherTraffic) {
+            EventLoop loop,
+            ControlSettings settings,
+            EventLog events,
+            Traffic upstreamTraffic,
+            Traffic watcherTraffic) {
         this.loop = loop;
         this.settings = settings;
-        FollowerState state = new FollowerState(settings.instance(), List.of(), true, settings.markers());
-        this.server =
-                new ControlServer(loop, settings.serving(), state::resources, state::ageNanos, watcherTraffic, events);
+        FollowerState state = new FollowerState(settings.instance(), List.of(), true, settings.maxTombstones());
+        this.server = new ControlServer(
+                loop, settings.watcherLimits(), state::resources, state::ageNanos, watcherTraffic, events);
         this.client = new ControlClient(
                 loop,
                 settings,
@@ -47,17 +51,17 @@
     }
 
     /** Returns which versions the followers below have. Call on the event loop. */
-    public PropagationStatus sums() {
+    public PropagationStatus propagationStatus() {
         return server.scheduler().propagationStatus();
     }
 
     /** Returns the number of snapshots sent. Call on the event loop. */
-    public long wholes() {
+    public long snapshotsSent() {
         return server.scheduler().snapshotsSent();
     }
 
     /** Returns the number of deltas sent. Call on the event loop. */
-    public long differences() {
+    public long deltasSent() {
         return server.scheduler().deltasSent();
     }
 
--- a/src/main/java/pondridge/control/ControlServer.java
+++ b/src/main/java/pondridge/control/ControlServer.java
@@ -35,7 +35,7 @@
     private final UpdateScheduler.Limits limits;
     private final UpdateScheduler scheduler;
     private final Traffic traffic;
-    private final Events events;
+    private final EventLog events;
     private final Map<Long, WatcherConnection> connections = new HashMap<>();
     private final Set<Channel> openChannels = new HashSet<>();
     private Channel serverChannel;
@@ -47,7 +47,7 @@
             Supplier<ResourceStore> resources,
             LongUnaryOperator ageNanos,
             Traffic traffic,
-            Events events) {
+            EventLog events) {
         this.loop = loop;
         this.limits = limits;
         this.scheduler = new UpdateScheduler(limits, resources, ageNanos);
@@ -179,7 +179,7 @@
         private void close(String reason) {
             if (!closed) {
                 closed = true;
-                events.told("watcher_ended", instance, reason);
+                events.report("watcher_ended", instance, reason);
                 connections.remove(id);
                 scheduler.removeWatcher(id);
                 if (timer != null) {
--- a/src/main/java/pondridge/control/ControlSource.java
+++ b/src/main/java/pondridge/control/ControlSource.java
@@ -25,7 +25,7 @@
 
     private final EventLoop loop;
     private final ControlSettings settings;
-    private final Events events;
+    private final EventLog events;
     private final StateFile file;
     private final SourceState state;
     private final ControlServer server;
@@ -45,26 +45,30 @@
     private FileTime feedModified;
 
     /** Reads the state file. Without one, starts a new epoch that is numbered by the clock. */
-    public ControlSource(EventLoop loop, ControlSettings settings, Events events, Traffic traffic) throws IOException {
+    public ControlSource(EventLoop loop, ControlSettings settings, EventLog events, Traffic traffic)
+            throws IOException {
         this.loop = loop;
         this.settings = settings;
         this.events = events;
-        this.file = new StateFile(settings.stateFile(), settings.markers());
+        this.file = new StateFile(settings.stateFile(), settings.maxTombstones());
         ResourceStore restored = file.read();
         if (restored == null) {
-            restored = SourceState.newEpoch(System.currentTimeMillis(), settings.markers());
+            restored = SourceState.newEpoch(System.currentTimeMillis(), settings.maxTombstones());
             file.write(restored);
-            events.told(
+            events.report(
                     "new_epoch", "", "no file " + settings.stateFile() + ", starting at version " + restored.version());
         }
-        this.state = new SourceState(restored, settings.fold(), settings.entries());
-        this.server = new ControlServer(loop, settings.serving(), state::committed, now -> 0, traffic, events);
+        this.state = new SourceState(restored, settings.commitDelayNanos(), settings.maxEntries());
+        this.server = new ControlServer(loop, settings.watcherLimits(), state::committed, now -> 0, traffic, events);
     }
 
     /** Starts the source and returns the address on which it listens. */
     public CompletableFuture<InetSocketAddress> start() {
         loop.scheduleWithFixedDelay(
-                this::reportPropagation, settings.report(), settings.report(), TimeUnit.NANOSECONDS);
+                this::reportPropagation,
+                settings.statusIntervalNanos(),
+                settings.statusIntervalNanos(),
+                TimeUnit.NANOSECONDS);
         if (settings.feedFile() != null) {
             fileExecutor.scheduleWithFixedDelay(this::pollFeed, 0, FEED_POLL_MS, TimeUnit.MILLISECONDS);
         }
@@ -84,7 +88,7 @@
                 try {
                     state.put(each, System.nanoTime());
                 } catch (IllegalArgumentException e) {
-                    events.told("not_taken", "", e.getMessage());
+                    events.report("not_taken", "", e.getMessage());
                 }
             }
             pendingPuts.add(durable);
@@ -112,7 +116,7 @@
                 loop.execute(() -> replaceAll(desired));
             }
         } catch (IOException e) {
-            loop.execute(() -> events.told("feed_not_taken", "", e.toString()));
+            loop.execute(() -> events.report("feed_not_taken", "", e.toString()));
         }
     }
 
@@ -163,7 +167,7 @@
             committingPuts.forEach(each -> each.complete(draft.version()));
             server.stateChanged();
         } else {
-            events.told("not_written", "", settings.stateFile() + ": " + failure);
+            events.report("not_written", "", settings.stateFile() + ": " + failure);
             state.commitFailed(System.nanoTime());
             pendingPuts.addAll(0, committingPuts);
         }
@@ -176,16 +180,16 @@
         PropagationStatus status = server.scheduler().propagationStatus();
         propagationLatency.recordStatus(status, System.nanoTime());
         if (propagationLatency.completedCommits() > countBefore) {
-            events.told(
+            events.report(
                     "in_force",
                     "",
-                    "version " + status.lowestVersion() + " reached " + status.count() + " followers after "
+                    "version " + status.lowestVersion() + " reached " + status.followerCount() + " followers after "
                             + propagationLatency.lastNanos() / 1_000_000 + " ms");
-        } else if (propagationLatency.oldestPendingNanos(System.nanoTime()) > settings.silence()) {
-            events.told(
+        } else if (propagationLatency.oldestPendingNanos(System.nanoTime()) > settings.silenceTimeoutNanos()) {
+            events.report(
                     "not_in_force",
                     String.join(",", status.laggingInstances()),
-                    "lowest version " + status.lowestVersion() + " of " + status.count() + " followers, newest "
+                    "lowest version " + status.lowestVersion() + " of " + status.followerCount() + " followers, newest "
                             + state.committed().version());
         }
     }
@@ -206,12 +210,12 @@
     }
 
     /** Returns the number of snapshots sent. Call on the event loop. */
-    public long wholes() {
+    public long snapshotsSent() {
         return server.scheduler().snapshotsSent();
     }
 
     /** Returns the number of deltas sent. Call on the event loop. */
-    public long differences() {
+    public long deltasSent() {
         return server.scheduler().deltasSent();
     }
 
--- a/src/main/java/pondridge/control/Events.java
+++ b/src/main/java/pondridge/control/EventLog.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /** Receives events that an operator should know of. Called on the event loop. */
-public interface Events {
+public interface EventLog {
     /** Ignores all events. */
-    Events NONE = (event, peer, detail) -> {};
+    EventLog NONE = (event, peer, detail) -> {};
 
     /**
      * Reports an event.
@@ -18,18 +18,18 @@
      * @param event its kind, one word
      * @param peer the instance or relay concerned; empty for none
      */
-    void told(String event, String peer, String detail);
+    void report(String event, String peer, String detail);
 
     /**
      * Returns a sink that logs events as JSON lines, five a second of each kind at most. The next line logged
      * says how many were omitted.
      */
-    static Events lines(String instance) {
+    static EventLog jsonLines(String instance) {
         return new JsonLines(instance);
     }
 
-    /** See {@link #lines}. */
-    final class JsonLines implements Events {
+    /** See {@link #jsonLines}. */
+    final class JsonLines implements EventLog {
         private static final Logger LOGGER = LoggerFactory.getLogger("bankflow.control");
         private static final int MAX_LINES_PER_SECOND = 5;
         private static final long SECOND_NANOS = 1_000_000_000;
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public synchronized void told(String event, String peer, String detail) {
+        public synchronized void report(String event, String peer, String detail) {
             long nowNanos = System.nanoTime();
             RateLimit rateLimit = rateLimits.computeIfAbsent(event, each -> new RateLimit());
             if (rateLimit.linesLogged == 0 || nowNanos - rateLimit.windowStartNanos >= SECOND_NANOS) {
--- a/src/main/java/pondridge/control/PropagationStatus.java
+++ b/src/main/java/pondridge/control/PropagationStatus.java
@@ -6,11 +6,11 @@
 /**
  * Which version the followers have, aggregated from relay to relay rather than listed per follower.
  *
- * @param count number of followers
+ * @param followerCount number of followers
  * @param lowestVersion that any of them uses; null if there are none
  * @param laggingInstances names of a few that do not have the newest version
  */
-public record PropagationStatus(long count, Version lowestVersion, List<String> laggingInstances) {
+public record PropagationStatus(long followerCount, Version lowestVersion, List<String> laggingInstances) {
     /** The status without any followers. */
     public static final PropagationStatus NONE = new PropagationStatus(0, null, List.of());
 
@@ -23,7 +23,7 @@
                 .limit(MAX_LAGGING_INSTANCES - Math.min(MAX_LAGGING_INSTANCES, names.size()))
                 .forEach(names::add);
         return new PropagationStatus(
-                count + other.count,
+                followerCount + other.followerCount,
                 lowestVersion == null
                         ? other.lowestVersion
                         : other.lowestVersion == null || lowestVersion.compareTo(other.lowestVersion) <= 0
--- a/src/main/java/pondridge/control/Targets.java
+++ b/src/main/java/pondridge/control/TargetCodec.java
@@ -3,7 +3,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
 
 /**
@@ -11,13 +11,13 @@
  * weight and start time, separated by spaces; {@code -} stands for an empty text. Endpoints are IP addresses;
  * host names are not resolved.
  */
-public final class Targets {
+public final class TargetCodec {
     private static final int FIELDS = 6;
 
-    private Targets() {}
+    private TargetCodec() {}
 
     /** Converts a target to a resource of a service. */
-    public static Resource resource(String service, Target target) {
+    public static Resource toResource(String service, Target target) {
         String state =
                 switch (target.state()) {
                     case READY -> "SERVING";
@@ -28,7 +28,7 @@
                 service,
                 target.uid(),
                 state,
-                target.state() == State.GONE
+                target.state() == UpstreamState.GONE
                         ? ""
                         : target.endpoint().getAddress().getHostAddress()
                                 + ':'
@@ -54,7 +54,7 @@
     /** Converts a resource to a target. An {@link IllegalArgumentException} names an invalid one. */
     static Target toTarget(String name, String state, String body) {
         if (state.equals(Resource.DELETED)) {
-            return new Target(name, null, "", "", 0, State.GONE, 0, 0);
+            return new Target(name, null, "", "", 0, UpstreamState.GONE, 0, 0);
         }
         String[] fields = body.split(" ");
         try {
@@ -68,7 +68,7 @@
                         decodeText(fields[1]),
                         decodeText(fields[2]),
                         Integer.parseInt(fields[3]),
-                        state.equals("SERVING") ? State.READY : State.DRAINING,
+                        state.equals("SERVING") ? UpstreamState.READY : UpstreamState.DRAINING,
                         Float.parseFloat(fields[4]),
                         Long.parseLong(fields[5]));
             }
--- a/src/main/java/pondridge/core/Client.java
+++ b/src/main/java/pondridge/core/Client.java
@@ -3,25 +3,25 @@
 /**
  * The sender of a request, which receives its final response. Exactly one of {@link #served}, {@link #refused}
  * and {@link #failed} is called, once, on the event loop, possibly within {@link Engine#submit}; none after
- * {@link Engine#hangup}.
+ * {@link Engine#clientDisconnected}.
  */
 public interface Client {
     /** Called right before {@link #refused} or {@link #failed}, with a summary of the attempts. */
-    default void tried(Tried tried) {}
+    default void reportAttempts(AttemptSummary tried) {}
 
     /**
      * Whether the client is still connected; called right before an attempt is written for it. An
-     * implementation that returns false must also call {@link Requests#hangup}, later.
+     * implementation that returns false must also call {@link RequestProcessor#clientDisconnected}, later.
      *
      * @param readSocket whether the event loop may have stalled, so that a disconnect may be unread in the
      *     socket
      */
-    default boolean here(boolean readSocket) {
+    default boolean isConnected(boolean readSocket) {
         return true;
     }
 
     /** The request was served by an upstream. */
-    void served(Answer response);
+    void served(UpstreamResponse response);
 
     /**
      * The request was refused; a retry is harmless.
--- a/src/main/java/pondridge/core/Unread.java
+++ b/src/main/java/pondridge/core/DisconnectDetector.java
@@ -9,7 +9,7 @@
  * The first handler in the pipeline of a client connection. Reads the unread bytes of its socket on demand, so
  * that a disconnect is detected before a request is forwarded for that client.
  */
-public final class Unread extends ChannelInboundHandlerAdapter {
+public final class DisconnectDetector extends ChannelInboundHandlerAdapter {
     private boolean reading;
 
     /**
@@ -18,9 +18,9 @@
      * @param readSocket whether the event loop may not have read the socket recently; without auto-read the
      *     socket is read in any case
      */
-    public static boolean open(Channel channel, boolean readSocket) {
+    public static boolean isConnected(Channel channel, boolean readSocket) {
         if (readSocket || !channel.config().isAutoRead()) {
-            Unread handler = channel.pipeline().get(Unread.class);
+            DisconnectDetector handler = channel.pipeline().get(DisconnectDetector.class);
             // A read from within a read would pass later bytes to the decoders before earlier ones.
             if (handler != null
                     && !handler.reading
--- a/src/main/java/pondridge/core/Directory.java
+++ b/src/main/java/pondridge/core/EndpointDiscovery.java
@@ -1,7 +1,7 @@
 package pondridge.core;
 
-/** The source of the endpoint list. Reports lists and changes to {@link Engine#listed} on the event loop. */
-public interface Directory {
+/** The source of the endpoint list. Reports lists and changes to {@link Engine#updateEndpoints} on the event loop. */
+public interface EndpointDiscovery {
     /** Starts or stops watching for changes. */
     void watch(boolean enabled);
 
--- a/src/main/java/pondridge/core/Engine.java
+++ b/src/main/java/pondridge/core/Engine.java
@@ -14,22 +14,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import pondridge.Balancer;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Semantics;
-import pondridge.Balancer.State;
+import pondridge.Balancer.RetrySemantics;
 import pondridge.Balancer.Upstream;
-import pondridge.Options;
-import pondridge.Rules;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
+import pondridge.LoadBalancingPolicy;
 
 /**
  * Hosts the {@link Balancer}: passes it one event at a time on the event loop and carries out the actions it
  * orders. Whatever the balancer and the upstreams do, each request gets exactly one final response and each
  * send exactly one outcome. Times and durations are in nanoseconds unless a name says otherwise.
  */
-public final class Engine implements Balancer.Actions, Requests {
+public final class Engine implements Balancer.Actions, RequestProcessor {
     /** Part of the client's timeout reserved for returning the response; the balancer does not see it. */
     private static final long RESPONSE_MARGIN_NANOS = 10_000_000;
     /**
@@ -75,7 +75,7 @@
 
         private void recordOutcome(Outcome outcome, long sentAt) {
             inFlight--;
-            if (!mayHaveRun && !outcome.provesNeverRan()) {
+            if (!mayHaveRun && !outcome.provesNotExecuted()) {
                 mayHaveRun = true;
                 mayHaveRunSince = sentAt;
             }
@@ -104,7 +104,7 @@
         }
 
         private void reportAttempts() {
-            client.tried(new Tried(attemptsSent, attemptsWithResponse, mayHaveRun || inFlight > 0));
+            client.reportAttempts(new AttemptSummary(attemptsSent, attemptsWithResponse, mayHaveRun || inFlight > 0));
         }
     }
 
@@ -127,8 +127,8 @@
             this.upstream = upstream;
             this.sentAt = sentAt;
             RequestClass requestClass = classes.get(request.job.requestClass());
-            this.writeDeadline = request.mayHaveRun && requestClass.semantics() == Semantics.BY_KEY
-                    ? Math.min(request.deadline, request.mayHaveRunSince + requestClass.keyTtl())
+            this.writeDeadline = request.mayHaveRun && requestClass.retrySemantics() == RetrySemantics.BY_KEY
+                    ? Math.min(request.deadline, request.mayHaveRunSince + requestClass.keyTtlNanos())
                     : request.deadline;
         }
 
@@ -144,12 +144,12 @@
         }
 
         @Override
-        public boolean wanted() {
+        public boolean shouldWrite() {
             return !request.closed && now() < writeDeadline && clientConnected(request) && now() < writeDeadline;
         }
 
         @Override
-        public void ended(Outcome outcome, Answer response, float[] load) {
+        public void ended(Outcome outcome, UpstreamResponse response, float[] load) {
             if (withdrawTimer != null) {
                 withdrawTimer.cancel(false);
             }
@@ -169,7 +169,7 @@
     private final Map<String, Integer> kindNumbers = new HashMap<>();
     private final ArrayDeque<LongConsumer> pendingEvents = new ArrayDeque<>();
     private final long clockOffsetNanos = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
-    private Directory discovery;
+    private EndpointDiscovery discovery;
     private final ObservedEndpoints endpoints = new ObservedEndpoints();
     private Observer observer;
     private RequestLog log = RequestLog.NONE;
@@ -196,12 +196,12 @@
      * @param maxOpenRequests how many requests may be open at once; further ones are refused
      * @param transport sends attempts to all upstreams
      */
-    public Engine(EventLoop loop, Options options, long seed, int maxOpenRequests, Transport transport) {
+    public Engine(EventLoop loop, BalancerOptions options, long seed, int maxOpenRequests, Transport transport) {
         Balancer.Settings settings = options.settings();
         this.loop = loop;
-        this.balancer = new Rules(settings, seed, this);
+        this.balancer = new LoadBalancingPolicy(settings, seed, this);
         this.classes = settings.classes();
-        this.tryLimit = settings.allowed().tryLimit();
+        this.tryLimit = settings.capabilities().maxAttempts();
         this.maxOpenRequests = maxOpenRequests;
         this.transport = transport;
         options.list("zones").forEach(zone -> numberOf(zoneNumbers, zone));
@@ -209,10 +209,10 @@
     }
 
     /** Starts with the cached endpoint list. This and all following methods are called on the event loop. */
-    public void start(Directory discovery, List<Target> cachedTargets) {
+    public void start(EndpointDiscovery discovery, List<Target> cachedTargets) {
         this.discovery = discovery;
         dispatch(balancer::start);
-        listed(ListKind.CACHED, cachedTargets);
+        updateEndpoints(EndpointListKind.CACHED, cachedTargets);
     }
 
     /** Monotonic nanoseconds since 1970, comparable with the start times in the endpoint list. */
@@ -265,17 +265,17 @@
     }
 
     /** Sets the log for each request's events; must be called before {@link #start}. */
-    public void log(RequestLog log) {
+    public void setRequestLog(RequestLog log) {
         this.log = log;
     }
 
     /** The number of requests submitted so far. */
-    public long asked() {
+    public long requestCount() {
         return requestCount;
     }
 
     /** Names of the servers that are ready. Empty without an {@link Observer}. */
-    public Set<String> ready() {
+    public Set<String> readyServers() {
         return endpoints.ready();
     }
 
@@ -283,7 +283,7 @@
      * Servers that are ready and started less than {@code maxAgeNanos} ago, by name. The start time identifies
      * that start of the server at every sidecar; the age is counted from when it was first seen here.
      */
-    public Map<String, Start> started(long maxAgeNanos) {
+    public Map<String, ServerStart> recentlyStarted(long maxAgeNanos) {
         return endpoints.started(maxAgeNanos, System.nanoTime());
     }
 
@@ -291,9 +291,9 @@
      * A start of a server.
      *
      * @param startedMs start time from the endpoint list, in Unix milliseconds
-     * @param age nanoseconds since the start was first seen here; never more than since the start itself
+     * @param ageNanos nanoseconds since the start was first seen here; never more than since the start itself
      */
-    public record Start(long startedMs, long age) {}
+    public record ServerStart(long startedMs, long ageNanos) {}
 
     /**
      * Permission to send requests to a recently started server.
@@ -304,7 +304,7 @@
     public record Lease(float count, int millis) {}
 
     /** Passes to the balancer this sidecar's leases on the load that all sidecars may send to cold servers. */
-    public void leased(Map<String, Lease> leases) {
+    public void applyLeases(Map<String, Lease> leases) {
         List<Map.Entry<String, Lease>> known = leases.entrySet().stream()
                 .filter(each -> upstreamIds.containsKey(each.getKey()))
                 .toList();
@@ -314,7 +314,7 @@
             batch.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
                     .putFloat(each.getValue().count)
                     .putInt(each.getValue().millis));
-            dispatch(now -> balancer.peerMessage(now, Balancer.LEASES, message.array()));
+            dispatch(now -> balancer.peerMessageReceived(now, Balancer.COLD_START_LEASES, message.array()));
         }
     }
 
@@ -323,7 +323,7 @@
      *
      * @param slowdownByServer how many times slower than its baseline each server is, by server name
      */
-    public void heard(Map<String, Double> slowdownByServer) {
+    public void applySlowdownReports(Map<String, Double> slowdownByServer) {
         List<Map.Entry<String, Double>> known = slowdownByServer.entrySet().stream()
                 .filter(each -> upstreamIds.containsKey(each.getKey()))
                 .limit(MAX_SLOWDOWN_ENTRIES)
@@ -334,11 +334,11 @@
         ByteBuffer message = ByteBuffer.allocate(SLOWDOWN_ENTRY_BYTES * known.size());
         known.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
                 .putFloat(each.getValue().floatValue()));
-        dispatch(now -> balancer.peerMessage(now, Balancer.HEARSAY, message.array()));
+        dispatch(now -> balancer.peerMessageReceived(now, Balancer.PEER_OUTLIER_REPORTS, message.array()));
     }
 
     /** Takes over an endpoint list or a change to it, or the failure of a discovery call. */
-    public void listed(ListKind kind, List<Target> targets) {
+    public void updateEndpoints(EndpointListKind kind, List<Target> targets) {
         List<Upstream> entries = new ArrayList<>(targets.size());
         Map<Long, Target> targetsById = new HashMap<>();
         for (Target target : targets) {
@@ -361,18 +361,19 @@
         }
         dispatch(now -> {
             targetsById.forEach((id, target) -> {
-                if (target.state() == State.GONE) {
-                    transport.gone(id);
+                if (target.state() == UpstreamState.GONE) {
+                    transport.removeEndpoint(id);
                 } else {
-                    transport.listed(id, target.endpoint(), target.startedMs(), target.state() == State.READY);
+                    transport.updateEndpoint(
+                            id, target.endpoint(), target.startedMs(), target.state() == UpstreamState.READY);
                 }
             });
-            if (kind == ListKind.FULL) {
+            if (kind == EndpointListKind.FULL) {
                 upstreamIds.values().stream()
                         .filter(id -> !targetsById.containsKey(id))
-                        .forEach(transport::gone);
+                        .forEach(transport::removeEndpoint);
             }
-            balancer.listChanged(now, kind, entries);
+            balancer.endpointListChanged(now, kind, entries);
         });
     }
 
@@ -380,15 +381,15 @@
     public long submit(Job job, Client client) {
         requestCount++;
         if (openRequests.size() >= maxOpenRequests) {
-            client.tried(new Tried(0, 0, false));
+            client.reportAttempts(new AttemptSummary(0, 0, false));
             client.refused(0);
             return 0;
         }
         long id = ++lastRequestId;
-        log.taken(id, job);
+        log.requestReceived(id, job);
         long receivedAt = now();
-        long timeLeft =
-                Math.max(1, Math.min(job.waitMs() * 1_000_000 - RESPONSE_MARGIN_NANOS, shutdownAt - receivedAt));
+        long timeLeft = Math.max(
+                1, Math.min(job.clientTimeoutMillis() * 1_000_000 - RESPONSE_MARGIN_NANOS, shutdownAt - receivedAt));
         OpenRequest request = new OpenRequest(job, client);
         request.deadline = receivedAt + timeLeft;
         openRequests.put(id, request);
@@ -396,7 +397,7 @@
         request.timer = loop.schedule(
                 () -> dispatch(now -> {
                     finish(id, request, "failed at the deadline", request::failed);
-                    balancer.hangup(now, id);
+                    balancer.clientDisconnected(now, id);
                 }),
                 timeLeft + RESPONSE_MARGIN_NANOS / 2,
                 TimeUnit.NANOSECONDS);
@@ -434,7 +435,7 @@
         }
         dispatch(now -> {
             Job job = request.job;
-            balancer.request(
+            balancer.requestArrived(
                     now,
                     new Request(
                             id,
@@ -442,7 +443,7 @@
                             job.tenant(),
                             job.key(),
                             Math.max(1, request.deadline - now),
-                            job.costHint(),
+                            job.costHintNanos(),
                             job.clientRetry(),
                             !job.method().equals(HttpMethod.GET)));
         });
@@ -457,20 +458,20 @@
         }
         boolean alreadyChecking = checkingClient;
         checkingClient = true;
-        request.clientGone |= !request.client.here(readSocket);
+        request.clientGone |= !request.client.isConnected(readSocket);
         checkingClient = alreadyChecking;
         return !request.clientGone;
     }
 
     @Override
-    public void hangup(long id) {
+    public void clientDisconnected(long id) {
         OpenRequest request = openRequests.get(id);
         if (request != null && !request.closed) {
             log.clientDisconnected(id);
             request.close();
             // Kept until the balancer has been notified: a send it orders before that needs an outcome, too.
             dispatch(now -> {
-                balancer.hangup(now, id);
+                balancer.clientDisconnected(now, id);
                 forget(id, request);
             });
         }
@@ -480,10 +481,10 @@
      * Announces that the process ends {@code delayNanos} from now. Open requests and those still to come get
      * their final response before that.
      */
-    public void endWithin(long delayNanos) {
+    public void announceShutdown(long delayNanos) {
         dispatch(now -> {
             shutdownAt = now + delayNanos;
-            balancer.ending(now, shutdownAt);
+            balancer.shutdownScheduled(now, shutdownAt);
         });
     }
 
@@ -493,14 +494,14 @@
     }
 
     /** Whether no request waits for its response. */
-    public boolean idle() {
+    public boolean isIdle() {
         return openRequests.values().stream().allMatch(request -> request.closed);
     }
 
     /** Sends the final response unless one was sent before; {@code logLabel} names it in the request log. */
     private void finish(long id, OpenRequest request, String logLabel, Runnable respond) {
         if (!request.closed) {
-            log.answered(id, logLabel);
+            log.responseSent(id, logLabel);
             request.close();
             respond.run();
             forget(id, request);
@@ -537,7 +538,7 @@
         attempt.start(attemptTimeout);
     }
 
-    private void attemptEnded(PendingAttempt attempt, Outcome outcome, Answer response, float[] load) {
+    private void attemptEnded(PendingAttempt attempt, Outcome outcome, UpstreamResponse response, float[] load) {
         OpenRequest request = attempt.request;
         dispatch(now -> {
             long elapsed = now - attempt.sentAt;
@@ -545,7 +546,7 @@
             request.recordOutcome(outcome, attempt.sentAt);
             if (request.clientGone && !request.closed) {
                 request.close();
-                balancer.hangup(now, attempt.requestId);
+                balancer.clientDisconnected(now, attempt.requestId);
             }
             if (observer != null && endpoints.name(attempt.upstream) != null) {
                 observer.attemptEnded(endpoints.name(attempt.upstream), request.job.requestClass(), outcome, elapsed);
@@ -553,7 +554,7 @@
             if (outcome == Outcome.OK) {
                 finish(attempt.requestId, request, "served", () -> request.client.served(response));
             }
-            balancer.outcome(
+            balancer.attemptEnded(
                     now, attempt.requestId, attempt.number, attempt.upstream, outcome, elapsed, request.closed, load);
             forget(attempt.requestId, request);
         });
@@ -576,7 +577,7 @@
     }
 
     @Override
-    public void cancel(long requestId, int attempt) {
+    public void cancelAttempt(long requestId, int attempt) {
         OpenRequest request = openRequests.get(requestId);
         if (request != null && attempt < request.attempts.size() && request.attempts.get(attempt) != null) {
             request.attempts.get(attempt).cancel();
@@ -584,11 +585,12 @@
     }
 
     @Override
-    public void timer(long token, long at) {
+    public void setTimer(long token, long at) {
         if (retired && openRequests.isEmpty()) {
             return;
         }
-        loop.schedule(() -> dispatch(now -> balancer.timer(now, token)), Math.max(0, at - now()), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> dispatch(now -> balancer.timerFired(now, token)), Math.max(0, at - now()), TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -597,17 +599,17 @@
         transport.probe(
                 upstream,
                 (outcome, response, load) ->
-                        dispatch(now -> balancer.probeResult(now, upstream, outcome, now - sentAt, load)));
+                        dispatch(now -> balancer.probeEnded(now, upstream, outcome, now - sentAt, load)));
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         transport.closeIdle(upstream);
     }
 
-    /** Not supported: {@link Rules} does not send messages to peers. */
+    /** Not supported: {@link LoadBalancingPolicy} does not send messages to peers. */
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         throw new UnsupportedOperationException("messages to peers are not supported");
     }
 
@@ -617,12 +619,12 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void setSubscription(boolean on) {
         discovery.watch(on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         discovery.fetch();
     }
 }
--- a/src/main/java/pondridge/core/Headers.java
+++ b/src/main/java/pondridge/core/Headers.java
@@ -37,7 +37,7 @@
     }
 
     /** Whether the header of this name is hop-by-hop, that is, not to be forwarded. */
-    public static boolean ofOneHop(CharSequence name) {
+    public static boolean isHopByHop(CharSequence name) {
         return HOP_BY_HOP.stream().anyMatch(hop -> AsciiString.contentEqualsIgnoreCase(hop, name));
     }
 
@@ -45,7 +45,7 @@
     public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         for (Map.Entry<String, String> header : from) {
             String name = header.getKey();
-            if (!ofOneHop(name)) {
+            if (!isHopByHop(name)) {
                 to.add(name, header.getValue());
             }
         }
--- a/src/main/java/pondridge/core/JobReader.java
+++ b/src/main/java/pondridge/core/JobReader.java
@@ -4,13 +4,13 @@
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.List;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Semantics;
-import pondridge.Options;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.BalancerOptions;
 
 /** Reads a {@link Job} from a request's head, for every protocol. */
 public final class JobReader {
     /** The header that carries the idempotency key. */
-    public static final String KEY = "Idempotency-Key";
+    public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
     private static final int MAX_REQUEST_ID_LENGTH = 128;
     private final List<RequestClass> classes;
@@ -18,14 +18,14 @@
     private final List<String> tenantNames;
 
     /** Creates a reader for the classes and tenants of these settings. */
-    public JobReader(Options options) {
+    public JobReader(BalancerOptions options) {
         this.classes = options.settings().classes();
-        this.classNames = options.names("profiles");
-        this.tenantNames = options.names("parties");
+        this.classNames = options.objectNames("profiles");
+        this.tenantNames = options.objectNames("parties");
     }
 
     /** The request class of a job. */
-    public RequestClass kind(Job job) {
+    public RequestClass requestClass(Job job) {
         return classes.get(job.requestClass());
     }
 
@@ -49,20 +49,21 @@
                 throw new IllegalArgumentException("unknown Req-Owner");
             }
         }
-        String key = headers.get(KEY);
-        Semantics semantics = classes.get(requestClass).semantics();
-        HttpMethod expectedMethod = semantics == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
-        if (!method.equals(expectedMethod) || (semantics == Semantics.BY_KEY) != (key != null && !key.isEmpty())) {
+        String key = headers.get(IDEMPOTENCY_KEY_HEADER);
+        RetrySemantics semantics = classes.get(requestClass).retrySemantics();
+        HttpMethod expectedMethod = semantics == RetrySemantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
+        if (!method.equals(expectedMethod) || (semantics == RetrySemantics.BY_KEY) != (key != null && !key.isEmpty())) {
             throw new IllegalArgumentException("method or Idempotency-Key does not fit the class");
         }
         // The class's deadline bounds the client's timeout.
         long timeoutMillis = Math.min(
-                number(headers, "Req-Deadline-Ms"), classes.get(requestClass).deadline() / 1_000_000);
-        long costNanos = headers.contains("Req-Cost") ? number(headers, "Req-Cost") * 1000 : 0;
+                parseNumber(headers, "Req-Deadline-Ms"),
+                classes.get(requestClass).deadlineNanos() / 1_000_000);
+        long costNanos = headers.contains("Req-Cost") ? parseNumber(headers, "Req-Cost") * 1000 : 0;
         return new Job(
                 requestClass,
                 tenant,
-                key(path(uri)),
+                key(pathOf(uri)),
                 timeoutMillis,
                 costNanos,
                 "1".equals(headers.get("Req-Retry")),
@@ -73,7 +74,7 @@
     }
 
     /** The path of a URI, without its query. */
-    public static String path(String uri) {
+    public static String pathOf(String uri) {
         int query = uri.indexOf('?');
         return query < 0 ? uri : uri.substring(0, query);
     }
@@ -87,7 +88,7 @@
     }
 
     /** Reads a header as a non-negative integer of at most 9 digits, enough for any timeout or cost. */
-    public static long number(HttpHeaders headers, String name) {
+    public static long parseNumber(HttpHeaders headers, String name) {
         String value = header(headers, name);
         if (value.length() > 9 || !value.chars().allMatch(digit -> digit >= '0' && digit <= '9')) {
             throw new IllegalArgumentException("not a whole number: " + name);
--- a/src/main/java/pondridge/core/LoadReports.java
+++ b/src/main/java/pondridge/core/LoadReports.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.function.Supplier;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 
 /** Parses load reports from responses and probe results, for every protocol. */
 public final class LoadReports {
@@ -17,7 +17,7 @@
     private final List<String> fields;
 
     /** Creates a parser for reports with the fields that the settings name. */
-    public LoadReports(Options options) {
+    public LoadReports(BalancerOptions options) {
         this.fields = options.list("report.fields");
     }
 
--- a/src/main/java/pondridge/core/ObservedEndpoints.java
+++ b/src/main/java/pondridge/core/ObservedEndpoints.java
@@ -4,8 +4,8 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
 
 /**
  * The endpoint list as an {@link Engine.Observer} needs it: server names by upstream id, which servers are
@@ -36,20 +36,20 @@
      * Servers that are ready and were first seen less than {@code maxAge} ago, by name. The age is never more
      * than the time since the start.
      */
-    Map<String, Engine.Start> started(long maxAge, long now) {
-        Map<String, Engine.Start> recent = new HashMap<>();
+    Map<String, Engine.ServerStart> started(long maxAge, long now) {
+        Map<String, Engine.ServerStart> recent = new HashMap<>();
         for (String uid : ready) {
             Instance instance = instances.get(uid);
             if (now - instance.since < maxAge) {
-                recent.put(uid, new Engine.Start(instance.startedMillis, now - instance.since));
+                recent.put(uid, new Engine.ServerStart(instance.startedMillis, now - instance.since));
             }
         }
         return recent;
     }
 
     /** Takes over a list or a change to it; {@code wallClockMillis} is the local clock in Unix milliseconds. */
-    void update(ListKind kind, Map<Long, Target> targetsById, long now, long wallClockMillis) {
-        if (kind == ListKind.FULL) {
+    void update(EndpointListKind kind, Map<Long, Target> targetsById, long now, long wallClockMillis) {
+        if (kind == EndpointListKind.FULL) {
             names.clear();
             ready.clear();
             instances
@@ -58,7 +58,7 @@
         }
         targetsById.forEach((id, target) -> {
             String uid = target.uid();
-            if (target.state() == State.GONE) {
+            if (target.state() == UpstreamState.GONE) {
                 names.remove(id);
                 instances.remove(uid);
             } else {
@@ -68,13 +68,13 @@
                     instances.put(uid, new Instance(target.startedMs(), since(target, now, wallClockMillis)));
                 }
             }
-            if (target.state() == State.READY) {
+            if (target.state() == UpstreamState.READY) {
                 ready.add(uid);
             } else {
                 ready.remove(uid);
             }
         });
-        listReceived |= kind == ListKind.FULL || kind == ListKind.DELTA;
+        listReceived |= kind == EndpointListKind.FULL || kind == EndpointListKind.DELTA;
     }
 
     /**
--- a/src/main/java/pondridge/core/RequestLog.java
+++ b/src/main/java/pondridge/core/RequestLog.java
@@ -1,7 +1,7 @@
 package pondridge.core;
 
 import java.util.List;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
 
 /**
@@ -21,7 +21,7 @@
     }
 
     /** A complete request was read; {@code number} identifies it within this process. */
-    default void taken(long number, Job job) {}
+    default void requestReceived(long number, Job job) {}
 
     /** An attempt was handed to the transport. */
     default void attemptSent(long number, int attempt, String server, long timeoutNanos) {}
@@ -30,7 +30,7 @@
     default void attemptEnded(long number, int attempt, String server, Outcome outcome, long elapsedNanos) {}
 
     /** The client got its final response: {@code served}, {@code refused} or one that begins with {@code failed}. */
-    default void answered(long number, String result) {}
+    default void responseSent(long number, String result) {}
 
     /** The client disconnected before its response. */
     default void clientDisconnected(long number) {}
@@ -39,11 +39,12 @@
     default void connectionClosed(String client, String reason, String stage) {}
 
     /** A discovery call was started. */
-    default void discoveryAsked(boolean watching, long fromRevision) {}
+    default void discoveryCallStarted(boolean watching, long fromRevision) {}
 
     /** A discovery call failed or ended. */
-    default void discoveryFailed(boolean watching, String reason) {}
+    default void discoveryCallFailed(boolean watching, String reason) {}
 
     /** An endpoint list or a change to it was received. */
-    default void listReceived(boolean watching, long revision, boolean outdated, ListKind kind, List<Target> targets) {}
+    default void endpointListReceived(
+            boolean watching, long revision, boolean outdated, EndpointListKind kind, List<Target> targets) {}
 }
--- a/src/main/java/pondridge/core/Requests.java
+++ b/src/main/java/pondridge/core/RequestProcessor.java
@@ -4,10 +4,10 @@
  * Accepts requests from the front ends: an {@link Engine}, or a dispatcher that chooses between several. All
  * calls are made on the event loop.
  */
-public interface Requests {
-    /** Submits a request, whose client gets one final response; returns its id for {@link #hangup}. */
+public interface RequestProcessor {
+    /** Submits a request, whose client gets one final response; returns its id for {@link #clientDisconnected}. */
     long submit(Job job, Client client);
 
     /** The client has disconnected; its {@link Client} is not called any more. */
-    void hangup(long id);
+    void clientDisconnected(long id);
 }
--- a/src/main/java/pondridge/core/StderrRequestLog.java
+++ b/src/main/java/pondridge/core/StderrRequestLog.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.stream.Collectors;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
 
 /** Writes one line for each event to standard error, with the milliseconds since this log was created. */
@@ -18,9 +18,9 @@
     }
 
     @Override
-    public void taken(long number, Job job) {
+    public void requestReceived(long number, Job job) {
         writeLine("taken #" + number + " id=" + job.headers().get("Req-Id") + " class=" + job.requestClass()
-                + " waitMs=" + job.waitMs());
+                + " waitMs=" + job.clientTimeoutMillis());
     }
 
     @Override
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void answered(long number, String result) {
+    public void responseSent(long number, String result) {
         writeLine("answered #" + number + " " + result);
     }
 
@@ -50,17 +50,18 @@
     }
 
     @Override
-    public void discoveryAsked(boolean watching, long fromRevision) {
+    public void discoveryCallStarted(boolean watching, long fromRevision) {
         writeLine("discovery asked " + callName(watching) + " from=" + fromRevision);
     }
 
     @Override
-    public void discoveryFailed(boolean watching, String reason) {
+    public void discoveryCallFailed(boolean watching, String reason) {
         writeLine("discovery failed " + callName(watching) + " " + reason);
     }
 
     @Override
-    public void listReceived(boolean watching, long revision, boolean outdated, ListKind kind, List<Target> targets) {
+    public void endpointListReceived(
+            boolean watching, long revision, boolean outdated, EndpointListKind kind, List<Target> targets) {
         String names = targets.stream()
                 .limit(MAX_LOGGED_TARGETS)
                 .map(target -> target.uid() + ":" + target.state())
--- a/src/main/java/pondridge/core/Target.java
+++ b/src/main/java/pondridge/core/Target.java
@@ -1,7 +1,7 @@
 package pondridge.core;
 
 import java.net.InetSocketAddress;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 
 /**
  * An entry of the endpoint list. Zone and kind are names as in the list.
@@ -16,6 +16,6 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        UpstreamState state,
         float weight,
         long startedMs) {}
--- a/src/main/java/pondridge/core/Transport.java
+++ b/src/main/java/pondridge/core/Transport.java
@@ -8,7 +8,7 @@
  * Sends attempts to upstreams and reports how each ended and what that proves. It never retries; retries are
  * the balancer's decision. All calls and all callbacks are made on the event loop.
  *
- * <p><b>Proof.</b> An outcome that {@link Outcome#provesNeverRan() proves never ran} is reported only if the
+ * <p><b>Proof.</b> An outcome that {@link Outcome#provesNotExecuted() proves never ran} is reported only if the
  * protocol proves it. Otherwise the attempt may have run.
  */
 public interface Transport {
@@ -20,30 +20,30 @@
          * @param response the response if the outcome is {@link Outcome#OK}, else null
          * @param load the load report of the response, in the settings' order; empty for none
          */
-        void ended(Outcome outcome, Answer response, float[] load);
+        void ended(Outcome outcome, UpstreamResponse response, float[] load);
 
         /**
          * Whether the attempt is still wanted; called right before the request's first byte is written. If
          * false, nothing is written and the attempt ends as {@link Outcome#NEVER_SENT}. A connection may be
          * established in the same loop turn in which the request's deadline passes, before its timer fires.
          */
-        default boolean wanted() {
+        default boolean shouldWrite() {
             return true;
         }
 
         /** Returns this listener with a callback that runs before {@link #ended}. */
-        default Listener after(Consumer<Outcome> callback) {
+        default Listener withCallback(Consumer<Outcome> callback) {
             Listener delegate = this;
             return new Listener() {
                 @Override
-                public void ended(Outcome outcome, Answer response, float[] load) {
+                public void ended(Outcome outcome, UpstreamResponse response, float[] load) {
                     callback.accept(outcome);
                     delegate.ended(outcome, response, load);
                 }
 
                 @Override
-                public boolean wanted() {
-                    return delegate.wanted();
+                public boolean shouldWrite() {
+                    return delegate.shouldWrite();
                 }
             };
         }
@@ -77,10 +77,10 @@
      *
      * @param startedMs when its process last started, in Unix milliseconds
      */
-    void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready);
+    void updateEndpoint(long upstream, InetSocketAddress address, long startedMs, boolean ready);
 
     /** Removes an upstream that is no longer in the endpoint list; attempts in flight still complete. */
-    void gone(long upstream);
+    void removeEndpoint(long upstream);
 
     /** Sends a request as one attempt, which ends at the latest after {@code timeoutNanos}. */
     Attempt send(long upstream, Job job, long timeoutNanos, Listener listener);
--- a/src/main/java/pondridge/demo/Certificates.java
+++ b/src/main/java/pondridge/demo/Certificates.java
@@ -29,12 +29,12 @@
     }
 
     /** Issues a certificate that is valid for a day; returns the settings lines that name its files. */
-    public String site(String site) throws IOException {
-        return site(site, site, Instant.now().plus(1, ChronoUnit.DAYS));
+    public String issue(String site) throws IOException {
+        return issue(site, site, Instant.now().plus(1, ChronoUnit.DAYS));
     }
 
     /** Issues a certificate with this subject name and end of validity, written to files named after {@code file}. */
-    public String site(String file, String subjectName, Instant notAfter) throws IOException {
+    public String issue(String file, String subjectName, Instant notAfter) throws IOException {
         try {
             X509Bundle issued = new CertificateBuilder()
                     .ecp256()
--- a/src/main/java/pondridge/demo/Child.java
+++ b/src/main/java/pondridge/demo/ChildProcess.java
@@ -27,7 +27,7 @@
  * pipe closes, hence also when this process is killed. Its log is read line by line. Methods may be called on
  * any thread.
  */
-public final class Child implements AutoCloseable {
+public final class ChildProcess implements AutoCloseable {
     private static final String JAR = "pondridge.jar";
     private static final int MAX_LINES = 10_000;
     private static final int TIMEOUT_S = 30;
@@ -36,9 +36,9 @@
      * A line of a process's JSON log.
      *
      * @param processName the name that the process was started with
-     * @param at when this process received the line, by {@link System#nanoTime}
+     * @param receivedAtNanos when this process received the line, by {@link System#nanoTime}
      */
-    public record Line(String processName, long at, JsonNode json) {
+    public record LogLine(String processName, long receivedAtNanos, JsonNode json) {
         /** The kind of event that the line reports. */
         public String event() {
             return json.path("event").asText();
@@ -47,11 +47,11 @@
 
     private final String name;
     private final Process process;
-    private final ArrayDeque<Line> lines = new ArrayDeque<>();
+    private final ArrayDeque<LogLine> lines = new ArrayDeque<>();
     private final ArrayDeque<String> otherOutput = new ArrayDeque<>();
-    private final Consumer<Line> listener;
+    private final Consumer<LogLine> listener;
 
-    private Child(String name, Process process, Consumer<Line> listener) {
+    private ChildProcess(String name, Process process, Consumer<LogLine> listener) {
         this.name = name;
         this.process = process;
         this.listener = listener;
@@ -67,12 +67,12 @@
      * @param mainClass a class of the packaged jar
      * @param listener receives each line of the process's log, on a thread for this process alone
      */
-    public static Child start(
+    public static ChildProcess start(
             String name,
             String mainClass,
             List<String> arguments,
             Map<String, String> environment,
-            Consumer<Line> listener)
+            Consumer<LogLine> listener)
             throws IOException {
         Path jar = jar();
         List<String> command = new ArrayList<>(List.of(
@@ -95,13 +95,13 @@
         command.addAll(arguments);
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(environment);
-        return new Child(name, builder.start(), listener);
+        return new ChildProcess(name, builder.start(), listener);
     }
 
     /** The packaged jar: the one that holds this class, or the build output beside the class folder. */
     private static Path jar() throws IOException {
         try {
-            Path location = Path.of(Child.class
+            Path location = Path.of(ChildProcess.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
@@ -131,10 +131,10 @@
     }
 
     private void addLine(String text) {
-        Line line = null;
+        LogLine line = null;
         try {
             JsonNode json = text.startsWith("{") ? Json.MAPPER.readTree(text) : null;
-            line = json == null ? null : new Line(name, System.nanoTime(), json);
+            line = json == null ? null : new LogLine(name, System.nanoTime(), json);
         } catch (JsonProcessingException e) {
             // An incomplete line or other output; kept for error messages.
         }
@@ -158,11 +158,11 @@
     }
 
     /** Waits for a log line that meets the condition and returns the first such line. */
-    public synchronized Line await(Predicate<Line> condition) throws IOException {
+    public synchronized LogLine awaitLine(Predicate<LogLine> condition) throws IOException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         try {
             while (true) {
-                for (Line line : lines) {
+                for (LogLine line : lines) {
                     if (condition.test(line)) {
                         return line;
                     }
--- a/src/main/java/pondridge/demo/Drill.java
+++ b/src/main/java/pondridge/demo/Drill.java
@@ -21,15 +21,15 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.siteloss.SitePlanSettings;
 import pondridge.siteloss.Topology;
-import pondridge.siteloss.Topology.Kind;
+import pondridge.siteloss.Topology.TrafficClass;
 import pondridge.standin.ColdStart;
 import pondridge.standin.Fault;
 import pondridge.standin.FaultyLink;
-import pondridge.standin.OpenLoad;
-import pondridge.standin.OrderClass;
+import pondridge.standin.OpenLoopLoadGenerator;
+import pondridge.standin.StandinRequestClass;
 import pondridge.standin.StandinServer;
 
 /**
@@ -54,11 +54,11 @@
     private final Path folder;
     private final MultiThreadIoEventLoopGroup discoveryGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final ConcurrentLinkedQueue<Child.Line> log = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<ChildProcess.LogLine> log = new ConcurrentLinkedQueue<>();
     private final Map<String, ProcessGateway> gateways = new HashMap<>();
     private final Map<DrillPlan.Step, Long> stepStartNanos = new LinkedHashMap<>();
     private final Consumer<String> progress;
-    private final Sites sites;
+    private final SiteTestbed sites;
     private long startNanos;
 
     /** Builds and starts all sites; {@code progress} receives a line for each step. */
@@ -67,9 +67,9 @@
         this.progress = progress;
         this.folder = Files.createTempDirectory("bankflow-drill");
         EventLoop loop = discoveryGroup.next();
-        Options options = options(plan);
+        BalancerOptions options = options(plan);
         try {
-            this.sites = new Sites(
+            this.sites = new SiteTestbed(
                     testbedConfig(plan),
                     options,
                     plan.seed(),
@@ -86,14 +86,14 @@
         }
     }
 
-    private static Sites.Shape testbedConfig(DrillPlan plan) {
+    private static SiteTestbed.TestbedConfig testbedConfig(DrillPlan plan) {
         double work = plan.topology().classes().stream()
-                .mapToDouble(Kind::work)
+                .mapToDouble(TrafficClass::workSeconds)
                 .average()
                 .orElse(0);
-        return new Sites.Shape(
+        return new SiteTestbed.TestbedConfig(
                 plan.sites().entrySet().stream()
-                        .map(each -> new Sites.SiteConfig(
+                        .map(each -> new SiteTestbed.SiteConfig(
                                 each.getKey(),
                                 each.getValue().servers(),
                                 each.getValue().gateways(),
@@ -101,7 +101,7 @@
                                 plan.gatewayToml().strip()
                                         + '\n'
                                         + (plan.gatewayTopologies().containsKey(each.getKey())
-                                                ? SitePlanSettings.text(
+                                                ? SitePlanSettings.toToml(
                                                         plan.gatewayTopologies().get(each.getKey()))
                                                 : "")))
                         .toList(),
@@ -110,12 +110,12 @@
                 plan.linkDelayNanos() / 4);
     }
 
-    private static Options options(DrillPlan plan) {
-        List<Kind> kinds = plan.topology().classes();
+    private static BalancerOptions options(DrillPlan plan) {
+        List<TrafficClass> kinds = plan.topology().classes();
         StringBuilder more = new StringBuilder(
                 "zones=" + String.join(",", plan.sites().keySet()) + "\nprofiles.count=" + kinds.size() + '\n');
-        for (Kind kind : kinds) {
-            OrderClass order = OrderClass.named(kind.name());
+        for (TrafficClass kind : kinds) {
+            StandinRequestClass order = StandinRequestClass.named(kind.name());
             String path = "profiles." + kinds.indexOf(kind) + '.';
             more.append(path)
                     .append("name=")
@@ -123,7 +123,7 @@
                     .append('\n')
                     .append(path)
                     .append("slo=")
-                    .append((long) (kind.aim() * 1e9))
+                    .append((long) (kind.sloSeconds() * 1e9))
                     .append('\n')
                     .append(path)
                     .append("deadline=")
@@ -131,7 +131,7 @@
                     .append('\n')
                     .append(path)
                     .append("worth=")
-                    .append(kind.worth())
+                    .append(kind.utility())
                     .append('\n')
                     .append(path)
                     .append("semantics=")
@@ -144,33 +144,34 @@
                     .append('\n')
                     .append(path)
                     .append("keyScope=")
-                    .append(order.perZone() ? "zone" : "all")
+                    .append(order.keyPerZone() ? "zone" : "all")
                     .append('\n')
                     .append(path)
                     .append("keyTtl=")
-                    .append(order.memory())
+                    .append(order.keyTtlNanos())
                     .append('\n');
         }
-        return Usual.options(plan.clientTimeoutNanos() / MS, more.toString());
+        return StandinOptions.withDeadline(plan.clientTimeoutNanos() / MS, more.toString());
     }
 
-    private OpenLoad.Plan loadPlan(Topology.Site site, double seconds, double factor) {
+    private OpenLoopLoadGenerator.Plan loadPlan(Topology.Site site, double seconds, double factor) {
         Map<String, Double> shares = new LinkedHashMap<>();
         Map<String, Long> timeouts = new LinkedHashMap<>();
-        double perSecond =
-                site.asked().values().stream().mapToDouble(rate -> rate).sum();
+        double perSecond = site.demandPerSecond().values().stream()
+                .mapToDouble(rate -> rate)
+                .sum();
         plan.topology().classes().forEach(kind -> {
-            shares.put(kind.name(), site.asked().getOrDefault(kind.name(), 0.0) / perSecond);
+            shares.put(kind.name(), site.demandPerSecond().getOrDefault(kind.name(), 0.0) / perSecond);
             timeouts.put(kind.name(), plan.clientTimeoutNanos());
         });
-        return new OpenLoad.Plan(
+        return new OpenLoopLoadGenerator.Plan(
                 (int) Math.ceil(perSecond * factor * seconds), perSecond * factor, shares, timeouts, 200);
     }
 
     private List<CompletableFuture<Void>> startLoads(long seed, double seconds) {
         List<CompletableFuture<Void>> loads = new ArrayList<>();
         for (Topology.Site site : plan.topology().sites()) {
-            if (site.asked().values().stream().anyMatch(rate -> rate > 0)) {
+            if (site.demandPerSecond().values().stream().anyMatch(rate -> rate > 0)) {
                 loads.add(
                         sites.loadWithRetries(site.name(), seed, plan.retries()).start(loadPlan(site, seconds, 1)));
             }
@@ -227,27 +228,27 @@
     private int executedRequests() {
         return plan.sites().keySet().stream()
                 .flatMap(name -> sites.site(name).servers().stream())
-                .mapToInt(StandinServer::runs)
+                .mapToInt(StandinServer::executions)
                 .sum();
     }
 
     private void apply(DrillPlan.Step step, List<CompletableFuture<Void>> loads) throws IOException {
-        Sites.Site site = sites.site(step.site());
+        SiteTestbed.Site site = sites.site(step.site());
         switch (step.action()) {
-            case CUT -> site.cut(true);
-            case HEAL -> site.cut(false);
-            case STALL -> site.stall(true);
-            case FLOW -> site.stall(false);
+            case CUT -> site.cutServers(true);
+            case HEAL -> site.cutServers(false);
+            case STALL -> site.stallServers(true);
+            case FLOW -> site.stallServers(false);
             case LOSE -> {
-                site.cut(true);
-                forEachGateway(step, site::kill);
+                site.cutServers(true);
+                forEachGateway(step, site::killGateway);
             }
             case RETURN -> {
                 startGateways(step, site);
                 startServersCold(site, 1);
             }
             case COLD -> startServersCold(site, step.amount());
-            case KILL -> forEachGateway(step, site::kill);
+            case KILL -> forEachGateway(step, site::killGateway);
             case START -> startGateways(step, site);
             case STOP -> {
                 for (int number : gatewayNumbers(step)) {
@@ -256,27 +257,29 @@
                 }
             }
             case CUT_LINK, HEAL_LINK -> linksOf(step).forEach(link -> {
-                link.refuse(step.action() == DrillPlan.Action.CUT_LINK);
+                link.setResetNewConnections(step.action() == DrillPlan.Action.CUT_LINK);
                 if (step.action() == DrillPlan.Action.CUT_LINK) {
                     link.reset();
                 } else {
-                    link.set(FaultyLink.Condition.delayed(plan.linkDelayNanos(), plan.linkDelayNanos() / 4));
+                    link.setCondition(FaultyLink.Condition.delayed(plan.linkDelayNanos(), plan.linkDelayNanos() / 4));
                 }
             });
             case STALL_LINK -> linksOf(step)
-                    .forEach(link ->
-                            link.set(FaultyLink.Condition.delayed(plan.linkDelayNanos(), plan.linkDelayNanos() / 4)
-                                    .stalled(true)));
+                    .forEach(link -> link.setCondition(
+                            FaultyLink.Condition.delayed(plan.linkDelayNanos(), plan.linkDelayNanos() / 4)
+                                    .withStalled(true)));
             case ONE_WAY -> otherSites(step).forEach(other -> {
                 FaultyLink.Condition lost =
-                        FaultyLink.Condition.delayed(plan.linkDelayNanos(), 0).lost(true);
-                sites.site(other).linksFrom(step.site()).forEach(link -> link.set(FaultyLink.Way.THERE, lost));
-                site.linksFrom(other).forEach(link -> link.set(FaultyLink.Way.BACK, lost));
+                        FaultyLink.Condition.delayed(plan.linkDelayNanos(), 0).withDiscarding(true);
+                sites.site(other)
+                        .linksFrom(step.site())
+                        .forEach(link -> link.setCondition(FaultyLink.Direction.FORWARD, lost));
+                site.linksFrom(other).forEach(link -> link.setCondition(FaultyLink.Direction.BACKWARD, lost));
             });
             case SLOW -> site.servers()
                     .subList(0, (int) Math.ceil(step.amount() * site.servers().size()))
-                    .forEach(server -> server.faults(Map.of(Fault.SLOW, 1.0)));
-            case WELL -> site.servers().forEach(server -> server.faults(null));
+                    .forEach(server -> server.overrideFaults(Map.of(Fault.SLOW, 1.0)));
+            case WELL -> site.servers().forEach(server -> server.overrideFaults(null));
             case SURGE -> plan.topology().sites().stream()
                     .filter(each -> each.name().equals(step.site()))
                     .forEach(each ->
@@ -298,25 +301,25 @@
         gatewayNumbers(step).forEach(action);
     }
 
-    private void startGateways(DrillPlan.Step step, Sites.Site site) throws IOException {
+    private void startGateways(DrillPlan.Step step, SiteTestbed.Site site) throws IOException {
         for (int number : gatewayNumbers(step)) {
-            site.restart(number);
+            site.restartGateway(number);
         }
     }
 
     /** Restarts this fraction of its servers, the first ones, and publishes their new start time. */
-    private void startServersCold(Sites.Site site, double fraction) {
+    private void startServersCold(SiteTestbed.Site site, double fraction) {
         double perSecond = plan.sites().get(site.name()).threads()
                 / plan.topology().classes().stream()
-                        .mapToDouble(Kind::work)
+                        .mapToDouble(TrafficClass::workSeconds)
                         .average()
                         .orElse(1);
         List<StandinServer> started = site.servers()
                 .subList(0, (int) Math.ceil(fraction * site.servers().size()));
-        started.forEach(server -> server.cold(new ColdStart(
+        started.forEach(server -> server.setColdStart(new ColdStart(
                 System.nanoTime(), RAMP_NANOS, COLD_SHARE, perSecond, OVERLOAD_FACTOR, OVERLOAD_WINDOW_NANOS)));
         site.publishRestartOfFirst(started.size(), System.currentTimeMillis());
-        site.cut(false, started.size());
+        site.cutServers(false, started.size());
     }
 
     private List<String> otherSites(DrillPlan.Step step) {
--- a/src/main/java/pondridge/demo/DrillPlan.java
+++ b/src/main/java/pondridge/demo/DrillPlan.java
@@ -14,7 +14,7 @@
 import pondridge.settings.SettingsFile;
 import pondridge.siteloss.SitePlanSettings;
 import pondridge.siteloss.Topology;
-import pondridge.standin.OrderClass;
+import pondridge.standin.StandinRequestClass;
 
 /**
  * A scripted drill: sites, the load of their clients, and faults at given times. The times of steps count from
@@ -125,7 +125,7 @@
     public static DrillPlan read(Path path) {
         SettingsFile file = withBase(path, MAX_BASE_DEPTH);
         DrillPlan read = of(file);
-        file.finish();
+        file.rejectUnknownKeys();
         return read;
     }
 
@@ -135,55 +135,55 @@
         drill.text("base", "-");
         Topology topology = SitePlanSettings.of(file);
         topology.classes().stream()
-                .map(Topology.Kind::name)
-                .filter(name ->
-                        OrderClass.USUAL.stream().noneMatch(each -> each.name().equals(name)))
+                .map(Topology.TrafficClass::name)
+                .filter(name -> StandinRequestClass.DEFAULTS.stream()
+                        .noneMatch(each -> each.name().equals(name)))
                 .findFirst()
                 .ifPresent(name -> {
-                    throw drill.contradiction(
+                    throw drill.invalid(
                             "site_plan",
                             "unknown class " + name + "; the stand-in servers have "
-                                    + OrderClass.USUAL.stream()
-                                            .map(OrderClass::name)
+                                    + StandinRequestClass.DEFAULTS.stream()
+                                            .map(StandinRequestClass::name)
                                             .collect(Collectors.joining(", ")));
                 });
         List<String> names = topology.sites().stream().map(Topology.Site::name).toList();
-        boolean configuresPlan = drill.word("site_plan", "yes", SITE_PLAN).equals("yes");
+        boolean configuresPlan = drill.choice("site_plan", "yes", SITE_PLAN).equals("yes");
         Map<String, SiteServers> sites = new LinkedHashMap<>();
         Map<String, Topology> gatewayTopologies = new LinkedHashMap<>();
         Section siteSections = file.section("sites");
         for (String name : names) {
-            Section site = siteSections.section(name);
+            Section site = siteSections.subsection(name);
             sites.put(
                     name,
                     new SiteServers(
                             site.number("servers", 4, 1, 64),
                             site.number("threads", 2, 1, 64),
                             site.number("gateways", 2, 1, 16)));
-            double capacityFactor = site.fraction("told_capacity", 1, 0.1, 10);
+            double capacityFactor = site.decimal("told_capacity", 1, 0.1, 10);
             if (configuresPlan) {
                 gatewayTopologies.put(
                         name,
                         new Topology(
                                 topology.sites().stream()
                                         .map(each -> new Topology.Site(
-                                                each.name(), each.capacity() * capacityFactor, each.asked()))
+                                                each.name(), each.capacity() * capacityFactor, each.demandPerSecond()))
                                         .toList(),
                                 topology.classes(),
-                                topology.ways(),
-                                topology.reserve()));
+                                topology.links(),
+                                topology.reserveFraction()));
             }
         }
         List<Step> steps = new ArrayList<>();
-        file.section("steps").sections().forEach((name, section) -> steps.add(step(name, section, sites)));
+        file.section("steps").subsections().forEach((name, section) -> steps.add(step(name, section, sites)));
         steps.sort(Comparator.comparingLong(Step::atNanos));
         return new DrillPlan(
                 drill.number("seed", 1, 0, Integer.MAX_VALUE),
-                drill.time("length", "20s", "1s", "60min"),
-                drill.time("warm_up", "3s", "0ms", "60s"),
-                drill.time("wait", "2s", "50ms", "60s"),
+                drill.durationNanos("length", "20s", "1s", "60min"),
+                drill.durationNanos("warm_up", "3s", "0ms", "60s"),
+                drill.durationNanos("wait", "2s", "50ms", "60s"),
                 drill.number("retries", 1, 0, 10),
-                drill.time("delay", "1ms", "0ms", "1s"),
+                drill.durationNanos("delay", "1ms", "0ms", "1s"),
                 topology,
                 gatewayTopologies,
                 drill.text("gateway", " "),
@@ -199,14 +199,14 @@
             return file;
         }
         if (maxDepth == 0) {
-            throw drill.contradiction("base", "more than " + MAX_BASE_DEPTH + " levels of base files");
+            throw drill.invalid("base", "more than " + MAX_BASE_DEPTH + " levels of base files");
         }
-        return file.over(withBase(path.resolveSibling(base), maxDepth - 1), Set.of("steps"));
+        return file.overlayOn(withBase(path.resolveSibling(base), maxDepth - 1), Set.of("steps"));
     }
 
     private static String required(Section section, String key, List<String> allowed) {
         section.text(key, null);
-        return section.word(key, null, allowed);
+        return section.choice(key, null, allowed);
     }
 
     private static Step step(String name, Section section, Map<String, SiteServers> sites) {
@@ -214,23 +214,23 @@
         Action action = Action.named(required(
                 section, "do", Arrays.stream(Action.values()).map(Action::word).toList()));
         String site = required(section, "site", names);
-        String other = section.word("other", "", names);
+        String other = section.choice("other", "", names);
         int gateway = section.number("gateway", -1, -1, sites.get(site).gateways - 1);
-        long length = section.time("for", "0ms", "0ms", "60min");
+        long length = section.durationNanos("for", "0ms", "0ms", "60min");
         if (length == 0 && (action == Action.STOP || action == Action.SURGE)) {
-            throw section.contradiction("for", "required for stop and surge: how long it lasts");
+            throw section.invalid("for", "required for stop and surge: how long it lasts");
         }
         if (site.equals(other)) {
-            throw section.contradiction("other", "the same as site; expected the site at the other end of the link");
+            throw section.invalid("other", "the same as site; expected the site at the other end of the link");
         }
         return new Step(
                 name,
-                section.time("at", "-", "0ms", "60min"),
+                section.durationNanos("at", "-", "0ms", "60min"),
                 action,
                 site,
                 other,
                 gateway,
-                section.fraction("part", action == Action.SURGE ? 2 : action == Action.COLD ? 1 : 0.25, 0, 100),
+                section.decimal("part", action == Action.SURGE ? 2 : action == Action.COLD ? 1 : 0.25, 0, 100),
                 length);
     }
 }
--- a/src/main/java/pondridge/demo/DrillReport.java
+++ b/src/main/java/pondridge/demo/DrillReport.java
@@ -10,13 +10,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import pondridge.siteloss.LossPlan;
-import pondridge.siteloss.LossPlanner;
+import pondridge.siteloss.SiteLossPlan;
+import pondridge.siteloss.SiteLossPlanner;
 import pondridge.siteloss.Topology;
-import pondridge.siteloss.Topology.Kind;
-import pondridge.standin.EffectLedger;
-import pondridge.standin.EffectLedger.Ask;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.siteloss.Topology.TrafficClass;
+import pondridge.standin.ExecutionLedger;
+import pondridge.standin.ExecutionLedger.ClientAttempt;
+import pondridge.standin.ExecutionLedger.Verdict;
 
 /**
  * The results of a drill by phase (the time between two steps) and site, from the ledger of all requests. The
@@ -66,18 +66,18 @@
             DrillPlan plan,
             long startNanos,
             String warmUpRun,
-            EffectLedger ledger,
+            ExecutionLedger ledger,
             Map<DrillPlan.Step, Long> stepStartNanos,
-            List<Child.Line> log) {
+            List<ChildProcess.LogLine> log) {
         this.plan = plan;
         this.verdict = ledger.verdict();
-        addRequests(startNanos, warmUpRun, ledger.asks(), stepStartNanos);
+        addRequests(startNanos, warmUpRun, ledger.attempts(), stepStartNanos);
         collectSiteViews(startNanos, log);
     }
 
     private void addRequests(
-            long startNanos, String warmUpRun, List<Ask> attempts, Map<DrillPlan.Step, Long> stepStartNanos) {
-        Map<String, List<Ask>> requests = new HashMap<>();
+            long startNanos, String warmUpRun, List<ClientAttempt> attempts, Map<DrillPlan.Step, Long> stepStartNanos) {
+        Map<String, List<ClientAttempt>> requests = new HashMap<>();
         attempts.stream()
                 .filter(attempt -> !attempt.id().contains("-" + warmUpRun + "-"))
                 .forEach(attempt -> requests.computeIfAbsent(attempt.id().split("~")[0], id -> new ArrayList<>())
@@ -91,22 +91,22 @@
             sums.put(from, totalsBySite);
         });
         double topWorth = plan.topology().classes().stream()
-                .mapToDouble(Kind::worth)
+                .mapToDouble(TrafficClass::utility)
                 .max()
                 .orElse(0);
         requests.forEach((id, attemptsOfRequest) -> {
-            attemptsOfRequest.sort((one, two) -> Long.compare(one.askedAt(), two.askedAt()));
-            Kind kind = plan.topology().classes().stream()
-                    .filter(each ->
-                            each.name().equals(attemptsOfRequest.get(0).kind().name()))
+            attemptsOfRequest.sort((one, two) -> Long.compare(one.sentAtNanos(), two.sentAtNanos()));
+            TrafficClass kind = plan.topology().classes().stream()
+                    .filter(each -> each.name()
+                            .equals(attemptsOfRequest.get(0).requestClass().name()))
                     .findFirst()
                     .orElseThrow();
-            long at = Math.max(0, attemptsOfRequest.get(0).askedAt() - startNanos);
+            long at = Math.max(0, attemptsOfRequest.get(0).sentAtNanos() - startNanos);
             String site = plan.sites().keySet().stream()
                     .filter(each -> id.startsWith(each + '-'))
                     .findFirst()
                     .orElseThrow();
-            add(sums.get(phaseNames.floorKey(at)).get(site), attemptsOfRequest, kind, kind.worth() == topWorth);
+            add(sums.get(phaseNames.floorKey(at)).get(site), attemptsOfRequest, kind, kind.utility() == topWorth);
         });
         sums.forEach((from, totalsBySite) -> totalsBySite.forEach((site, sum) -> phases.add(new SitePhase(
                 from,
@@ -119,23 +119,24 @@
                 share(sum.count[3], sum.count[2])))));
     }
 
-    private static void add(PhaseTotals sum, List<Ask> attemptsOfRequest, Kind kind, boolean topClass) {
-        Ask last = attemptsOfRequest.get(attemptsOfRequest.size() - 1);
+    private static void add(
+            PhaseTotals sum, List<ClientAttempt> attemptsOfRequest, TrafficClass kind, boolean topClass) {
+        ClientAttempt last = attemptsOfRequest.get(attemptsOfRequest.size() - 1);
         boolean servedInTime = last.status() == 200
-                && last.answeredAt() - attemptsOfRequest.get(0).askedAt() <= (long) (kind.aim() * 1e9);
+                && last.respondedAtNanos() - attemptsOfRequest.get(0).sentAtNanos() <= (long) (kind.sloSeconds() * 1e9);
         sum.count[0]++;
         sum.count[1] += rejected(last) ? 1 : 0;
         boolean afterRejection =
                 attemptsOfRequest.size() > 1 && rejected(attemptsOfRequest.get(attemptsOfRequest.size() - 2));
         sum.count[2] += afterRejection ? 1 : 0;
         sum.count[3] += afterRejection && last.status() == 200 ? 1 : 0;
-        sum.worth[0] += kind.worth();
-        sum.worth[1] += servedInTime ? kind.worth() : 0;
-        sum.worth[2] += topClass ? kind.worth() : 0;
-        sum.worth[3] += topClass && servedInTime ? kind.worth() : 0;
+        sum.worth[0] += kind.utility();
+        sum.worth[1] += servedInTime ? kind.utility() : 0;
+        sum.worth[2] += topClass ? kind.utility() : 0;
+        sum.worth[3] += topClass && servedInTime ? kind.utility() : 0;
     }
 
-    private static boolean rejected(Ask attempt) {
+    private static boolean rejected(ClientAttempt attempt) {
         return attempt.status() == 429 || attempt.status() == 503;
     }
 
@@ -144,24 +145,29 @@
     }
 
     /** Collects what gateways logged of their own site, and the longest time that the gateways of a site disagreed. */
-    private void collectSiteViews(long startNanos, List<Child.Line> log) {
+    private void collectSiteViews(long startNanos, List<ChildProcess.LogLine> log) {
         Map<String, String> latestView = new HashMap<>();
         Map<String, Long> disagreementStart = new HashMap<>();
-        for (Child.Line line : log) {
-            if (line.at() - startNanos > 0 && line.event().equals("own_site")) {
+        for (ChildProcess.LogLine line : log) {
+            if (line.receivedAtNanos() - startNanos > 0 && line.event().equals("own_site")) {
                 String site = line.json().path("site").asText();
                 String detail = line.json().path("detail").asText();
                 siteViewLines.add(String.format(
-                        Locale.ROOT, "%6.2f s  %s: %s", (line.at() - startNanos) / 1e9, line.processName(), detail));
+                        Locale.ROOT,
+                        "%6.2f s  %s: %s",
+                        (line.receivedAtNanos() - startNanos) / 1e9,
+                        line.processName(),
+                        detail));
                 latestView.put(line.processName(), detail.split(",")[0]);
                 long distinctViews = IntStream.range(0, plan.sites().get(site).gateways())
                         .mapToObj(number -> latestView.getOrDefault(site + number, "in"))
                         .distinct()
                         .count();
                 if (distinctViews > 1) {
-                    disagreementStart.putIfAbsent(site, line.at());
+                    disagreementStart.putIfAbsent(site, line.receivedAtNanos());
                 } else if (disagreementStart.containsKey(site)) {
-                    maxDisagreementNanos.merge(site, line.at() - disagreementStart.remove(site), Math::max);
+                    maxDisagreementNanos.merge(
+                            site, line.receivedAtNanos() - disagreementStart.remove(site), Math::max);
                 }
             }
         }
@@ -172,11 +178,11 @@
      * capacities of the drill.
      */
     public double bound(Set<String> lost, String site) {
-        LossPlan best = LossPlanner.plan(
+        SiteLossPlan best = SiteLossPlanner.plan(
                 new Topology(
                         plan.topology().sites(),
                         plan.topology().classes(),
-                        plan.topology().ways(),
+                        plan.topology().links(),
                         0),
                 lost);
         double[] sum = new double[2];
@@ -185,9 +191,9 @@
                 .findFirst()
                 .orElseThrow();
         plan.topology().classes().forEach(kind -> {
-            double asked = kind.worth() * its.asked().getOrDefault(kind.name(), 0.0);
+            double asked = kind.utility() * its.demandPerSecond().getOrDefault(kind.name(), 0.0);
             sum[0] += asked;
-            sum[1] += asked * (lost.contains(site) ? best.admitted(site, kind.name()) : 1);
+            sum[1] += asked * (lost.contains(site) ? best.admittedFraction(site, kind.name()) : 1);
         });
         return share(sum[1], sum[0]);
     }
@@ -258,14 +264,14 @@
         lines.add(String.format(
                 Locale.ROOT,
                 "asked %d, unanswered %d, late %d, doubled %d, " + "after a drain %d, pushed over %d",
-                verdict.asked(),
+                verdict.requests(),
                 verdict.unanswered(),
                 verdict.late(),
-                verdict.doubled(),
-                verdict.afterDrain(),
-                verdict.pushedOver()));
-        lines.addAll(verdict.words());
-        lines.add(verdict.clean() ? "every rule was kept" : "A RULE WAS BROKEN: " + verdict);
+                verdict.duplicateEffects(),
+                verdict.sendsAfterDrain(),
+                verdict.coldServerCrashes()));
+        lines.addAll(verdict.violations());
+        lines.add(verdict.passed() ? "every rule was kept" : "A RULE WAS BROKEN: " + verdict);
         return lines;
     }
 }
--- a/src/main/java/pondridge/demo/GatewayHandle.java
+++ b/src/main/java/pondridge/demo/GatewayHandle.java
@@ -1,17 +1,17 @@
 package pondridge.demo;
 
 import java.util.List;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.core.Target;
 import pondridge.gateway.Gateway;
 
 /** A running gateway of a site, in this process or another. Methods must not be called on its event loop. */
 interface GatewayHandle extends AutoCloseable {
     /** The addresses on which it listens. */
-    Gateway.Doors addresses();
+    Gateway.ListenAddresses addresses();
 
     /** Passes an update of the endpoint list to it, without waiting for a gateway in another process. */
-    void updateTargets(ListKind kind, List<Target> targets);
+    void updateTargets(EndpointListKind kind, List<Target> targets);
 
     /** A counter by its name in {@link Gateway#counts}; 0 for a gateway in another process. */
     long count(String counter);
--- a/src/main/java/pondridge/demo/InProcessGateway.java
+++ b/src/main/java/pondridge/demo/InProcessGateway.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.LongSupplier;
-import pondridge.Balancer.ListKind;
-import pondridge.Options;
-import pondridge.core.Directory;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.BalancerOptions;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Target;
 import pondridge.gateway.Gateway;
 import pondridge.gateway.GatewaySettings;
@@ -28,10 +28,11 @@
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
     private final Gateway gateway;
-    private final Gateway.Doors addresses;
+    private final Gateway.ListenAddresses addresses;
     private boolean stopped;
 
-    InProcessGateway(GatewaySettings settings, Options options, List<Target> targets, long seed, LongSupplier clock)
+    InProcessGateway(
+            GatewaySettings settings, BalancerOptions options, List<Target> targets, long seed, LongSupplier clock)
             throws IOException {
         this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         this.loop = group.next();
@@ -46,7 +47,7 @@
                             clock))
                     .get();
             addresses = loop.submit(() -> gateway.start(
-                            new Directory() {
+                            new EndpointDiscovery() {
                                 @Override
                                 public void watch(boolean on) {}
 
@@ -68,14 +69,14 @@
     }
 
     @Override
-    public Gateway.Doors addresses() {
+    public Gateway.ListenAddresses addresses() {
         return addresses;
     }
 
     @Override
-    public void updateTargets(ListKind kind, List<Target> targets) {
+    public void updateTargets(EndpointListKind kind, List<Target> targets) {
         callOnLoop(() -> {
-            gateway.listed(kind, targets);
+            gateway.updateEndpoints(kind, targets);
             return null;
         });
     }
@@ -87,7 +88,7 @@
 
     @Override
     public boolean idle() {
-        return stopped || callOnLoop(gateway::idle);
+        return stopped || callOnLoop(gateway::isIdle);
     }
 
     @Override
--- a/src/main/java/pondridge/demo/ProcessGateway.java
+++ b/src/main/java/pondridge/demo/ProcessGateway.java
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
-import pondridge.Options;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
 import pondridge.core.Json;
 import pondridge.core.Target;
 import pondridge.gateway.Gateway;
@@ -28,9 +28,9 @@
 final class ProcessGateway implements GatewayHandle {
     private static final Pattern LISTEN_ADDRESSES = Pattern.compile("clients at \\S*?:(\\d+), sites at \\S*?:(\\d+)");
     private static final int MAX_SOCKETS = 4096;
-    private final Child child;
+    private final ChildProcess child;
     private final DiscoveryStandin discoveryAgent;
-    private final Gateway.Doors addresses;
+    private final Gateway.ListenAddresses addresses;
     private volatile long updateDelayNanos;
     private boolean killed;
 
@@ -46,10 +46,10 @@
             Path folder,
             EventLoop loop,
             String toml,
-            Options options,
+            BalancerOptions options,
             List<Target> targets,
             long seed,
-            Consumer<Child.Line> listener)
+            Consumer<ChildProcess.LogLine> listener)
             throws IOException {
         this.discoveryAgent = new DiscoveryStandin(
                 loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), entries(targets));
@@ -64,17 +64,17 @@
         platform.set("known", Json.MAPPER.readTree(lines.toString()));
         platform.putObject("limits").put("sockets", MAX_SOCKETS);
         ObjectNode settings = platform.putObject("settings");
-        options.with("discovery=subscribe").lines().forEach(settings::put);
+        options.withOverrides("discovery=subscribe").asMap().forEach(settings::put);
         Files.writeString(folder.resolve(name + ".json"), platform.toString());
         Path file = Files.writeString(folder.resolve(name + ".toml"), toml);
-        this.child = Child.start(
+        this.child = ChildProcess.start(
                 name,
                 "pondridge.cli.Bankflow",
                 List.of("gateway", "--with-parent", "--config", file.toString()),
                 Map.of(),
                 listener);
         Matcher addressMatcher =
-                LISTEN_ADDRESSES.matcher(child.await(line -> line.event().equals("started"))
+                LISTEN_ADDRESSES.matcher(child.awaitLine(line -> line.event().equals("started"))
                         .json()
                         .path("detail")
                         .asText());
@@ -82,7 +82,7 @@
             child.kill();
             throw new IOException(name + ": no listen addresses in its \"started\" log line");
         }
-        this.addresses = new Gateway.Doors(local(addressMatcher.group(1)), local(addressMatcher.group(2)));
+        this.addresses = new Gateway.ListenAddresses(local(addressMatcher.group(1)), local(addressMatcher.group(2)));
     }
 
     private static InetSocketAddress local(String port) {
@@ -95,14 +95,14 @@
                         each.uid(),
                         each.endpoint(),
                         each.zone(),
-                        each.state() == State.READY
+                        each.state() == UpstreamState.READY
                                 ? "SERVING"
-                                : each.state() == State.DRAINING ? "DRAINING" : "DELETED",
+                                : each.state() == UpstreamState.DRAINING ? "DRAINING" : "DELETED",
                         each.startedMs()))
                 .toList();
     }
 
-    Child child() {
+    ChildProcess child() {
         return child;
     }
 
@@ -112,13 +112,13 @@
     }
 
     @Override
-    public Gateway.Doors addresses() {
+    public Gateway.ListenAddresses addresses() {
         return addresses;
     }
 
     @Override
-    public void updateTargets(ListKind kind, List<Target> targets) {
-        discoveryAgent.change(entries(targets), updateDelayNanos);
+    public void updateTargets(EndpointListKind kind, List<Target> targets) {
+        discoveryAgent.updateEntries(entries(targets), updateDelayNanos);
     }
 
     @Override
