--- a/src/main/java/pondridge/demo/Sites.java
+++ b/src/main/java/pondridge/demo/SiteTestbed.java
@@ -15,18 +15,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
-import pondridge.Options;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
 import pondridge.core.Target;
 import pondridge.gateway.GatewaySettings;
 import pondridge.settings.SettingsFile;
-import pondridge.standin.Doors;
-import pondridge.standin.EffectLedger;
+import pondridge.standin.EndpointFaults;
+import pondridge.standin.ExecutionLedger;
 import pondridge.standin.FaultScript;
 import pondridge.standin.FaultyLink;
-import pondridge.standin.KeyMemory;
-import pondridge.standin.OpenLoad;
+import pondridge.standin.IdempotencyKeyStore;
+import pondridge.standin.OpenLoopLoadGenerator;
 import pondridge.standin.StandinServer;
 
 /**
@@ -34,7 +34,7 @@
  * through its own {@link FaultyLink}, and each gateway through one such link from every other site. One
  * ledger records all requests and effects. Methods must not be called on the event loops of the test bed.
  */
-public final class Sites implements AutoCloseable {
+public final class SiteTestbed implements AutoCloseable {
     private static final long MS = 1_000_000;
 
     /**
@@ -52,9 +52,9 @@
      * @param delayNanos one-way delay of a link between sites
      * @param jitterNanos upper bound of the random addition to that delay
      */
-    public record Shape(List<SiteConfig> sites, long workNanos, long delayNanos, long jitterNanos) {
+    public record TestbedConfig(List<SiteConfig> sites, long workNanos, long delayNanos, long jitterNanos) {
         /** Identical sites with these names. */
-        public Shape(
+        public TestbedConfig(
                 List<String> names,
                 int servers,
                 int gateways,
@@ -123,14 +123,14 @@
         }
 
         /** Cuts the servers off (open connections are reset, new ones refused) or makes them reachable again. */
-        public void cut(boolean unreachable) {
-            cut(unreachable, serverLinks.size());
+        public void cutServers(boolean unreachable) {
+            cutServers(unreachable, serverLinks.size());
         }
 
-        /** Like {@link #cut(boolean)}, for only the first servers. */
-        public void cut(boolean unreachable, int first) {
+        /** Like {@link #cutServers(boolean)}, for only the first servers. */
+        public void cutServers(boolean unreachable, int first) {
             for (FaultyLink serverLink : serverLinks.subList(0, first)) {
-                serverLink.refuse(unreachable);
+                serverLink.setResetNewConnections(unreachable);
                 if (unreachable) {
                     serverLink.reset();
                 }
@@ -138,13 +138,13 @@
         }
 
         /** Stalls the links to the servers (connections stay open, no bytes pass) or lets them pass bytes again. */
-        public void stall(boolean stalled) {
+        public void stallServers(boolean stalled) {
             serverLinks.forEach(serverLink ->
-                    serverLink.set(FaultyLink.Condition.delayed(0, 0).stalled(stalled)));
+                    serverLink.setCondition(FaultyLink.Condition.delayed(0, 0).withStalled(stalled)));
         }
 
         /** Publishes this state of all servers to the gateways. */
-        public void list(State state) {
+        public void publishState(UpstreamState state) {
             publish(targets(state));
         }
 
@@ -153,26 +153,28 @@
          *
          * @param clockOffsetMs how far the clock of discovery is ahead of this machine's
          */
-        public void restarted(int number, long clockOffsetMs) {
+        public void publishRestart(int number, long clockOffsetMs) {
             long startedMs = System.currentTimeMillis() + clockOffsetMs;
-            Target current = targets(State.READY).get(number);
-            Target target = new Target(current.uid(), current.endpoint(), name, "m", 0, State.READY, 1, startedMs);
+            Target current = targets(UpstreamState.READY).get(number);
+            Target target =
+                    new Target(current.uid(), current.endpoint(), name, "m", 0, UpstreamState.READY, 1, startedMs);
             publish(List.of(target));
         }
 
         /** Publishes to the gateways that the first servers started at this Unix time in milliseconds. */
         void publishRestartOfFirst(int first, long startedMs) {
-            publish(targets(State.READY).stream()
+            publish(targets(UpstreamState.READY).stream()
                     .limit(first)
-                    .map(each -> new Target(each.uid(), each.endpoint(), name, "m", 0, State.READY, 1, startedMs))
+                    .map(each ->
+                            new Target(each.uid(), each.endpoint(), name, "m", 0, UpstreamState.READY, 1, startedMs))
                     .toList());
         }
 
         private void publish(List<Target> targets) {
-            gateways.forEach(each -> each.updateTargets(ListKind.DELTA, targets));
+            gateways.forEach(each -> each.updateTargets(EndpointListKind.DELTA, targets));
         }
 
-        private List<Target> targets(State state) {
+        private List<Target> targets(UpstreamState state) {
             List<Target> targets = new ArrayList<>();
             for (int i = 0; i < servers.size(); i++) {
                 targets.add(new Target(servers.get(i).name(), serverLinks.get(i).address(), name, "m", 0, state, 1, 0));
@@ -181,18 +183,18 @@
         }
 
         /** Ends a gateway as if its process were killed: its connections break and its state is lost. */
-        public void kill(int number) {
-            endpointStatus.killed(clientAddresses.get(number));
+        public void killGateway(int number) {
+            endpointStatus.recordKill(clientAddresses.get(number));
             gateways.get(number).kill();
         }
 
         /** Records that a gateway is about to be paused, so that its clients' deadlines allow for it. */
         void recordPause(int number, long lengthNanos) {
-            endpointStatus.stops(clientAddresses.get(number), lengthNanos);
+            endpointStatus.recordPause(clientAddresses.get(number), lengthNanos);
         }
 
         /** Starts a new gateway in place of a killed one: other sites keep its link, clients get a new address. */
-        public void restart(int number) throws IOException {
+        public void restartGateway(int number) throws IOException {
             start(this, number);
         }
 
@@ -211,17 +213,17 @@
         }
     }
 
-    private final Shape shape;
+    private final TestbedConfig shape;
     private final GatewayLauncher launcher;
     private final long seed;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop serverLoop;
     private final EventLoop linkLoop;
     private final EventLoop clientLoop;
-    private final EffectLedger ledger;
-    private final KeyMemory keyMemory = new KeyMemory();
+    private final ExecutionLedger ledger;
+    private final IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
     private final Map<String, Site> sites = new LinkedHashMap<>();
-    private final Doors endpointStatus = new Doors();
+    private final EndpointFaults endpointStatus = new EndpointFaults();
 
     /**
      * Builds and starts all sites.
@@ -229,14 +231,15 @@
      * @param seed for link jitter, processing times and the gateways' random choices
      * @param security returns the security settings under {@code [link]} for a site's name
      */
-    public Sites(Shape shape, Options options, long seed, Function<String, String> security) throws IOException {
+    public SiteTestbed(TestbedConfig shape, BalancerOptions options, long seed, Function<String, String> security)
+            throws IOException {
         this(shape, options, seed, security, site -> System::nanoTime);
     }
 
     /** Also takes {@code clocks}, which returns the clock of a site's gateways. */
-    public Sites(
-            Shape shape,
-            Options options,
+    public SiteTestbed(
+            TestbedConfig shape,
+            BalancerOptions options,
             long seed,
             Function<String, String> security,
             Function<String, LongSupplier> clocks)
@@ -244,18 +247,23 @@
         this(shape, options, seed, security, (name, toml, targets, gatewaySeed) -> {
             SettingsFile file = SettingsFile.parse(name, toml);
             GatewaySettings settings = GatewaySettings.of(file, Path.of("."));
-            file.finish();
+            file.rejectUnknownKeys();
             return new InProcessGateway(settings, options, targets, gatewaySeed, clocks.apply(settings.site()));
         });
     }
 
     /** Also takes {@code launcher}, which starts the gateways. */
-    Sites(Shape shape, Options options, long seed, Function<String, String> security, GatewayLauncher launcher)
+    SiteTestbed(
+            TestbedConfig shape,
+            BalancerOptions options,
+            long seed,
+            Function<String, String> security,
+            GatewayLauncher launcher)
             throws IOException {
         this.shape = shape;
         this.launcher = launcher;
         this.seed = seed;
-        this.ledger = new EffectLedger(500 * MS, (long) options.number("rules.stopSendingWithin", 2e9));
+        this.ledger = new ExecutionLedger(500 * MS, (long) options.number("rules.stopSendingWithin", 2e9));
         this.group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
         this.serverLoop = group.next();
         this.linkLoop = group.next();
@@ -289,7 +297,7 @@
                             ledger,
                             keyMemory));
             if (site.config.threads > 0) {
-                server.threads(site.config.threads, 8 * site.config.threads);
+                server.setThreadPool(site.config.threads, 8 * site.config.threads);
             }
             site.servers.add(server);
             site.serverLinks.add(new FaultyLink(linkLoop, local(), server.address(), seed + i));
@@ -299,7 +307,7 @@
                 List<FaultyLink> links = new ArrayList<>();
                 for (int i = 0; i < site.config.gateways; i++) {
                     FaultyLink link = new FaultyLink(linkLoop, local(), local(), seed + 100 + i);
-                    link.set(FaultyLink.Condition.delayed(shape.delayNanos, shape.jitterNanos));
+                    link.setCondition(FaultyLink.Condition.delayed(shape.delayNanos, shape.jitterNanos));
                     links.add(link);
                 }
                 site.links.put(other.name, links);
@@ -321,9 +329,10 @@
                 text.append("]\n");
             }
         }
-        GatewayHandle gateway = launcher.launch(name, text.toString(), site.targets(State.READY), seed + number);
+        GatewayHandle gateway =
+                launcher.launch(name, text.toString(), site.targets(UpstreamState.READY), seed + number);
         site.links.values().forEach(links -> links.get(number)
-                .target(gateway.addresses().sites()));
+                .setTarget(gateway.addresses().sites()));
         if (number < site.gateways.size()) {
             site.gateways.set(number, gateway);
             site.clientAddresses.set(number, gateway.addresses().clients());
@@ -342,26 +351,26 @@
         return sites.get(name);
     }
 
-    public EffectLedger ledger() {
+    public ExecutionLedger ledger() {
         return ledger;
     }
 
     /** Creates a load generator for a site's gateways; it is not started yet. */
-    public OpenLoad load(String site, long seed) {
-        return new OpenLoad(clientLoop, site(site).clientAddresses, ledger, seed, site + seed);
+    public OpenLoopLoadGenerator load(String site, long seed) {
+        return new OpenLoopLoadGenerator(clientLoop, site(site).clientAddresses, ledger, seed, site + seed);
     }
 
     /**
      * Like {@link #load}, with clients that retry: at another gateway of the site if theirs was killed, and up
      * to {@code retries} times after a rejection.
      */
-    OpenLoad loadWithRetries(String site, long seed, int retries) {
-        return new OpenLoad(
+    OpenLoopLoadGenerator loadWithRetries(String site, long seed, int retries) {
+        return new OpenLoopLoadGenerator(
                 clientLoop, site(site).clientAddresses, ledger, seed, site + '-' + seed, endpointStatus, retries);
     }
 
     /** Waits until no gateway has an open request; returns false after the limit. */
-    public boolean quiet(long limitMs) throws InterruptedException {
+    public boolean awaitIdle(long limitMs) throws InterruptedException {
         long deadline = System.nanoTime() + limitMs * MS;
         while (!sites.values().stream().allMatch(Site::idle)) {
             if (System.nanoTime() - deadline > 0) {
--- a/src/main/java/pondridge/demo/Usual.java
+++ b/src/main/java/pondridge/demo/StandinOptions.java
@@ -1,12 +1,12 @@
 package pondridge.demo;
 
-import pondridge.Options;
+import pondridge.BalancerOptions;
 
 /** Default platform options for tests and demos, with the request classes of the stand-in servers. */
-public final class Usual {
+public final class StandinOptions {
     private static final long MS = 1_000_000;
 
-    private Usual() {}
+    private StandinOptions() {}
 
     /**
      * Options with the default classes and zones.
@@ -14,7 +14,7 @@
      * @param deadlineMs deadline and latency objective of each class
      * @param overrides lines that are appended
      */
-    public static Options options(long deadlineMs, String... overrides) {
+    public static BalancerOptions withDeadline(long deadlineMs, String... overrides) {
         long deadline = deadlineMs * MS;
         StringBuilder text = new StringBuilder(
                 """
@@ -68,6 +68,6 @@
         for (String line : overrides) {
             text.append(line).append('\n');
         }
-        return new Options(text.toString());
+        return new BalancerOptions(text.toString());
     }
 }
--- a/src/main/java/pondridge/gateway/Trail.java
+++ b/src/main/java/pondridge/gateway/AttemptHistory.java
@@ -7,7 +7,7 @@
  * The attempts of one request and which of them may have executed. Times are in nanoseconds on this gateway's
  * clock and are not sent to other gateways.
  */
-final class Trail {
+final class AttemptHistory {
     private static final class Attempt {
         private final String site;
         private final long sentAt;
@@ -34,7 +34,7 @@
      * @param fromLink the request was received from another site
      * @param affinityKey stays the same when the client repeats its request
      */
-    Trail(int requestClass, boolean fromLink, long affinityKey) {
+    AttemptHistory(int requestClass, boolean fromLink, long affinityKey) {
         this.requestClass = requestClass;
         this.fromLink = fromLink;
         this.affinityKey = affinityKey;
--- a/src/main/java/pondridge/gateway/CrossingBudget.java
+++ b/src/main/java/pondridge/gateway/CrossSiteBudget.java
@@ -10,7 +10,7 @@
  * class. Each class leaves a reserve of the common budget to the others; by default a class of lower worth
  * leaves more. Times are in nanoseconds.
  */
-final class CrossingBudget {
+final class CrossSiteBudget {
     /** The part of the common burst that the class of least worth leaves to the others by default. */
     private static final double MAX_RESERVED_FRACTION = 0.6;
 
@@ -71,7 +71,7 @@
     private final List<ClassLimit> classLimits;
 
     /** A full budget; {@code classLimits} by class number. */
-    CrossingBudget(Rate common, List<ClassLimit> classLimits, long now) {
+    CrossSiteBudget(Rate common, List<ClassLimit> classLimits, long now) {
         this.common = new Bucket(common, now);
         this.classLimits = List.copyOf(classLimits);
         classLimits.forEach(limit -> classBuckets.add(limit.rate == null ? null : new Bucket(limit.rate, now)));
@@ -92,11 +92,11 @@
      * of highest worth.
      */
     static double defaultReservedFraction(List<RequestClass> classes, int requestClass) {
-        double best = classes.stream().mapToDouble(RequestClass::worth).max().orElse(1);
-        double least = classes.stream().mapToDouble(RequestClass::worth).min().orElse(0);
+        double best = classes.stream().mapToDouble(RequestClass::utility).max().orElse(1);
+        double least = classes.stream().mapToDouble(RequestClass::utility).min().orElse(0);
         return best == least
                 ? 0
-                : MAX_RESERVED_FRACTION * (best - classes.get(requestClass).worth()) / (best - least);
+                : MAX_RESERVED_FRACTION * (best - classes.get(requestClass).utility()) / (best - least);
     }
 
     /** Records the arrival of a request from a client. */
--- a/src/main/java/pondridge/gateway/Dispatcher.java
+++ b/src/main/java/pondridge/gateway/Dispatcher.java
@@ -7,19 +7,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import pondridge.Balancer.RequestClass;
-import pondridge.core.Answer;
+import pondridge.core.AttemptSummary;
 import pondridge.core.Client;
 import pondridge.core.Engine;
 import pondridge.core.Job;
 import pondridge.core.JobReader;
-import pondridge.core.Requests;
-import pondridge.core.Tried;
+import pondridge.core.RequestProcessor;
+import pondridge.core.UpstreamResponse;
 
 /**
  * Executes the steps that {@link Router} decides for each request, submitting it to one engine after another
  * until it has its final response. Makes no routing decisions itself. On the event loop only.
  */
-final class Dispatcher implements Requests {
+final class Dispatcher implements RequestProcessor {
     /** Subtracted from the client's timeout to leave time to send the response. */
     private static final long RESPONSE_MARGIN_NANOS = 5_000_000;
 
@@ -37,7 +37,7 @@
     private final EventLoop loop;
     private final String site;
     private final Router router;
-    private final OwnSite localSite;
+    private final LocalSiteHealth localSite;
     private final Engine localEngine;
     private final Map<String, RemoteSite> remoteSites;
     private final JobReader reader;
@@ -46,8 +46,8 @@
     private final Map<Long, RoutedRequest> openRequests = new HashMap<>();
     private final Counts counts = new Counts();
     private final Log log;
-    private final Pressure sloMonitor = new Pressure();
-    private OwnSite.State loggedState = OwnSite.State.IN;
+    private final LocalSloMonitor sloMonitor = new LocalSloMonitor();
+    private LocalSiteHealth.State loggedState = LocalSiteHealth.State.IN;
     private Runnable overloadListener = () -> {};
     private long lastId;
 
@@ -55,7 +55,7 @@
             EventLoop loop,
             String site,
             Router router,
-            OwnSite localSite,
+            LocalSiteHealth localSite,
             Engine localEngine,
             Map<String, RemoteSite> remoteSites,
             JobReader reader,
@@ -84,7 +84,7 @@
 
     /** Logs a change of the local site's state. */
     void logLocalSiteState() {
-        OwnSite.State now = localSite.state();
+        LocalSiteHealth.State now = localSite.state();
         if (now != loggedState) {
             loggedState = now;
             log.warn(
@@ -100,9 +100,9 @@
 
     private void localAttemptEnded(RoutedRequest request, boolean served) {
         if (!request.history.fromLink()
-                && localSite.state() == OwnSite.State.IN
+                && localSite.state() == LocalSiteHealth.State.IN
                 && sloMonitor.requestEnded(
-                        served && clock.getAsLong() - request.startedAt <= request.requestClass.aim())) {
+                        served && clock.getAsLong() - request.startedAt <= request.requestClass.sloNanos())) {
             overloadListener.run();
         }
     }
@@ -139,12 +139,12 @@
     }
 
     @Override
-    public void hangup(long id) {
+    public void clientDisconnected(long id) {
         RoutedRequest request = openRequests.remove(id);
         if (request != null) {
             request.finished = true;
             if (request.processor != null) {
-                request.processor.hangup(request.processorRequestId);
+                request.processor.clientDisconnected(request.processorRequestId);
             }
         }
     }
@@ -164,14 +164,14 @@
         private final Job job;
         private final Client client;
         private final RequestClass requestClass;
-        private final Trail history;
+        private final AttemptHistory history;
         private final long deadline;
         private final long startedAt;
-        private Requests processor;
+        private RequestProcessor processor;
         private long processorRequestId;
         private int submissions;
         private boolean atRemoteSite;
-        private Tried lastAttempts;
+        private AttemptSummary lastAttempts;
         private long retryAfter;
         private int attemptsSent;
         private int responsesReceived;
@@ -181,10 +181,10 @@
             this.id = id;
             this.job = job;
             this.client = client;
-            this.requestClass = reader.kind(job);
-            this.history = new Trail(job.requestClass(), fromLink, affinityKey(job));
+            this.requestClass = reader.requestClass(job);
+            this.history = new AttemptHistory(job.requestClass(), fromLink, affinityKey(job));
             this.startedAt = clock.getAsLong();
-            this.deadline = startedAt + Math.max(1, job.waitMs() * 1_000_000 - RESPONSE_MARGIN_NANOS);
+            this.deadline = startedAt + Math.max(1, job.clientTimeoutMillis() * 1_000_000 - RESPONSE_MARGIN_NANOS);
         }
 
         private void advance() {
@@ -196,7 +196,7 @@
             if (step instanceof Router.Local local) {
                 history.attemptSent(site, now);
                 atRemoteSite = false;
-                submitTo(localEngine, job.within(local.timeLeftNanos()));
+                submitTo(localEngine, job.withTimeLeft(local.timeLeftNanos()));
             } else if (step instanceof Router.Remote target) {
                 counts.sentToRemoteSites++;
                 history.attemptSent(target.site(), now);
@@ -208,7 +208,8 @@
                 long roundTripNanos = deadline - now - target.timeLeftNanos();
                 submitTo(
                         remoteSites.get(target.site()).engine(),
-                        job.with(headers).within(Math.min(deadline - now, remoteTimeNanos + roundTripNanos)));
+                        job.withHeaders(headers)
+                                .withTimeLeft(Math.min(deadline - now, remoteTimeNanos + roundTripNanos)));
             } else if (step instanceof Router.Wait wait) {
                 processor = null;
                 loop.schedule(
@@ -224,7 +225,7 @@
             }
         }
 
-        private void submitTo(Requests target, Job submission) {
+        private void submitTo(RequestProcessor target, Job submission) {
             int submissionNumber = ++submissions;
             processor = target;
             processorRequestId = 0;
@@ -236,19 +237,19 @@
         }
 
         @Override
-        public boolean here(boolean late) {
-            return client.here(late);
+        public boolean isConnected(boolean late) {
+            return client.isConnected(late);
         }
 
         @Override
-        public void tried(Tried attempts) {
+        public void reportAttempts(AttemptSummary attempts) {
             lastAttempts = attempts;
-            attemptsSent += attempts.sent();
-            responsesReceived += attempts.reached();
+            attemptsSent += attempts.attemptsSent();
+            responsesReceived += attempts.responsesReceived();
         }
 
         @Override
-        public void served(Answer response) {
+        public void served(UpstreamResponse response) {
             if (!atRemoteSite) {
                 localSite.attemptEnded(true, clock.getAsLong());
                 localAttemptEnded(this, true);
@@ -275,8 +276,8 @@
             if (!atRemoteSite) {
                 localAttemptEnded(this, false);
             }
-            if (!atRemoteSite && lastAttempts.sent() > 0) {
-                localSite.attemptEnded(lastAttempts.reached() > 0, clock.getAsLong());
+            if (!atRemoteSite && lastAttempts.attemptsSent() > 0) {
+                localSite.attemptEnded(lastAttempts.responsesReceived() > 0, clock.getAsLong());
             }
             if (!finished) {
                 advance();
@@ -287,7 +288,8 @@
             counts.refused += safeToRetry && !history.fromLink() ? 1 : 0;
             counts.failed += safeToRetry || history.fromLink() ? 0 : 1;
             finish();
-            client.tried(new Tried(attemptsSent, responsesReceived, history.firstUncertain() != null));
+            client.reportAttempts(
+                    new AttemptSummary(attemptsSent, responsesReceived, history.firstUncertain() != null));
             if (safeToRetry) {
                 client.refused(retryAfter);
             } else {
--- a/src/main/java/pondridge/gateway/Stamps.java
+++ b/src/main/java/pondridge/gateway/EchoedTimestamps.java
@@ -6,7 +6,7 @@
  * clock is read; the peer's clock may be off by any amount. A restart invalidates all earlier timestamps.
  * Times are in nanoseconds.
  */
-final class Stamps {
+final class EchoedTimestamps {
     private static final int MAX_LENGTH = 40;
     private final long epoch;
     private final long maxAgeNanos;
@@ -17,7 +17,7 @@
      * @param epoch a random number drawn at startup
      * @param maxAgeNanos the greatest age of a timestamp that counts as fresh
      */
-    Stamps(long epoch, long maxAgeNanos) {
+    EchoedTimestamps(long epoch, long maxAgeNanos) {
         this.epoch = epoch;
         this.maxAgeNanos = maxAgeNanos;
     }
--- a/src/main/java/pondridge/gateway/Gateway.java
+++ b/src/main/java/pondridge/gateway/Gateway.java
@@ -19,23 +19,23 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
-import pondridge.Options;
-import pondridge.core.Directory;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.SafetyLimits;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Engine;
 import pondridge.core.JobReader;
 import pondridge.core.Target;
 import pondridge.core.Transport;
-import pondridge.grpc.GrpcFront;
+import pondridge.grpc.GrpcFrontend;
 import pondridge.grpc.GrpcSettings;
 import pondridge.http1.Frontend;
-import pondridge.http2.Dialler;
+import pondridge.http2.Connector;
 import pondridge.http2.Http2Upstreams;
-import pondridge.siteloss.Split;
+import pondridge.siteloss.SiteFailoverRouting;
 import pondridge.store.SharedStore;
-import pondridge.store.Sharing;
+import pondridge.store.SharedStoreBinding;
 
 /**
  * One gateway of a site: takes clients' requests as the sidecar does and other sites' requests over links. It
@@ -46,16 +46,16 @@
 
     private final EventLoop loop;
     private final Engine localEngine;
-    private final OwnSite localSite;
+    private final LocalSiteHealth localSite;
     private final Dispatcher dispatcher;
     private final Frontend frontend;
     private final LinkRequestHandler linkRequestHandler;
-    private final GrpcFront grpc;
+    private final GrpcFrontend grpc;
     private final Map<String, RemoteSite> remoteSites = new LinkedHashMap<>();
     private final Map<String, Target> servers = new HashMap<>();
-    private final Limits safetyLimits;
+    private final SafetyLimits safetyLimits;
     private long latestStartMillis;
-    private final StartTimes startTimes;
+    private final ServerStartTimes startTimes;
     private final SharedStore store;
     private final LinkTls tls;
     private long certificateReloads;
@@ -76,7 +76,7 @@
      */
     public Gateway(
             EventLoop loop,
-            Options options,
+            BalancerOptions options,
             GatewaySettings settings,
             Transport upstreams,
             long seed,
@@ -92,36 +92,36 @@
         this.tls = link.tls() == null ? null : new LinkTls(link.tls());
         this.certificateCheckNanos = link.certificateCheckNanos();
         this.localEngine = new Engine(loop, options, seed, maxOpenRequests, upstreams);
-        this.localSite = new OwnSite(crossSite.localSite(), now);
-        CrossingBudget budget = new CrossingBudget(
+        this.localSite = new LocalSiteHealth(crossSite.localSite(), now);
+        CrossSiteBudget budget = new CrossSiteBudget(
                 crossSite.common(),
                 crossSite.classLimits(
-                        options.names("profiles"), options.settings().classes()),
+                        options.objectNames("profiles"), options.settings().classes()),
                 now);
-        Split split = settings.sitePlan() == null
-                ? Split.NONE
-                : Split.of(settings.sitePlan(), settings.site(), options.names("profiles"));
+        SiteFailoverRouting split = settings.sitePlan() == null
+                ? SiteFailoverRouting.NONE
+                : SiteFailoverRouting.of(settings.sitePlan(), settings.site(), options.objectNames("profiles"));
         Router router = new Router(
                 settings.site(), localSite, budget, crossSite.minWorkNanos(), link.maxDeliveryNanos(), split);
-        this.safetyLimits = options.settings().limits();
-        this.startTimes = new StartTimes(settings.maxClockErrorNanos() / 1_000_000);
+        this.safetyLimits = options.settings().safetyLimits();
+        this.startTimes = new ServerStartTimes(settings.maxClockErrorNanos() / 1_000_000);
         this.store = settings.store() == null
                 ? null
-                : Sharing.begin(
-                        loop, localEngine, settings.store(), options.settings().limits(), seed);
+                : SharedStoreBinding.start(
+                        loop, localEngine, settings.store(), options.settings().safetyLimits(), seed);
         if (store != null) {
-            store.share(new SharedCrossSiteBudget(settings.site(), crossSite.sitePerSecond(), budget, clock));
+            store.addLeaseHolder(new SharedCrossSiteBudget(settings.site(), crossSite.sitePerSecond(), budget, clock));
         }
         JobReader reader = new JobReader(options);
         Random random = new Random(seed);
-        Options remoteOptions = RemoteSite.engineOptions(options, link.maxDeliveryNanos());
+        BalancerOptions remoteOptions = RemoteSite.engineOptions(options, link.maxDeliveryNanos());
         String gatewayId = Long.toHexString(random.nextLong());
         RemoteSite.LocalSiteInfo localSiteInfo = new RemoteSite.LocalSiteInfo(
-                settings.site(), () -> Views.format(gatewayId, localSite.state()), counts -> {
+                settings.site(), () -> SiteStateReports.format(gatewayId, localSite.state()), counts -> {
                     localSite.applyPeerReports(counts, clock.getAsLong());
                     logLocalSiteState();
                 });
-        settings.sites()
+        settings.remoteSites()
                 .forEach((name, addresses) -> remoteSites.put(
                         name,
                         new RemoteSite(
@@ -149,12 +149,12 @@
                 clock);
         this.frontend = new Frontend(dispatcher, options, maxOpenRequests);
         GrpcSettings grpcSettings = settings.upstreams().grpc();
-        this.grpc = grpcSettings == null || grpcSettings.listen() == null
+        this.grpc = grpcSettings == null || grpcSettings.listenAddress() == null
                 ? null
-                : new GrpcFront(
+                : new GrpcFrontend(
                         loop, grpcSettings, options, dispatcher, Long.toHexString(random.nextLong()), log::warn);
         this.linkRequestHandler = new LinkRequestHandler(
-                loop, link, tls, settings.sites().keySet(), dispatcher, reader, random.nextLong(), log, clock);
+                loop, link, tls, settings.remoteSites().keySet(), dispatcher, reader, random.nextLong(), log, clock);
         dispatcher.onLocalOverload(linkRequestHandler::onLocalOverload);
     }
 
@@ -162,7 +162,7 @@
         dispatcher.logLocalSiteState();
     }
 
-    private Dialler dialler(String site) {
+    private Connector dialler(String site) {
         return (address, timeoutMs, initializer) -> new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -182,18 +182,19 @@
     }
 
     /** The addresses on which a gateway listens for clients and for other sites. */
-    public record Doors(InetSocketAddress clients, InetSocketAddress sites) {}
+    public record ListenAddresses(InetSocketAddress clients, InetSocketAddress sites) {}
 
     /**
      * Starts with the last received server list and listens for clients and for other sites; to be called on
      * its loop. The future completes on the loop, with an {@link IOException} if listening fails.
      */
-    public CompletableFuture<Doors> start(Directory discovery, List<Target> initialServers, InetSocketAddress listen) {
+    public CompletableFuture<ListenAddresses> start(
+            EndpointDiscovery discovery, List<Target> initialServers, InetSocketAddress listen) {
         List<Target> localized =
-                startTimes.withLocalStartTimes(ListKind.CACHED, initialServers, System.currentTimeMillis());
-        recordServers(ListKind.CACHED, localized);
+                startTimes.withLocalStartTimes(EndpointListKind.CACHED, initialServers, System.currentTimeMillis());
+        recordServers(EndpointListKind.CACHED, localized);
         localEngine.start(discovery, localized);
-        CompletableFuture<Doors> started = new CompletableFuture<>();
+        CompletableFuture<ListenAddresses> started = new CompletableFuture<>();
         ChannelFuture linkBinding = linkRequestHandler.listen();
         ChannelFuture clientBinding = frontend.listen(loop, listen);
         ChannelFuture grpcBinding = grpc == null ? clientBinding : grpc.listen();
@@ -206,9 +207,9 @@
                         started.completeExceptionally(new IOException("listening failed: " + cause.getMessage()));
                         return;
                     }
-                    frontend.ready();
+                    frontend.markReady();
                     if (grpc != null) {
-                        grpc.ready(true);
+                        grpc.setReady(true);
                     }
                     if (tls != null) {
                         loop.scheduleWithFixedDelay(
@@ -217,7 +218,7 @@
                                 certificateCheckNanos,
                                 TimeUnit.NANOSECONDS);
                     }
-                    Doors addresses = new Doors(
+                    ListenAddresses addresses = new ListenAddresses(
                             (InetSocketAddress) clientBinding.channel().localAddress(),
                             (InetSocketAddress) linkBinding.channel().localAddress());
                     log.info("started", "", "clients at " + addresses.clients + ", sites at " + addresses.sites);
@@ -239,33 +240,33 @@
     }
 
     /** Applies an update of the local site's server list. */
-    public void listed(ListKind kind, List<Target> targets) {
+    public void updateEndpoints(EndpointListKind kind, List<Target> targets) {
         List<Target> localized = startTimes.withLocalStartTimes(kind, targets, System.currentTimeMillis());
         recordServers(kind, localized);
-        localEngine.listed(kind, localized);
+        localEngine.updateEndpoints(kind, localized);
     }
 
-    private void recordServers(ListKind kind, List<Target> targets) {
-        if (kind == ListKind.FULL) {
+    private void recordServers(EndpointListKind kind, List<Target> targets) {
+        if (kind == EndpointListKind.FULL) {
             servers.clear();
         }
         targets.forEach(target -> servers.put(target.uid(), target));
-        servers.values().removeIf(each -> each.state() == State.GONE);
+        servers.values().removeIf(each -> each.state() == UpstreamState.GONE);
         LongSummaryStatistics startMillis = servers.values().stream()
-                .filter(each -> each.state() == State.READY)
+                .filter(each -> each.state() == UpstreamState.READY)
                 .mapToLong(Target::startedMs)
                 .summaryStatistics();
         long nowMillis = System.currentTimeMillis();
-        if (kind != ListKind.FAILED && startMillis.getCount() == 0) {
+        if (kind != EndpointListKind.FAILED && startMillis.getCount() == 0) {
             localSite.noServerReady(clock.getAsLong());
         } else if (startMillis.getCount() > 0
                 && startMillis.getMax() != latestStartMillis
-                && nowMillis - startMillis.getMin() < safetyLimits.rampTime() / 1_000_000) {
+                && nowMillis - startMillis.getMin() < safetyLimits.rampNanos() / 1_000_000) {
             latestStartMillis = startMillis.getMax();
             localSite.serversStarted(
                     clock.getAsLong() - Math.max(0, nowMillis - latestStartMillis) * 1_000_000,
-                    safetyLimits.coldShare(),
-                    safetyLimits.rampTime());
+                    safetyLimits.coldCapacityFraction(),
+                    safetyLimits.rampNanos());
         }
         logLocalSiteState();
     }
@@ -301,8 +302,8 @@
     }
 
     /** Whether no request is open. */
-    public boolean idle() {
-        return dispatcher.openRequests() == 0 && localEngine.idle();
+    public boolean isIdle() {
+        return dispatcher.openRequests() == 0 && localEngine.isIdle();
     }
 
     /**
--- a/src/main/java/pondridge/gateway/GatewaySettings.java
+++ b/src/main/java/pondridge/gateway/GatewaySettings.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import pondridge.Balancer.RequestClass;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.http2.Http2Options;
 import pondridge.settings.Section;
 import pondridge.settings.SettingsException;
@@ -30,7 +30,7 @@
  *     gateway starts
  * @param link settings of links
  * @param crossSite limits of requests sent to other sites
- * @param sites the other sites' gateways, by the site's name
+ * @param remoteSites the other sites' gateways, by the site's name
  * @param upstreams transport to the local site's servers
  * @param store the store shared with the site's other gateways; null for none
  * @param sitePlan the site topology for planning the loss of sites; null for none
@@ -42,7 +42,7 @@
         long maxClockErrorNanos,
         Link link,
         CrossSite crossSite,
-        Map<String, List<InetSocketAddress>> sites,
+        Map<String, List<InetSocketAddress>> remoteSites,
         TransportSettings upstreams,
         StoreSettings store,
         Topology sitePlan) {
@@ -103,21 +103,21 @@
      * @param localSite thresholds for the state of the local site
      */
     record CrossSite(
-            CrossingBudget.Rate common,
+            CrossSiteBudget.Rate common,
             double sitePerSecond,
-            Map<String, CrossingBudget.ClassLimit> classes,
+            Map<String, CrossSiteBudget.ClassLimit> classes,
             long minWorkNanos,
-            OwnSite.Limits localSite) {
+            LocalSiteHealth.Limits localSite) {
         /** The limits by class number. */
-        List<CrossingBudget.ClassLimit> classLimits(List<String> names, List<RequestClass> requestClasses) {
-            List<CrossingBudget.ClassLimit> limits = new ArrayList<>();
+        List<CrossSiteBudget.ClassLimit> classLimits(List<String> names, List<RequestClass> requestClasses) {
+            List<CrossSiteBudget.ClassLimit> limits = new ArrayList<>();
             for (int i = 0; i < names.size(); i++) {
-                CrossingBudget.ClassLimit configured = classes.get(names.get(i));
+                CrossSiteBudget.ClassLimit configured = classes.get(names.get(i));
                 double reservedFraction = configured == null || configured.reservedFraction() < 0
-                        ? CrossingBudget.defaultReservedFraction(requestClasses, i)
+                        ? CrossSiteBudget.defaultReservedFraction(requestClasses, i)
                         : configured.reservedFraction();
-                limits.add(
-                        new CrossingBudget.ClassLimit(configured == null ? null : configured.rate(), reservedFraction));
+                limits.add(new CrossSiteBudget.ClassLimit(
+                        configured == null ? null : configured.rate(), reservedFraction));
             }
             return limits;
         }
@@ -127,8 +127,8 @@
      * Checks that the settings are consistent with the platform's options; throws {@link SettingsException}
      * if not.
      */
-    public void agree(Options platformOptions) {
-        List<String> platformClasses = platformOptions.names("profiles");
+    public void validateAgainst(BalancerOptions platformOptions) {
+        List<String> platformClasses = platformOptions.objectNames("profiles");
         crossSite.classes.keySet().stream()
                 .filter(name -> !platformClasses.contains(name))
                 .findFirst()
@@ -140,7 +140,7 @@
                 });
         List<String> plannedClasses = sitePlan == null
                 ? platformClasses
-                : sitePlan.classes().stream().map(Topology.Kind::name).toList();
+                : sitePlan.classes().stream().map(Topology.TrafficClass::name).toList();
         platformClasses.stream()
                 .filter(name -> !plannedClasses.contains(name))
                 .findFirst()
@@ -156,7 +156,7 @@
     public static GatewaySettings read(Path path) {
         SettingsFile file = SettingsFile.read(path);
         GatewaySettings settings = of(file, path.toAbsolutePath().getParent());
-        file.finish();
+        file.rejectUnknownKeys();
         return settings;
     }
 
@@ -166,50 +166,49 @@
         String site = gateway.text("site", null);
         Path platform = folder.resolve(gateway.text("platform", null));
         Section crossing = file.section("crossing");
-        CrossingBudget.Rate ofSite = rate(crossing, 200, 200);
+        CrossSiteBudget.Rate ofSite = rate(crossing, 200, 200);
         int gateways = crossing.number("gateways", 1, 1, 1000);
-        CrossingBudget.Rate common = new CrossingBudget.Rate(
+        CrossSiteBudget.Rate common = new CrossSiteBudget.Rate(
                 ofSite.perSecond() / gateways, Math.max(1, ofSite.burst() / gateways), ofSite.arrivalShare());
-        Map<String, CrossingBudget.ClassLimit> classes = new LinkedHashMap<>();
+        Map<String, CrossSiteBudget.ClassLimit> classes = new LinkedHashMap<>();
         file.section("crossing_classes")
-                .sections()
+                .subsections()
                 .forEach((name, section) -> classes.put(
                         name,
-                        new CrossingBudget.ClassLimit(
-                                rate(section, common.perSecond(), common.burst()),
-                                section.fraction("kept", -1, 0, 1))));
+                        new CrossSiteBudget.ClassLimit(
+                                rate(section, common.perSecond(), common.burst()), section.decimal("kept", -1, 0, 1))));
         CrossSite crossSite = new CrossSite(
                 common,
                 ofSite.perSecond(),
                 classes,
-                crossing.time("least_work", "10ms", "1ms", "10s"),
-                new OwnSite.Limits(
+                crossing.durationNanos("least_work", "10ms", "1ms", "10s"),
+                new LocalSiteHealth.Limits(
                         crossing.number("misses", 5, 1, 1000),
-                        crossing.time("trial", "200ms", "10ms", "1min"),
-                        crossing.time("steady", "1s", "10ms", "10min"),
-                        crossing.fraction("return_share", 0.05, 0.001, 1),
-                        crossing.time("doubling", "1s", "10ms", "10min")));
+                        crossing.durationNanos("trial", "200ms", "10ms", "1min"),
+                        crossing.durationNanos("steady", "1s", "10ms", "10min"),
+                        crossing.decimal("return_share", 0.05, 0.001, 1),
+                        crossing.durationNanos("doubling", "1s", "10ms", "10min")));
         Map<String, List<InetSocketAddress>> remoteSites = new LinkedHashMap<>();
-        file.section("sites").sections().forEach((name, section) -> {
+        file.section("sites").subsections().forEach((name, section) -> {
             if (name.equals(site)) {
-                throw section.contradiction("gateways", "this is the local site");
+                throw section.invalid("gateways", "this is the local site");
             }
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (String each : section.texts("gateways")) {
                 addresses.add(address(section, "gateways", each));
             }
             if (addresses.isEmpty() || new HashSet<>(addresses).size() < addresses.size()) {
-                throw section.contradiction("gateways", "expected at least one address, each once");
+                throw section.invalid("gateways", "expected at least one address, each once");
             }
             remoteSites.put(name, addresses);
         });
-        long maxClockErrorNanos = gateway.time("clock_error", "1s", "0ms", "10min");
-        Topology sitePlan = file.has("site_plan") ? SitePlanSettings.of(file) : null;
+        long maxClockErrorNanos = gateway.durationNanos("clock_error", "1s", "0ms", "10min");
+        Topology sitePlan = file.hasSection("site_plan") ? SitePlanSettings.of(file) : null;
         List<String> plannedSites = sitePlan == null
                 ? List.of()
                 : sitePlan.sites().stream().map(Topology.Site::name).toList();
         if (sitePlan != null && !(plannedSites.contains(site) && plannedSites.containsAll(remoteSites.keySet()))) {
-            throw file.section("site_plan").contradiction("sites", "expected " + site + " and all of [sites]");
+            throw file.section("site_plan").invalid("sites", "expected " + site + " and all of [sites]");
         }
         return new GatewaySettings(
                 file.name(),
@@ -220,23 +219,23 @@
                 crossSite,
                 remoteSites,
                 TransportSettings.of(file, folder),
-                file.has("store") ? StoreSettings.of(file, folder) : null,
+                file.hasSection("store") ? StoreSettings.of(file, folder) : null,
                 sitePlan);
     }
 
-    private static CrossingBudget.Rate rate(Section section, double defaultPerSecond, double defaultBurst) {
-        return new CrossingBudget.Rate(
-                section.fraction("per_second", defaultPerSecond, 0, 1e6),
-                section.fraction("burst", defaultBurst, 1, 1e6),
-                section.fraction("share", 1, 0, 1));
+    private static CrossSiteBudget.Rate rate(Section section, double defaultPerSecond, double defaultBurst) {
+        return new CrossSiteBudget.Rate(
+                section.decimal("per_second", defaultPerSecond, 0, 1e6),
+                section.decimal("burst", defaultBurst, 1, 1e6),
+                section.decimal("share", 1, 0, 1));
     }
 
     private static Link link(SettingsFile file, Path folder) {
         Section section = file.section("link");
         InetSocketAddress listen = address(section, "listen", section.text("listen", null));
-        boolean plainText = "plain".equals(section.word("security", "mutual-tls", List.of("mutual-tls", "plain")));
+        boolean plainText = "plain".equals(section.choice("security", "mutual-tls", List.of("mutual-tls", "plain")));
         if (plainText && !listen.getAddress().isLoopbackAddress()) {
-            throw section.contradiction("security", "plain text is for loopback addresses only");
+            throw section.invalid("security", "plain text is for loopback addresses only");
         }
         Tls tls = plainText
                 ? null
@@ -244,28 +243,28 @@
                         folder.resolve(section.text("certificate", null)),
                         folder.resolve(section.text("key", null)),
                         folder.resolve(section.text("authorities", null)));
-        long heartbeatNanos = section.time("beat", "50ms", "5ms", "10s");
-        long maxDeliveryNanos = section.time("freshness", "400ms", "20ms", "10s");
+        long heartbeatNanos = section.durationNanos("beat", "50ms", "5ms", "10s");
+        long maxDeliveryNanos = section.durationNanos("freshness", "400ms", "20ms", "10s");
         if (maxDeliveryNanos < 2 * heartbeatNanos) {
-            throw section.contradiction("freshness", "less than two heartbeat intervals: timestamps would be too old");
+            throw section.invalid("freshness", "less than two heartbeat intervals: timestamps would be too old");
         }
         return new Link(
                 listen,
                 tls,
                 heartbeatNanos,
-                section.time("stall", "150ms", "5ms", "10s"),
-                section.fraction("stall_factor", 4, 1, 100),
+                section.durationNanos("stall", "150ms", "5ms", "10s"),
+                section.decimal("stall_factor", 4, 1, 100),
                 maxDeliveryNanos,
                 section.number("streams", 200, 1, 10_000),
                 section.number("connections", 64, 1, 10_000),
                 section.number("credit", 400, 1, 100_000),
-                section.time("idle", "10s", "100ms", "60min"),
-                section.time("transfer", "2500ms", "100ms", "1min"),
-                section.size("held_bytes", "32MiB", "64KiB", "1024MiB"),
-                section.time("look", "10s", "10ms", "60min"),
+                section.durationNanos("idle", "10s", "100ms", "60min"),
+                section.durationNanos("transfer", "2500ms", "100ms", "1min"),
+                section.sizeBytes("held_bytes", "32MiB", "64KiB", "1024MiB"),
+                section.durationNanos("look", "10s", "10ms", "60min"),
                 section.number("lanes", 8, 1, 64),
                 section.number("answers", 20_000, 1, 10_000_000),
-                section.size("answer_bytes", "16MiB", "1KiB", "1024MiB"),
+                section.sizeBytes("answer_bytes", "16MiB", "1KiB", "1024MiB"),
                 Http2Options.of(file.section("link_http2")));
     }
 
@@ -275,7 +274,7 @@
         try {
             return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw section.contradiction(key, "expected an address and a port, found \"" + text + '"');
+            throw section.invalid(key, "expected an address and a port, found \"" + text + '"');
         }
     }
 }
--- a/src/main/java/pondridge/gateway/AnswerMemory.java
+++ b/src/main/java/pondridge/gateway/IdempotencyCache.java
@@ -17,7 +17,7 @@
  * @param <W> waiters for a response
  * @param <R> responses
  */
-final class AnswerMemory<W, R> {
+final class IdempotencyCache<W, R> {
     /** How to handle a request. */
     enum Decision {
         /** Run it and call {@link #complete}. */
@@ -65,7 +65,7 @@
      * @param maxBytes of all responses in it
      * @param maxWaiters that may wait for one run, the first included
      */
-    AnswerMemory(int maxEntries, long maxBytes, int maxWaiters) {
+    IdempotencyCache(int maxEntries, long maxBytes, int maxWaiters) {
         this.maxEntries = maxEntries;
         this.maxBytes = maxBytes;
         this.maxWaiters = maxWaiters;
--- a/src/main/java/pondridge/gateway/LinkListener.java
+++ b/src/main/java/pondridge/gateway/LinkListener.java
@@ -18,11 +18,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import pondridge.http2.Door;
-import pondridge.http2.HeldBytes;
+import pondridge.http2.BufferBudget;
+import pondridge.http2.Http2Server;
 
 /**
- * Listens for other sites' gateways by a {@link Door} and bounds on each stream the time and the memory that
+ * Listens for other sites' gateways by a {@link Http2Server} and bounds on each stream the time and the memory that
  * receiving a request may take. On the event loop only.
  */
 final class LinkListener {
@@ -31,7 +31,7 @@
 
     private final GatewaySettings.Link link;
     private final Log log;
-    private final Door listener;
+    private final Http2Server listener;
 
     /**
      * A listener that does not listen yet.
@@ -44,18 +44,18 @@
             LinkTls tls,
             Log log,
             LongSupplier clock,
-            Function<HeldBytes.Share, ChannelHandler> exchanges) {
+            Function<BufferBudget.ConnectionShare, ChannelHandler> exchanges) {
         this.link = link;
         this.log = log;
-        this.listener = new Door(
+        this.listener = new Http2Server(
                 loop,
-                new Door.Limits(
+                new Http2Server.Limits(
                         link.listen(),
                         link.maxConnections(),
                         link.maxStreamsPerConnection(),
                         link.idleTimeoutNanos(),
                         MAX_HEADER_BYTES,
-                        link.http2().controlFrames(),
+                        link.http2().controlFramesPerSecond(),
                         link.maxHeldBytes(),
                         0,
                         0),
@@ -67,7 +67,9 @@
     }
 
     private void streamOpened(
-            Channel stream, HeldBytes.Share share, Function<HeldBytes.Share, ChannelHandler> exchanges) {
+            Channel stream,
+            BufferBudget.ConnectionShare share,
+            Function<BufferBudget.ConnectionShare, ChannelHandler> exchanges) {
         stream.pipeline()
                 .addLast(
                         new Http2StreamFrameToHttpObjectCodec(true),
@@ -87,20 +89,20 @@
 
     /** Bytes of requests and responses that are held for links. */
     long heldBytes() {
-        return listener.heldBytes();
+        return listener.bufferedBytes();
     }
 
     void close() {
-        listener.close();
+        listener.stopAccepting();
     }
 
     /** Bounds how long one request may take to arrive and counts its bytes as held until its stream ends. */
     private final class RequestGuard extends ChannelInboundHandlerAdapter {
-        private final HeldBytes.Share share;
+        private final BufferBudget.ConnectionShare share;
         private Future<?> timeout;
         private long heldBytes;
 
-        RequestGuard(HeldBytes.Share share) {
+        RequestGuard(BufferBudget.ConnectionShare share) {
             this.share = share;
         }
 
@@ -124,7 +126,7 @@
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof HttpContent content) {
                 int contentBytes = content.content().readableBytes();
-                if (contentBytes > 0 && !share.take(contentBytes)) {
+                if (contentBytes > 0 && !share.tryReserve(contentBytes)) {
                     ReferenceCountUtil.release(message);
                     log.warn(
                             "link_held",
@@ -153,7 +155,7 @@
         @Override
         public void handlerRemoved(ChannelHandlerContext context) {
             timeout.cancel(false);
-            share.give(heldBytes);
+            share.release(heldBytes);
             heldBytes = 0;
         }
     }
--- a/src/main/java/pondridge/gateway/LinkRequestHandler.java
+++ b/src/main/java/pondridge/gateway/LinkRequestHandler.java
@@ -29,14 +29,14 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import pondridge.Balancer.Semantics;
-import pondridge.core.Answer;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.core.AttemptSummary;
 import pondridge.core.Client;
+import pondridge.core.DisconnectDetector;
 import pondridge.core.Job;
 import pondridge.core.JobReader;
-import pondridge.core.Tried;
-import pondridge.core.Unread;
-import pondridge.http2.HeldBytes;
+import pondridge.core.UpstreamResponse;
+import pondridge.http2.BufferBudget;
 
 /**
  * Handles the requests of other sites' gateways. A request is accepted if the peer's site is authenticated,
@@ -58,11 +58,11 @@
     private final Set<String> sites;
     private final Dispatcher dispatcher;
     private final JobReader reader;
-    private final Stamps timestamps;
+    private final EchoedTimestamps timestamps;
     private final Log log;
-    private final AnswerMemory<Exchange, CachedResponse> idempotencyCache;
+    private final IdempotencyCache<Exchange, CachedResponse> idempotencyCache;
     private final Map<String, CreditControl> credits = new HashMap<>();
-    private final Views stateReports = new Views();
+    private final SiteStateReports stateReports = new SiteStateReports();
     private long deduplicated;
     private boolean draining;
 
@@ -82,10 +82,10 @@
         this.sites = sites;
         this.dispatcher = dispatcher;
         this.reader = reader;
-        this.timestamps = new Stamps(epoch, link.maxDeliveryNanos());
+        this.timestamps = new EchoedTimestamps(epoch, link.maxDeliveryNanos());
         this.log = log;
         this.idempotencyCache =
-                new AnswerMemory<>(link.maxCachedResponses(), link.maxCachedResponseBytes(), MAX_WAITERS_PER_RUN);
+                new IdempotencyCache<>(link.maxCachedResponses(), link.maxCachedResponseBytes(), MAX_WAITERS_PER_RUN);
     }
 
     ChannelFuture listen() {
@@ -135,17 +135,17 @@
 
     /** One stream: a heartbeat, or a request and its response. */
     private final class Exchange extends SimpleChannelInboundHandler<FullHttpRequest> implements Client {
-        private final HeldBytes.Share share;
+        private final BufferBudget.ConnectionShare share;
         private Channel stream;
         private String site;
         private String cacheKey;
         private long responseTtlNanos;
         private boolean holdsCredit;
         private boolean responded;
-        private Tried lastAttempts = new Tried(0, 0, false);
+        private AttemptSummary lastAttempts = new AttemptSummary(0, 0, false);
         private long requestId;
 
-        Exchange(HeldBytes.Share share) {
+        Exchange(BufferBudget.ConnectionShare share) {
             this.share = share;
         }
 
@@ -178,7 +178,7 @@
                 reject("stale", "a request was on its way for longer than the link allows");
             } else if (draining) {
                 reject("draining", "this gateway is shutting down");
-            } else if (!share.room()) {
+            } else if (!share.hasCapacity()) {
                 reject("unread", "the peer does not read its responses");
             } else if (!credit(site).tryTake()) {
                 reject("credit", "no credit left");
@@ -191,28 +191,28 @@
         private void process(FullHttpRequest request) {
             Job job;
             try {
-                long timeLeftNanos = JobReader.number(request.headers(), LinkHeaders.TIME_LEFT) * 1_000_000;
+                long timeLeftNanos = JobReader.parseNumber(request.headers(), LinkHeaders.TIME_LEFT) * 1_000_000;
                 HttpHeaders headers = request.headers().copy();
                 headers.names().stream()
                         .filter(name -> name.startsWith(LinkHeaders.PREFIX) || name.startsWith("x-http2-"))
                         .forEach(headers::remove);
                 job = reader.read(request.method(), request.uri(), headers)
-                        .with(ByteBufUtil.getBytes(request.content()));
-                job = job.within(Math.min(timeLeftNanos, job.waitMs() * 1_000_000));
+                        .withBody(ByteBufUtil.getBytes(request.content()));
+                job = job.withTimeLeft(Math.min(timeLeftNanos, job.clientTimeoutMillis() * 1_000_000));
             } catch (IllegalArgumentException e) {
                 log.warn("link_request", site, e.getMessage());
                 respond(HttpResponseStatus.BAD_REQUEST, new byte[0], null);
                 return;
             }
-            if (reader.kind(job).semantics() != Semantics.BY_KEY) {
+            if (reader.requestClass(job).retrySemantics() != RetrySemantics.BY_KEY) {
                 requestId = dispatcher.submitFromLink(job, this);
                 return;
             }
             // A keyed request runs to its end even if its stream is closed, so that the repeat gets its
             // response.
             String key = job.requestClass() + "/" + job.tenant() + '/'
-                    + job.headers().get(JobReader.KEY);
-            responseTtlNanos = reader.kind(job).keyTtl();
+                    + job.headers().get(JobReader.IDEMPOTENCY_KEY_HEADER);
+            responseTtlNanos = reader.requestClass(job).keyTtlNanos();
             switch (idempotencyCache.admit(key, digest(job), this, clock.getAsLong())) {
                 case RUN -> {
                     cacheKey = key;
@@ -229,7 +229,7 @@
                 case JOINED -> deduplicated++;
                 default -> {
                     log.warn("link_conflict", site, "the key belongs to a different request, or too many wait for it");
-                    reject("conflict", "key " + job.headers().get(JobReader.KEY));
+                    reject("conflict", "key " + job.headers().get(JobReader.IDEMPOTENCY_KEY_HEADER));
                 }
             }
         }
@@ -243,19 +243,19 @@
         }
 
         @Override
-        public boolean here(boolean late) {
+        public boolean isConnected(boolean late) {
             // A keyed request runs to its end even if all waiters have disconnected; it has no request ID to
             // cancel.
-            return requestId == 0 || Unread.open(stream.parent(), late) && stream.isActive();
+            return requestId == 0 || DisconnectDetector.isConnected(stream.parent(), late) && stream.isActive();
         }
 
         @Override
-        public void tried(Tried attempts) {
+        public void reportAttempts(AttemptSummary attempts) {
             lastAttempts = attempts;
         }
 
         @Override
-        public void served(Answer response) {
+        public void served(UpstreamResponse response) {
             List<Exchange> waiters =
                     completeRun(new CachedResponse(response.headers(), response.body()), response.body().length);
             waiters.forEach(each -> each.respond(HttpResponseStatus.OK, response.body(), response.headers()));
@@ -278,13 +278,13 @@
                     : idempotencyCache.complete(cacheKey, cached, sizeBytes, responseTtlNanos, clock.getAsLong());
         }
 
-        private void respondUnserved(Tried attempts) {
+        private void respondUnserved(AttemptSummary attempts) {
             if (attempts.mayHaveRun()) {
                 respond(HttpResponseStatus.BAD_GATEWAY, new byte[0], null);
             } else {
                 FullHttpResponse response = newResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
                 response.headers().set(LinkHeaders.NOT_EXECUTED, "1");
-                send(response, attempts.reached() > 0 || attempts.sent() == 0);
+                send(response, attempts.responsesReceived() > 0 || attempts.attemptsSent() == 0);
             }
         }
 
@@ -325,14 +325,14 @@
                         .set(LinkHeaders.CREDIT, draining ? 0 : credit(site).credit());
             }
             int sizeBytes = response.content().readableBytes();
-            share.add(sizeBytes);
+            share.reserve(sizeBytes);
             ChannelFuture written = stream.writeAndFlush(response);
             Future<?> timeout = written.isDone()
                     ? null
                     : stream.eventLoop()
                             .schedule(this::resetUnreadResponse, link.transferTimeoutNanos(), TimeUnit.NANOSECONDS);
             written.addListener(done -> {
-                share.give(sizeBytes);
+                share.release(sizeBytes);
                 if (timeout != null) {
                     timeout.cancel(false);
                 }
@@ -353,7 +353,7 @@
             if (requestId != 0 && !responded) {
                 responded = true;
                 credit(site).requestEnded(false, clock.getAsLong());
-                dispatcher.hangup(requestId);
+                dispatcher.clientDisconnected(requestId);
             }
         }
 
--- a/src/main/java/pondridge/gateway/LinkTimes.java
+++ b/src/main/java/pondridge/gateway/LinkRttEstimator.java
@@ -4,7 +4,7 @@
  * Estimates the round-trip time of the link to one gateway and detects stalls. Smoothed as in TCP (RFC 6298,
  * section 2), from round trips that involve no server's work. Times are in nanoseconds.
  */
-final class LinkTimes {
+final class LinkRttEstimator {
     private final long minStallNanos;
     private final double stallFactor;
     private double smoothedRttNanos = -1;
@@ -19,7 +19,7 @@
      * @param minStallNanos the shortest silence that counts as a stall
      * @param stallFactor the multiple of the round-trip estimate that counts as a stall, where that is longer
      */
-    LinkTimes(long minStallNanos, double stallFactor, long now) {
+    LinkRttEstimator(long minStallNanos, double stallFactor, long now) {
         this.minStallNanos = minStallNanos;
         this.stallFactor = stallFactor;
         this.receivedAt = now;
--- a/src/main/java/pondridge/gateway/LinkTransport.java
+++ b/src/main/java/pondridge/gateway/LinkTransport.java
@@ -38,19 +38,19 @@
     }
 
     @Override
-    public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
+    public void updateEndpoint(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
         if (gatewayByEndpoint.containsKey(upstream)) {
             return;
         }
         if (gatewayByAddress.putIfAbsent(address, upstream) == null) {
-            connections.listed(upstream, address, startedMs, true);
+            connections.updateEndpoint(upstream, address, startedMs, true);
             newGatewayListener.accept(address, upstream);
         }
         gatewayByEndpoint.put(upstream, gatewayByAddress.get(address));
     }
 
     @Override
-    public void gone(long upstream) {
+    public void removeEndpoint(long upstream) {
         // The gateways of another site are set in the configuration: none is removed while the program runs.
     }
 
@@ -66,7 +66,10 @@
         job.headers().set(LinkHeaders.TIMESTAMP, timestamps.get(gateway)).set(LinkHeaders.TIME_LEFT, timeLeftMillis);
         inFlight.merge(gateway, 1, Integer::sum);
         return connections.send(
-                gateway, job, timeoutNanos, listener.after(outcome -> inFlight.merge(gateway, -1, Integer::sum)));
+                gateway,
+                job,
+                timeoutNanos,
+                listener.withCallback(outcome -> inFlight.merge(gateway, -1, Integer::sum)));
     }
 
     /** Sends a heartbeat, which needs no timestamp and does not count as in flight. */
--- a/src/main/java/pondridge/gateway/OwnSite.java
+++ b/src/main/java/pondridge/gateway/LocalSiteHealth.java
@@ -6,8 +6,8 @@
  * returns as a share that doubles, since servers may be cold and queues full. Each relapse lengthens the wait
  * before the next return, so that a flapping link does not cause load surges. Times are in nanoseconds.
  */
-final class OwnSite {
-    /** State of the local site. The names are part of the heartbeat, see {@link Views}. */
+final class LocalSiteHealth {
+    /** State of the local site. The names are part of the heartbeat, see {@link SiteStateReports}. */
     enum State {
         IN,
         CUT,
@@ -42,7 +42,7 @@
     private double coldCapacityFraction;
     private long rampNanos;
 
-    OwnSite(Limits limits, long now) {
+    LocalSiteHealth(Limits limits, long now) {
         this.limits = limits;
         this.stateSince = now;
     }
@@ -93,7 +93,7 @@
      * The views of the gateways thus differ for a few heartbeats and one trial, not for as long as each would
      * need alone.
      */
-    void applyPeerReports(Views.StateCounts counts, long now) {
+    void applyPeerReports(SiteStateReports.StateCounts counts, long now) {
         if (state == State.CUT && trialsSucceedingSince >= 0 && counts.returning() + counts.in() > 0) {
             reason = "a trial succeeded and another gateway reports the site as returning or in";
             startReturn(now);
--- a/src/main/java/pondridge/gateway/Pressure.java
+++ b/src/main/java/pondridge/gateway/LocalSloMonitor.java
@@ -5,7 +5,7 @@
  * the local site. Other sites' requests then have to be reduced, since the clients of a site that has failed
  * nowhere take precedence. Uses counts only, no times.
  */
-final class Pressure {
+final class LocalSloMonitor {
     private static final double TOLERATED_MISS_RATE = 0.05;
     private static final double OVERLOAD_SCORE = 2;
     private double missScore;
--- a/src/main/java/pondridge/gateway/Log.java
+++ b/src/main/java/pondridge/gateway/Log.java
@@ -18,7 +18,7 @@
     private static final long WINDOW_NANOS = 1_000_000_000;
 
     /** Limits the lines of one kind of event and counts those left out. */
-    static final class LineBudget {
+    static final class LineRateLimiter {
         private long windowStart;
         private int written;
         private int suppressed;
@@ -41,7 +41,7 @@
     }
 
     private final String site;
-    private final Map<String, LineBudget> limiters = new HashMap<>();
+    private final Map<String, LineRateLimiter> limiters = new HashMap<>();
 
     Log(String site) {
         this.site = site;
@@ -74,6 +74,6 @@
     }
 
     private synchronized int admit(String event) {
-        return limiters.computeIfAbsent(event, each -> new LineBudget()).acquire(System.nanoTime());
+        return limiters.computeIfAbsent(event, each -> new LineRateLimiter()).acquire(System.nanoTime());
     }
 }
--- a/src/main/java/pondridge/gateway/RemoteSite.java
+++ b/src/main/java/pondridge/gateway/RemoteSite.java
@@ -14,15 +14,15 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
-import pondridge.Balancer.State;
-import pondridge.Options;
-import pondridge.core.Answer;
-import pondridge.core.Directory;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Engine;
 import pondridge.core.Job;
 import pondridge.core.Target;
+import pondridge.core.UpstreamResponse;
 import pondridge.http2.Http2Upstreams;
 
 /**
@@ -42,15 +42,16 @@
     /**
      * What heartbeats exchange about the local site.
      *
-     * @param stateReport how this gateway sees its site, in the form of {@link Views#format}
+     * @param stateReport how this gateway sees its site, in the form of {@link SiteStateReports#format}
      * @param peerReports receives how the site's other gateways see it
      */
-    record LocalSiteInfo(String name, Supplier<String> stateReport, Consumer<Views.StateCounts> peerReports) {}
+    record LocalSiteInfo(
+            String name, Supplier<String> stateReport, Consumer<SiteStateReports.StateCounts> peerReports) {}
 
     private final class RemoteGateway {
         private final String name;
         private final InetSocketAddress address;
-        private final LinkTimes rtt;
+        private final LinkRttEstimator rtt;
         private long id;
         private int credit;
         private int missedHeartbeats = 1;
@@ -60,7 +61,7 @@
         RemoteGateway(String name, InetSocketAddress address, long now) {
             this.name = name;
             this.address = address;
-            this.rtt = new LinkTimes(link.minStallNanos(), link.stallFactor(), now);
+            this.rtt = new LinkRttEstimator(link.minStallNanos(), link.stallFactor(), now);
         }
 
         private boolean isUsable(long now) {
@@ -76,7 +77,7 @@
          * for it.
          */
         private List<Target> targets() {
-            State state = ready ? State.READY : State.DRAINING;
+            UpstreamState state = ready ? UpstreamState.READY : UpstreamState.DRAINING;
             return IntStream.range(0, link.entriesPerGateway())
                     .mapToObj(entry -> new Target(name + '/' + entry, address, site, "gateway", 0, state, 1, 0))
                     .toList();
@@ -107,7 +108,7 @@
             String site,
             List<InetSocketAddress> addresses,
             GatewaySettings.Link link,
-            Options options,
+            BalancerOptions options,
             Http2Upstreams connections,
             long seed,
             int maxOpenRequests,
@@ -142,7 +143,7 @@
         }
         engine = engineFactory.get();
         engine.start(
-                new Directory() {
+                new EndpointDiscovery() {
                     @Override
                     public void watch(boolean on) {}
 
@@ -160,11 +161,11 @@
      * The options of an engine whose endpoints are gateways: those of the site, except that a repeat may
      * arrive up to {@code maxDeliveryNanos} late, gateways are not probed, and the list is pushed.
      */
-    static Options engineOptions(Options platform, long maxDeliveryNanos) {
+    static BalancerOptions engineOptions(BalancerOptions platform, long maxDeliveryNanos) {
         StringBuilder overrides = new StringBuilder("discovery=automatic\ncaps.mayProbe=false\nreport.fields=\n");
         int classes = platform.settings().classes().size();
         for (int i = 0; i < classes; i++) {
-            long keyWindowNanos = platform.settings().classes().get(i).keyTtl();
+            long keyWindowNanos = platform.settings().classes().get(i).keyTtlNanos();
             overrides
                     .append("profiles.")
                     .append(i)
@@ -172,7 +173,7 @@
                     .append(Math.max(0, keyWindowNanos - maxDeliveryNanos))
                     .append('\n');
         }
-        return platform.with(overrides.toString());
+        return platform.withOverrides(overrides.toString());
     }
 
     Engine engine() {
@@ -184,10 +185,10 @@
      * all gateways.
      */
     Router.SiteSnapshot snapshot(long now) {
-        LinkTimes nearest = null;
+        LinkRttEstimator nearest = null;
         int credit = 0;
         int inFlight = 0;
-        LinkTimes anyUsable = null;
+        LinkRttEstimator anyUsable = null;
         for (RemoteGateway each : gateways) {
             int freeCredit = each.isUsable(now) ? each.freeCredit() : 0;
             credit += freeCredit;
@@ -197,7 +198,7 @@
             }
             anyUsable = each.isUsable(now) ? each.rtt : anyUsable;
         }
-        LinkTimes fallback = anyUsable == null ? gateways.get(0).rtt : anyUsable;
+        LinkRttEstimator fallback = anyUsable == null ? gateways.get(0).rtt : anyUsable;
         return new Router.SiteSnapshot(nearest == null ? fallback : nearest, anyUsable != null, credit, inFlight);
     }
 
@@ -241,7 +242,7 @@
         });
     }
 
-    private boolean applyHeartbeat(RemoteGateway gateway, Answer response) {
+    private boolean applyHeartbeat(RemoteGateway gateway, UpstreamResponse response) {
         String timestamp = response.headers().get(LinkHeaders.TIMESTAMP);
         Integer credit = response.headers().getInt(LinkHeaders.CREDIT);
         if (timestamp == null
@@ -256,7 +257,8 @@
         }
         transport.setTimestamp(gateway.id, timestamp);
         gateway.credit = credit;
-        localSite.peerReports.accept(Views.StateCounts.parse(response.headers().get(LinkHeaders.PEER_STATES)));
+        localSite.peerReports.accept(
+                SiteStateReports.StateCounts.parse(response.headers().get(LinkHeaders.PEER_STATES)));
         return true;
     }
 
@@ -278,7 +280,7 @@
             if (firstUp) {
                 startEngine();
             } else {
-                engine.listed(ListKind.DELTA, gateway.targets());
+                engine.updateEndpoints(EndpointListKind.DELTA, gateway.targets());
             }
         }
     }
--- a/src/main/java/pondridge/gateway/Router.java
+++ b/src/main/java/pondridge/gateway/Router.java
@@ -5,10 +5,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
-import pondridge.siteloss.Split;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.siteloss.SiteFailoverRouting;
 
 /**
  * Decides the next step of a request from its class and its attempts so far: the local site's servers,
@@ -49,7 +49,7 @@
      * @param reachable some gateway there can be reached
      * @param credit how many more requests it takes now, besides the {@code inFlight} ones
      */
-    record SiteSnapshot(LinkTimes link, boolean reachable, int credit, int inFlight) {
+    record SiteSnapshot(LinkRttEstimator link, boolean reachable, int credit, int inFlight) {
         /** Whether there is credit for a class that leaves this part of it to other classes. */
         private boolean admits(double reservedFraction) {
             return credit > 0 && credit > reservedFraction * (credit + inFlight);
@@ -65,11 +65,11 @@
     private static final int MAX_WAITS = 4;
     private static final long INITIAL_WAIT_NANOS = 50_000_000;
     private final String localName;
-    private final OwnSite localSite;
-    private final CrossingBudget budget;
+    private final LocalSiteHealth localSite;
+    private final CrossSiteBudget budget;
     private final long minWorkNanos;
     private final long maxDeliveryNanos;
-    private final Split split;
+    private final SiteFailoverRouting split;
 
     /**
      * A router of one gateway.
@@ -77,15 +77,15 @@
      * @param localName this site's name
      * @param minWorkNanos a request with less time left is of no use to a server
      * @param maxDeliveryNanos the other side rejects requests that were on their way for longer than this
-     * @param split which site a request goes to by the plan, {@link Split#NONE} for the nearest
+     * @param split which site a request goes to by the plan, {@link SiteFailoverRouting#NONE} for the nearest
      */
     Router(
             String localName,
-            OwnSite localSite,
-            CrossingBudget budget,
+            LocalSiteHealth localSite,
+            CrossSiteBudget budget,
             long minWorkNanos,
             long maxDeliveryNanos,
-            Split split) {
+            SiteFailoverRouting split) {
         this.split = split;
         this.localName = localName;
         this.localSite = localSite;
@@ -95,7 +95,7 @@
     }
 
     /** Records the arrival of a request; one from another site does not count towards the budget. */
-    void requestArrived(Trail history) {
+    void requestArrived(AttemptHistory history) {
         if (!history.fromLink()) {
             budget.requestArrived(history.requestClass());
         }
@@ -107,7 +107,12 @@
      * @param deadline by when the client must have its response
      * @param sites the other sites, by name
      */
-    Step nextStep(long now, RequestClass requestClass, long deadline, Trail history, Map<String, SiteSnapshot> sites) {
+    Step nextStep(
+            long now,
+            RequestClass requestClass,
+            long deadline,
+            AttemptHistory history,
+            Map<String, SiteSnapshot> sites) {
         long timeLeftNanos = deadline - now;
         boolean localAllowed = timeLeftNanos > minWorkNanos
                 && history.attemptsAt(localName) == 0
@@ -119,7 +124,7 @@
         // the plan. The plan does not apply to requests with earlier attempts, nor to those that find the local
         // site full while it is not cut.
         Set<String> reachable = reachableSites(now, sites);
-        boolean admittedByPlan = localSite.state() != OwnSite.State.CUT
+        boolean admittedByPlan = localSite.state() != LocalSiteHealth.State.CUT
                 || !history.isUnsent()
                 || split.admits(history.requestClass(), history.affinityKey(), reachable);
         if (!history.fromLink() && admittedByPlan) {
@@ -132,7 +137,8 @@
                 return new Local(timeLeftNanos);
             }
         }
-        boolean safeToRetry = history.firstUncertain() == null || requestClass.semantics() == Semantics.REPEATABLE;
+        boolean safeToRetry =
+                history.firstUncertain() == null || requestClass.retrySemantics() == RetrySemantics.REPEATABLE;
         if (safeToRetry) {
             return new Refuse();
         }
@@ -147,7 +153,11 @@
     }
 
     private boolean mayRetryRemotelyLater(
-            long afterWait, RequestClass requestClass, long deadline, Trail history, Map<String, SiteSnapshot> sites) {
+            long afterWait,
+            RequestClass requestClass,
+            long deadline,
+            AttemptHistory history,
+            Map<String, SiteSnapshot> sites) {
         return sites.entrySet().stream().anyMatch(each -> {
             long roundTripNanos = each.getValue().link.roundTripNanos();
             return history.attemptsAt(each.getKey()) <= MAX_ATTEMPTS_PER_REMOTE_SITE + history.waitCount()
@@ -172,7 +182,7 @@
             long now,
             long timeLeftNanos,
             RequestClass requestClass,
-            Trail history,
+            AttemptHistory history,
             Map<String, SiteSnapshot> sites,
             Set<String> reachable) {
         double reservedFraction = budget.reservedFraction(history.requestClass());
@@ -189,7 +199,7 @@
             }
         }
         String plannedSite =
-                split.pick(history.requestClass(), history.affinityKey(), roundTripBySite.keySet(), reachable);
+                split.selectSite(history.requestClass(), history.affinityKey(), roundTripBySite.keySet(), reachable);
         String chosen = plannedSite != null
                 ? plannedSite
                 : roundTripBySite.entrySet().stream()
@@ -204,25 +214,26 @@
                 chosen, timeLeftNanos - roundTripNanos, keyWindowNanos(now, requestClass, history) - roundTripNanos);
     }
 
-    private static long keyWindowNanos(long now, RequestClass requestClass, Trail history) {
-        Trail.UncertainAttempt uncertain = history.firstUncertain();
-        return uncertain == null || requestClass.semantics() != Semantics.BY_KEY
+    private static long keyWindowNanos(long now, RequestClass requestClass, AttemptHistory history) {
+        AttemptHistory.UncertainAttempt uncertain = history.firstUncertain();
+        return uncertain == null || requestClass.retrySemantics() != RetrySemantics.BY_KEY
                 ? Long.MAX_VALUE
-                : uncertain.sentAt() + requestClass.keyTtl() - now;
+                : uncertain.sentAt() + requestClass.keyTtlNanos() - now;
     }
 
     /** Whether the class allows an attempt at a site, which takes {@code deliveryNanos} at most to arrive. */
     private static boolean retryAllowed(
-            long now, RequestClass requestClass, Trail history, String site, long deliveryNanos) {
-        Trail.UncertainAttempt uncertain = history.firstUncertain();
+            long now, RequestClass requestClass, AttemptHistory history, String site, long deliveryNanos) {
+        AttemptHistory.UncertainAttempt uncertain = history.firstUncertain();
         if (uncertain == null) {
             return true;
         }
-        return switch (requestClass.semantics()) {
+        return switch (requestClass.retrySemantics()) {
             case REPEATABLE -> true;
             case ONCE -> false;
-            case BY_KEY -> now + deliveryNanos < uncertain.sentAt() + requestClass.keyTtl()
-                    && (requestClass.scope() == Scope.ALL || uncertain.site().equals(site));
+            case BY_KEY -> now + deliveryNanos < uncertain.sentAt() + requestClass.keyTtlNanos()
+                    && (requestClass.keyScope() == KeyScope.ALL
+                            || uncertain.site().equals(site));
         };
     }
 }
--- a/src/main/java/pondridge/gateway/StartTimes.java
+++ b/src/main/java/pondridge/gateway/ServerStartTimes.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
 
 /**
@@ -18,7 +18,7 @@
  * entries are new. The error is on the safe side: a server may count as cold for longer than it is. No I/O;
  * times are in milliseconds.
  */
-final class StartTimes {
+final class ServerStartTimes {
     private record Observed(long listedMillis, long localMillis) {}
 
     private final long maxClockErrorMillis;
@@ -26,13 +26,13 @@
     private boolean receivedList;
 
     /** {@code maxClockErrorMillis}: the greatest difference of the two clocks when this program starts. */
-    StartTimes(long maxClockErrorMillis) {
+    ServerStartTimes(long maxClockErrorMillis) {
         this.maxClockErrorMillis = maxClockErrorMillis;
     }
 
     /** The same entries with start times by this machine's clock; {@code nowMillis} is its Unix time. */
-    List<Target> withLocalStartTimes(ListKind kind, List<Target> targets, long nowMillis) {
-        if (kind == ListKind.FULL) {
+    List<Target> withLocalStartTimes(EndpointListKind kind, List<Target> targets, long nowMillis) {
+        if (kind == EndpointListKind.FULL) {
             Set<String> listedUids = targets.stream().map(Target::uid).collect(Collectors.toSet());
             observedByUid.keySet().retainAll(listedUids);
         }
@@ -46,7 +46,7 @@
                             : target.startedMs() == 0
                                     ? 0
                                     : Math.min(nowMillis, target.startedMs() + maxClockErrorMillis);
-            if (target.state() == State.GONE) {
+            if (target.state() == UpstreamState.GONE) {
                 observedByUid.remove(target.uid());
             } else {
                 observedByUid.put(target.uid(), new Observed(target.startedMs(), startedMillis));
@@ -62,7 +62,7 @@
                     startedMillis));
         }
         // A cached list may be of any age, so a change after it is not evidence of a recent start.
-        receivedList |= kind == ListKind.FULL || kind == ListKind.DELTA;
+        receivedList |= kind == EndpointListKind.FULL || kind == EndpointListKind.DELTA;
         return result;
     }
 }
--- a/src/main/java/pondridge/gateway/Views.java
+++ b/src/main/java/pondridge/gateway/SiteStateReports.java
@@ -10,9 +10,9 @@
  * site have no connection to each other, so each other site returns to each of them what the rest report.
  * Reports are sent on as counts and expire by this gateway's own clock, so no clocks are compared. The number
  * of gateways kept for a site is bounded; the oldest report is dropped first. The counts only supplement a
- * gateway's own evidence, see {@link OwnSite#applyPeerReports}. Times are in nanoseconds.
+ * gateway's own evidence, see {@link LocalSiteHealth#applyPeerReports}. Times are in nanoseconds.
  */
-final class Views {
+final class SiteStateReports {
     private static final int MAX_GATEWAYS_PER_SITE = 64;
     private static final int MAX_FIELD_LENGTH = 32;
     private static final long REPORT_LIFETIME_NANOS = 500_000_000;
@@ -42,12 +42,12 @@
         }
     }
 
-    private record Report(OwnSite.State state, long receivedAt) {}
+    private record Report(LocalSiteHealth.State state, long receivedAt) {}
 
     private final Map<String, Map<String, Report>> reportsBySite = new HashMap<>();
 
     /** The header value of a gateway's report; {@link #recordAndCount} reads it. */
-    static String format(String gateway, OwnSite.State state) {
+    static String format(String gateway, LocalSiteHealth.State state) {
         return gateway + ' ' + state.name().toLowerCase(Locale.ROOT);
     }
 
@@ -62,7 +62,7 @@
         if (parts.length != 2 || parts[0].length() > MAX_FIELD_LENGTH) {
             return StateCounts.NONE;
         }
-        for (OwnSite.State state : OwnSite.State.values()) {
+        for (LocalSiteHealth.State state : LocalSiteHealth.State.values()) {
             if (state.name().toLowerCase(Locale.ROOT).equals(parts[1])) {
                 reports.put(parts[0], new Report(state, now));
             }
@@ -73,11 +73,11 @@
                     .map(Map.Entry::getKey)
                     .ifPresent(reports::remove);
         }
-        Map<OwnSite.State, Integer> counts = new EnumMap<>(OwnSite.State.class);
+        Map<LocalSiteHealth.State, Integer> counts = new EnumMap<>(LocalSiteHealth.State.class);
         reports.forEach((gateway, each) -> counts.merge(each.state, gateway.equals(parts[0]) ? 0 : 1, Integer::sum));
         return new StateCounts(
-                counts.getOrDefault(OwnSite.State.IN, 0),
-                counts.getOrDefault(OwnSite.State.CUT, 0),
-                counts.getOrDefault(OwnSite.State.RETURNING, 0));
+                counts.getOrDefault(LocalSiteHealth.State.IN, 0),
+                counts.getOrDefault(LocalSiteHealth.State.CUT, 0),
+                counts.getOrDefault(LocalSiteHealth.State.RETURNING, 0));
     }
 }
--- a/src/main/java/pondridge/grpc/GrpcFront.java
+++ b/src/main/java/pondridge/grpc/GrpcFrontend.java
@@ -31,23 +31,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import pondridge.Options;
-import pondridge.core.Answer;
+import pondridge.BalancerOptions;
 import pondridge.core.Client;
+import pondridge.core.DisconnectDetector;
 import pondridge.core.Headers;
 import pondridge.core.Job;
 import pondridge.core.JobReader;
-import pondridge.core.Requests;
-import pondridge.core.Unread;
-import pondridge.http2.Door;
-import pondridge.http2.HeldBytes;
+import pondridge.core.RequestProcessor;
+import pondridge.core.UpstreamResponse;
+import pondridge.http2.BufferBudget;
+import pondridge.http2.Http2Server;
 
 /**
  * Front end for gRPC clients. It accepts unary calls of the configured methods; each call becomes one request.
  * Other methods are UNIMPLEMENTED, since it is unknown whether they may be executed twice. Used on the event
  * loop only.
  */
-public final class GrpcFront {
+public final class GrpcFrontend {
     /** ALPN over TLS: HTTP/2 is the only protocol. */
     static final ApplicationProtocolConfig ALPN = new ApplicationProtocolConfig(
             Protocol.ALPN,
@@ -67,8 +67,8 @@
     private final GrpcSettings settings;
     private final MethodTable methods;
     private final JobReader reader;
-    private final Requests requests;
-    private final Door listener;
+    private final RequestProcessor requests;
+    private final Http2Server listener;
     private final Set<String> activeRequestIds = new HashSet<>();
     private final String runId;
     private long lastGeneratedId;
@@ -79,22 +79,22 @@
      *
      * @param runId identifies this run of the program in generated request IDs
      */
-    public GrpcFront(
+    public GrpcFrontend(
             EventLoop loop,
             GrpcSettings settings,
-            Options platform,
-            Requests requests,
+            BalancerOptions platform,
+            RequestProcessor requests,
             String runId,
-            Door.Events events) {
+            Http2Server.Events events) {
         this.settings = settings;
         this.methods = settings.methodTable(platform);
         this.reader = new JobReader(platform);
         this.requests = requests;
         this.runId = runId;
-        this.listener = new Door(
+        this.listener = new Http2Server(
                 loop,
-                new Door.Limits(
-                        settings.listen(),
+                new Http2Server.Limits(
+                        settings.listenAddress(),
                         settings.maxConnections(),
                         settings.maxStreams(),
                         settings.idleTimeoutNanos(),
@@ -116,14 +116,14 @@
     }
 
     /** Sets what health checks report; calls are accepted in either state, as over HTTP/1.1. */
-    public void ready(boolean ready) {
+    public void setReady(boolean ready) {
         this.ready = ready;
     }
 
     /** Asks all clients to close their connections and reports NOT_SERVING; new calls are still accepted. */
     public void drain() {
         ready = false;
-        listener.leave();
+        listener.drainConnections();
     }
 
     /** The number of open client connections. */
@@ -132,19 +132,19 @@
     }
 
     /** Whether no call is in flight. */
-    public boolean idle() {
+    public boolean isIdle() {
         return activeRequestIds.isEmpty();
     }
 
     /** Accepts no more connections. */
     public void close() {
-        listener.close();
+        listener.stopAccepting();
     }
 
     /** A stream, which carries one unary call. */
     private final class Call extends ChannelInboundHandlerAdapter implements Client {
         private final Channel stream;
-        private final HeldBytes.Share share;
+        private final BufferBudget.ConnectionShare share;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         private Future<?> timeout;
         private Http2Headers requestHeaders;
@@ -156,7 +156,7 @@
         private boolean complete;
         private boolean ended;
 
-        Call(Channel stream, HeldBytes.Share share) {
+        Call(Channel stream, BufferBudget.ConnectionShare share) {
             this.stream = stream;
             this.share = share;
         }
@@ -215,8 +215,8 @@
                         0);
                 return;
             }
-            if (length > 0 && !share.take(length)) {
-                end(FinalCode.refused(), "no room for the message", 0);
+            if (length > 0 && !share.tryReserve(length)) {
+                end(LocalStatus.refused(), "no room for the message", 0);
                 return;
             }
             reservedBytes += length;
@@ -255,7 +255,7 @@
                 end(GrpcCode.ALREADY_EXISTS, "the request's id is in use", 0);
                 return;
             }
-            deadlineNanos = System.nanoTime() + job.waitMs() * 1_000_000;
+            deadlineNanos = System.nanoTime() + job.clientTimeoutMillis() * 1_000_000;
             submissionId = requests.submit(job, this);
         }
 
@@ -270,7 +270,7 @@
                 String name = header.getKey().toString();
                 if (!name.startsWith(":")
                         && !name.startsWith("grpc-")
-                        && !Headers.ofOneHop(name)
+                        && !Headers.isHopByHop(name)
                         && !HttpHeaderNames.CONTENT_TYPE.contentEquals(name)
                         && !HttpHeaderNames.CONTENT_LENGTH.contentEquals(name)
                         && !name.startsWith("req-")) {
@@ -278,7 +278,7 @@
                 }
             }
             moveMetadata(headers, settings.tenantMetadata(), "Req-Owner");
-            moveMetadata(headers, settings.idempotencyKeyMetadata(), JobReader.KEY);
+            moveMetadata(headers, settings.idempotencyKeyMetadata(), JobReader.IDEMPOTENCY_KEY_HEADER);
             moveMetadata(headers, settings.requestIdMetadata(), "Req-Id");
             if (!headers.contains("Req-Id")) {
                 headers.set("Req-Id", "grpc-" + runId + '-' + ++lastGeneratedId);
@@ -292,7 +292,7 @@
             headers.set(
                     "Req-Deadline-Ms", Long.toString(Math.min(999_999_999, Math.max(1, timeLeftNanos / 1_000_000))));
             return reader.read(method.httpMethod(), method.requestTarget(message), headers)
-                    .with(method.usesGet() ? new byte[0] : message);
+                    .withBody(method.usesGet() ? new byte[0] : message);
         }
 
         /** Moves a metadata value to the header of the request that has the same meaning. */
@@ -305,20 +305,20 @@
         }
 
         @Override
-        public boolean here(boolean loopMayHaveStalled) {
-            return Unread.open(stream.parent(), loopMayHaveStalled) && stream.isActive();
+        public boolean isConnected(boolean loopMayHaveStalled) {
+            return DisconnectDetector.isConnected(stream.parent(), loopMayHaveStalled) && stream.isActive();
         }
 
         @Override
-        public void served(Answer response) {
-            String status = response.headers().get(GrpcWording.STATUS_HEADER);
+        public void served(UpstreamResponse response) {
+            String status = response.headers().get(GrpcUpstreamCodec.STATUS_HEADER);
             if (status != null) {
                 Http2Headers trailersOnly = toHttp2Headers(response.headers())
                         .status("200")
                         .set(HttpHeaderNames.CONTENT_TYPE, GRPC_CONTENT_TYPE);
                 trailersOnly.set(STATUS, status);
-                if (response.headers().contains(GrpcWording.MESSAGE_HEADER)) {
-                    trailersOnly.set(MESSAGE, response.headers().get(GrpcWording.MESSAGE_HEADER));
+                if (response.headers().contains(GrpcUpstreamCodec.MESSAGE_HEADER)) {
+                    trailersOnly.set(MESSAGE, response.headers().get(GrpcUpstreamCodec.MESSAGE_HEADER));
                 }
                 finish(() -> stream.writeAndFlush(new DefaultHttp2HeadersFrame(trailersOnly, true)));
                 return;
@@ -328,12 +328,12 @@
 
         @Override
         public void refused(long retryAfterNanos) {
-            end(FinalCode.refused(), "refused: nothing that a repeat would do twice", retryAfterNanos);
+            end(LocalStatus.refused(), "refused: nothing that a repeat would do twice", retryAfterNanos);
         }
 
         @Override
         public void failed() {
-            end(FinalCode.failed(deadlineNanos - System.nanoTime()), "failed: it may have run", 0);
+            end(LocalStatus.failed(deadlineNanos - System.nanoTime()), "failed: it may have run", 0);
         }
 
         /** Copies the headers that are neither of one hop nor set by this front end. */
@@ -342,7 +342,7 @@
             for (Map.Entry<String, String> header : from) {
                 AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
                 if (!name.startsWith("grpc-")
-                        && !Headers.ofOneHop(name)
+                        && !Headers.isHopByHop(name)
                         && !name.contentEquals(HttpHeaderNames.CONTENT_LENGTH)
                         && !name.contentEquals(HttpHeaderNames.CONTENT_TYPE)) {
                     headers.add(name, header.getValue());
@@ -363,7 +363,7 @@
                 return stream.writeAndFlush(new DefaultHttp2HeadersFrame(
                         new DefaultHttp2Headers().set(STATUS, GrpcCode.OK.number()), true));
             });
-            share.add(message.length);
+            share.reserve(message.length);
             reservedBytes += message.length;
         }
 
@@ -373,7 +373,7 @@
                     .status("200")
                     .set(HttpHeaderNames.CONTENT_TYPE, GRPC_CONTENT_TYPE)
                     .set(STATUS, code.number())
-                    .set(MESSAGE, FinalCode.percentEncode(text));
+                    .set(MESSAGE, LocalStatus.percentEncode(text));
             if (retryAfterNanos > 0) {
                 headers.set(PUSHBACK, Long.toString(Math.max(1, retryAfterNanos / 1_000_000)));
             }
@@ -413,7 +413,7 @@
 
         private void streamClosed() {
             if (!ended && submissionId != 0) {
-                requests.hangup(submissionId);
+                requests.clientDisconnected(submissionId);
             }
             ended = true;
             releaseRequestId();
@@ -423,7 +423,7 @@
         public void channelInactive(ChannelHandlerContext context) {
             streamClosed();
             timeout.cancel(false);
-            share.give(reservedBytes);
+            share.release(reservedBytes);
             reservedBytes = 0;
         }
 
--- a/src/main/java/pondridge/grpc/GrpcSettings.java
+++ b/src/main/java/pondridge/grpc/GrpcSettings.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 import java.util.Set;
 import javax.net.ssl.SSLException;
-import pondridge.Balancer.Semantics;
-import pondridge.Options;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.BalancerOptions;
 import pondridge.settings.Section;
 import pondridge.settings.SettingsException;
 import pondridge.settings.SettingsFile;
@@ -25,7 +25,7 @@
  * Settings of gRPC clients and servers.
  *
  * @param fileName name of the settings file in error messages
- * @param listen address for gRPC clients; null where none are accepted
+ * @param listenAddress address for gRPC clients; null where none are accepted
  * @param tls TLS context of that address; null for plain text, which is allowed on loopback only
  * @param tenantMetadata metadata that names the tenant
  * @param idempotencyKeyMetadata metadata that carries the idempotency key of a keyed request
@@ -44,7 +44,7 @@
  */
 public record GrpcSettings(
         String fileName,
-        InetSocketAddress listen,
+        InetSocketAddress listenAddress,
         SslContext tls,
         String tenantMetadata,
         String idempotencyKeyMetadata,
@@ -68,7 +68,7 @@
 
     /** Reads {@code [grpc]} and {@code [grpc_methods.NAME]}; null where the file has no {@code [grpc]}. */
     public static GrpcSettings of(SettingsFile file, Path directory) {
-        if (!file.has("grpc")) {
+        if (!file.hasSection("grpc")) {
             return null;
         }
         Section section = file.section("grpc");
@@ -76,17 +76,17 @@
         InetSocketAddress address = listen.equals("none") ? null : address(section, listen);
         Map<String, MethodSettings> methods = new LinkedHashMap<>();
         Set<String> seen = new HashSet<>();
-        file.section("grpc_methods").sections().forEach((name, methodSection) -> {
+        file.section("grpc_methods").subsections().forEach((name, methodSection) -> {
             MethodSettings method = new MethodSettings(
                     methodSection.text("path", null),
                     methodSection.text("class", null),
                     methodSection.text("uri", null));
             if (!method.path.matches(METHOD_PATH) || !seen.add(method.path)) {
-                throw methodSection.contradiction(
+                throw methodSection.invalid(
                         "path", "expected a unique path /package.Service/Method, found " + method.path);
             }
             if (!method.httpPath.matches("/api(/[A-Za-z0-9_.~-]+)*") || !seen.add(method.className + method.httpPath)) {
-                throw methodSection.contradiction(
+                throw methodSection.invalid(
                         "uri", "expected a path under /api that is unique within its class, found " + method.httpPath);
             }
             methods.put(name, method);
@@ -95,7 +95,7 @@
                 codes(section, "declines", List.of("UNAVAILABLE")),
                 metadata(section, "decline_mark", "srv-declined"),
                 codes(section, "passed_on", List.of()),
-                section.size("message_bytes", "64KiB", "1KiB", "64MiB"));
+                section.sizeBytes("message_bytes", "64KiB", "1KiB", "64MiB"));
         return new GrpcSettings(
                 file.name(),
                 address,
@@ -107,20 +107,20 @@
                 methods,
                 section.number("connections", 256, 1, 100_000),
                 section.number("streams", 100, 1, 10_000),
-                section.time("idle", "60s", "100ms", "60min"),
-                section.time("transfer", "2500ms", "100ms", "1min"),
-                section.size("held_bytes", "16MiB", "64KiB", "1024MiB"),
-                section.size("header_bytes", "8KiB", "1KiB", "1MiB"),
+                section.durationNanos("idle", "60s", "100ms", "60min"),
+                section.durationNanos("transfer", "2500ms", "100ms", "1min"),
+                section.sizeBytes("held_bytes", "16MiB", "64KiB", "1024MiB"),
+                section.sizeBytes("header_bytes", "8KiB", "1KiB", "1MiB"),
                 section.number("control_frames", 200, 10, 1_000_000),
-                section.time("max_age", "30min", "1s", "600min"),
-                section.time("grace", "10s", "100ms", "10min"));
+                section.durationNanos("max_age", "30min", "1s", "600min"),
+                section.durationNanos("grace", "10s", "100ms", "10min"));
     }
 
     private static String metadata(Section section, String key, String defaultName) {
         String name = section.text(key, defaultName);
         boolean disabled = name.equals("none") && key.equals("decline_mark");
         if (!disabled && (!name.matches(METADATA_NAME) || name.startsWith("grpc-") || name.endsWith("-bin"))) {
-            throw section.contradiction(key, "expected a name of text metadata in lower case, found " + name);
+            throw section.invalid(key, "expected a name of text metadata in lower case, found " + name);
         }
         return disabled ? "" : name;
     }
@@ -132,23 +132,23 @@
             try {
                 codes.add(GrpcCode.valueOf(name));
             } catch (IllegalArgumentException e) {
-                throw section.contradiction(key, "no status code of gRPC: " + name);
+                throw section.invalid(key, "no status code of gRPC: " + name);
             }
         }
         if (codes.contains(GrpcCode.OK)) {
-            throw section.contradiction(key, "OK can't be listed: it is always the application's response");
+            throw section.invalid(key, "OK can't be listed: it is always the application's response");
         }
         return codes;
     }
 
     private static SslContext tls(Section section, Path directory, InetSocketAddress address) {
-        boolean plaintext = "plain".equals(section.word("security", "tls", List.of("plain", "tls")));
+        boolean plaintext = "plain".equals(section.choice("security", "tls", List.of("plain", "tls")));
         if (address == null) {
             return null;
         }
         if (plaintext) {
             if (!address.getAddress().isLoopbackAddress()) {
-                throw section.contradiction("security", "plain text is allowed on loopback addresses only");
+                throw section.invalid("security", "plain text is allowed on loopback addresses only");
             }
             return null;
         }
@@ -157,10 +157,10 @@
         try {
             return SslContextBuilder.forServer(certificate.toFile(), key.toFile())
                     .sslProvider(SslProvider.JDK)
-                    .applicationProtocolConfig(GrpcFront.ALPN)
+                    .applicationProtocolConfig(GrpcFrontend.ALPN)
                     .build();
         } catch (SSLException | IllegalArgumentException e) {
-            throw section.contradiction("certificate", "can't be used: " + certificate + ": " + e.getMessage());
+            throw section.invalid("certificate", "can't be used: " + certificate + ": " + e.getMessage());
         }
     }
 
@@ -174,15 +174,15 @@
         } catch (IllegalArgumentException e) {
             // Reported below.
         }
-        throw section.contradiction("listen", "expected an address and a port, found \"" + text + '"');
+        throw section.invalid("listen", "expected an address and a port, found \"" + text + '"');
     }
 
     /**
      * The methods with their request classes from the platform configuration; an unknown class is a {@link
      * SettingsException}.
      */
-    public MethodTable methodTable(Options platform) {
-        List<String> classes = platform.names("profiles");
+    public MethodTable methodTable(BalancerOptions platform) {
+        List<String> classes = platform.objectNames("profiles");
         List<GrpcMethod> resolved = new ArrayList<>();
         methods.forEach((name, method) -> {
             int requestClass = classes.indexOf(method.className);
@@ -193,7 +193,8 @@
                         "the platform's file has no class " + method.className + "; it has "
                                 + String.join(", ", classes));
             }
-            boolean usesGet = platform.settings().classes().get(requestClass).semantics() == Semantics.REPEATABLE;
+            boolean usesGet =
+                    platform.settings().classes().get(requestClass).retrySemantics() == RetrySemantics.REPEATABLE;
             resolved.add(new GrpcMethod(method.path, requestClass, method.className, method.httpPath, usesGet));
         });
         return new MethodTable(resolved);
--- a/src/main/java/pondridge/grpc/GrpcWording.java
+++ b/src/main/java/pondridge/grpc/GrpcUpstreamCodec.java
@@ -8,15 +8,15 @@
 import io.netty.util.AsciiString;
 import java.util.Map;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
-import pondridge.core.Answer;
+import pondridge.BalancerOptions;
 import pondridge.core.Headers;
 import pondridge.core.Job;
 import pondridge.core.JobReader;
-import pondridge.http2.Wording;
+import pondridge.core.UpstreamResponse;
+import pondridge.http2.MessageCodec;
 
 /** Encodes unary calls to servers and decodes their responses on HTTP/2 streams (gRPC over HTTP/2). */
-public final class GrpcWording implements Wording {
+public final class GrpcUpstreamCodec implements MessageCodec {
     /** Tells the front end the status of an application response that is neither OK nor a failure. */
     static final String STATUS_HEADER = "Grpc-Status";
 
@@ -36,13 +36,13 @@
     private final MethodTable methods;
 
     /** Creates a codec for the configured methods with the request classes of the platform. */
-    public GrpcWording(GrpcSettings settings, Options platform) {
+    public GrpcUpstreamCodec(GrpcSettings settings, BalancerOptions platform) {
         this.settings = settings;
         this.methods = settings.methodTable(platform);
     }
 
     private GrpcMethod method(Job job) {
-        return methods.forHttpPath(job.requestClass(), JobReader.path(job.uri()));
+        return methods.forHttpPath(job.requestClass(), JobReader.pathOf(job.uri()));
     }
 
     private static boolean isHealthProbe(Job job) {
@@ -50,19 +50,19 @@
     }
 
     @Override
-    public boolean fits(Job job) {
+    public boolean canEncode(Job job) {
         GrpcMethod method = method(job);
         return isHealthProbe(job) || method != null && method.messageOf(job.uri(), job.body()) != null;
     }
 
     @Override
-    public byte[] body(Job job) {
+    public byte[] encodeBody(Job job) {
         return MessageReader.frame(
                 isHealthProbe(job) ? new byte[0] : method(job).messageOf(job.uri(), job.body()));
     }
 
     @Override
-    public Http2Headers head(Job job, long timeLeftNanos) {
+    public Http2Headers encodeHeaders(Job job, long timeLeftNanos) {
         Http2Headers requestHeaders = new DefaultHttp2Headers(false, 16);
         requestHeaders
                 .method(HttpMethod.POST.asciiName())
@@ -76,7 +76,7 @@
                 .set(ACCEPT_ENCODING_NAME, UnaryMessage.ACCEPTED_ENCODINGS);
         for (Map.Entry<String, String> header : job.headers()) {
             AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
-            if (!Headers.ofOneHop(name) && !isReserved(name)) {
+            if (!Headers.isHopByHop(name) && !isReserved(name)) {
                 requestHeaders.add(metadataName(name), header.getValue());
             }
         }
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public Ended answer(
+    public DecodedResponse decodeResponse(
             Job job, Http2Headers responseHeaders, HttpHeaders forwardedHeaders, byte[] body, Http2Headers trailers) {
         Http2Headers statusHeaders = trailers == null ? responseHeaders : trailers;
         String declineMarker = settings.classificationRules().declineMarker();
@@ -119,13 +119,13 @@
                         body),
                 settings.classificationRules());
         if (response.outcome() != Outcome.OK) {
-            return new Ended(response.outcome(), null);
+            return new DecodedResponse(response.outcome(), null);
         }
         if (isHealthProbe(job)) {
             boolean serving = java.util.Arrays.equals(SERVING_RESPONSE, response.message());
             return serving
-                    ? new Ended(Outcome.OK, new Answer(forwardedHeaders, response.message()))
-                    : new Ended(Outcome.ERROR, null);
+                    ? new DecodedResponse(Outcome.OK, new UpstreamResponse(forwardedHeaders, response.message()))
+                    : new DecodedResponse(Outcome.ERROR, null);
         }
         forwardedHeaders
                 .remove(HttpHeaderNames.CONTENT_TYPE)
@@ -139,6 +139,6 @@
                 forwardedHeaders.set(MESSAGE_HEADER, statusHeaders.get(MESSAGE_NAME));
             }
         }
-        return new Ended(Outcome.OK, new Answer(forwardedHeaders, response.message()));
+        return new DecodedResponse(Outcome.OK, new UpstreamResponse(forwardedHeaders, response.message()));
     }
 }
--- a/src/main/java/pondridge/grpc/FinalCode.java
+++ b/src/main/java/pondridge/grpc/LocalStatus.java
@@ -5,11 +5,11 @@
  * executed must never end with a code that client libraries retry automatically; common retry policies name
  * UNAVAILABLE. No I/O.
  */
-final class FinalCode {
+final class LocalStatus {
     /** The core responds this long before the client's deadline, so that the response arrives in time. */
     private static final long RESPONSE_MARGIN_NANOS = 20_000_000;
 
-    private FinalCode() {}
+    private LocalStatus() {}
 
     /** For a refused call: a retry is safe. */
     static GrpcCode refused() {
--- a/src/main/java/pondridge/http1/Frontend.java
+++ b/src/main/java/pondridge/http1/Frontend.java
@@ -45,15 +45,15 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import pondridge.Options;
-import pondridge.core.Answer;
+import pondridge.BalancerOptions;
 import pondridge.core.Client;
+import pondridge.core.DisconnectDetector;
 import pondridge.core.Headers;
 import pondridge.core.Job;
 import pondridge.core.JobReader;
 import pondridge.core.RequestLog;
-import pondridge.core.Requests;
-import pondridge.core.Unread;
+import pondridge.core.RequestProcessor;
+import pondridge.core.UpstreamResponse;
 import pondridge.http1.ConnectionTable.State;
 
 /**
@@ -91,7 +91,7 @@
 
     private record PipelinedMessage(HttpObject message, long receivedAt) {}
 
-    private final Requests requestProcessor;
+    private final RequestProcessor requestProcessor;
     private final JobReader jobReader;
     private final int maxConnections;
     private final ConnectionTable<Connection> connections = new ConnectionTable<>();
@@ -105,7 +105,7 @@
     private RequestLog log = RequestLog.NONE;
 
     /** Creates a front end that holds at most {@code maxConnections} client connections at once. */
-    public Frontend(Requests requestProcessor, Options options, int maxConnections) {
+    public Frontend(RequestProcessor requestProcessor, BalancerOptions options, int maxConnections) {
         this.requestProcessor = requestProcessor;
         this.jobReader = new JobReader(options);
         this.maxConnections = maxConnections;
@@ -135,7 +135,11 @@
                         }
                         Connection connection = new Connection(accepted);
                         accepted.pipeline()
-                                .addLast(new Unread(), new HttpResponseEncoder(), connection.new Decoder(), connection);
+                                .addLast(
+                                        new DisconnectDetector(),
+                                        new HttpResponseEncoder(),
+                                        connection.new Decoder(),
+                                        connection);
                     }
                 })
                 .bind(address);
@@ -152,12 +156,12 @@
     }
 
     /** Sets the log for closed connections; must be called before {@link #listen}. */
-    public void log(RequestLog log) {
+    public void setRequestLog(RequestLog log) {
         this.log = log;
     }
 
     /** From now on {@code /up} responds with 200. */
-    public void ready() {
+    public void markReady() {
         ready = true;
     }
 
@@ -172,7 +176,7 @@
     }
 
     /** Nanoseconds since the last connection was accepted. */
-    public long quiet() {
+    public long nanosSinceLastAccept() {
         return System.nanoTime() - lastAcceptAt;
     }
 
@@ -183,7 +187,7 @@
     }
 
     /** Whether no client is connected. */
-    public boolean empty() {
+    public boolean hasNoConnections() {
         return connections.size() == 0;
     }
 
@@ -278,7 +282,7 @@
         private void expire() {
             State before = entry.state();
             long since = entry.since();
-            if (!Unread.open(channel, true) || !isIn(before) || entry.since() != since) {
+            if (!DisconnectDetector.isConnected(channel, true) || !isIn(before) || entry.since() != since) {
                 return;
             }
             if (isIn(State.READING)) {
@@ -297,7 +301,7 @@
         private boolean closeUnlessRequestUnread(String reason) {
             State before = entry.state();
             long since = entry.since();
-            if (!Unread.open(channel, true)) {
+            if (!DisconnectDetector.isConnected(channel, true)) {
                 connections.remove(entry);
                 return true;
             }
@@ -371,7 +375,7 @@
             keepAlive = HttpUtil.isKeepAlive(head);
             job = null;
             body = new ByteArrayOutputStream(0);
-            String path = JobReader.path(head.uri());
+            String path = JobReader.pathOf(head.uri());
             try {
                 requireUnambiguous(head);
                 if (path.equals("/api") || path.startsWith("/api/")) {
@@ -404,9 +408,9 @@
                 reject(HttpResponseStatus.CONFLICT, "Req-Id in use");
                 return;
             }
-            Job complete = job.with(body.toByteArray());
+            Job complete = job.withBody(body.toByteArray());
             if (queuedNanos > 0) {
-                complete = complete.within(complete.waitMs() * 1_000_000 - queuedNanos);
+                complete = complete.withTimeLeft(complete.clientTimeoutMillis() * 1_000_000 - queuedNanos);
             }
             job = null;
             body = null;
@@ -419,12 +423,12 @@
         }
 
         @Override
-        public boolean here(boolean readSocket) {
-            return Unread.open(channel, readSocket);
+        public boolean isConnected(boolean readSocket) {
+            return DisconnectDetector.isConnected(channel, readSocket);
         }
 
         @Override
-        public void served(Answer upstreamResponse) {
+        public void served(UpstreamResponse upstreamResponse) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(upstreamResponse.body()));
             response.headers().set(upstreamResponse.headers());
@@ -541,7 +545,7 @@
             enterState(State.LINGERING);
             discardPipelined();
             if (openRequest != 0) {
-                requestProcessor.hangup(openRequest);
+                requestProcessor.clientDisconnected(openRequest);
             }
         }
 
@@ -595,7 +599,7 @@
         }
         for (String name : headers.names()) {
             boolean mustBeUnique = name.regionMatches(true, 0, "Req-", 0, 4)
-                    || name.equalsIgnoreCase(JobReader.KEY)
+                    || name.equalsIgnoreCase(JobReader.IDEMPOTENCY_KEY_HEADER)
                     || name.equalsIgnoreCase("Host");
             if (mustBeUnique && headers.getAll(name).size() > 1) {
                 throw new IllegalArgumentException("repeated " + name);
--- a/src/main/java/pondridge/http1/Upstreams.java
+++ b/src/main/java/pondridge/http1/Upstreams.java
@@ -44,13 +44,13 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
-import pondridge.core.Answer;
-import pondridge.core.Evidence;
+import pondridge.BalancerOptions;
 import pondridge.core.Headers;
 import pondridge.core.Job;
 import pondridge.core.LoadReports;
+import pondridge.core.ResponseClassifier;
 import pondridge.core.Transport;
+import pondridge.core.UpstreamResponse;
 
 /**
  * The HTTP/1.1 connections to upstreams and the attempts on them. An attempt is written at most once, on one
@@ -91,7 +91,7 @@
     private long lastUnsolicitedAt;
 
     /** Creates a transport with at most {@code maxConnections} connections; timeouts come from the settings. */
-    public Upstreams(EventLoop loop, Options options, int maxConnections) {
+    public Upstreams(EventLoop loop, BalancerOptions options, int maxConnections) {
         this.loop = loop;
         this.connectTimeoutMillis = Math.max(1, (int) (options.number("caps.connectTimeout", 1e9) / 1e6));
         // Upstreams close at their idle timeout. Closing a tenth earlier avoids a request meeting that close.
@@ -111,7 +111,7 @@
      * and a request written to them would count as one that may have run.
      */
     @Override
-    public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
+    public void updateEndpoint(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
         Pool pool = pools.computeIfAbsent(upstream, id -> new Pool());
         if (!address.equals(pool.address) || startedMs > pool.startedMs) {
             pool.address = address;
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void gone(long upstream) {
+    public void removeEndpoint(long upstream) {
         Pool pool = pools.remove(upstream);
         if (pool != null) {
             pool.markNotReady();
@@ -349,7 +349,7 @@
             }
         }
 
-        private void complete(Outcome outcome, Answer response, float[] load) {
+        private void complete(Outcome outcome, UpstreamResponse response, float[] load) {
             ended = true;
             timer.cancel(false);
             pool.unwritten.remove(this);
@@ -471,7 +471,7 @@
             current = attempt;
             attempt.connection = this;
             interimResponses = 0;
-            if (!attempt.listener.wanted()) {
+            if (!attempt.listener.shouldWrite()) {
                 attempt.end(Outcome.NEVER_SENT);
                 return;
             }
@@ -558,7 +558,8 @@
                     response.headers().get(LoadReports.HEADER),
                     attempt.request.uri(),
                     () -> completeBody.toString(StandardCharsets.UTF_8));
-            Answer upstreamResponse = outcome == Outcome.OK ? new Answer(headers, body.toByteArray()) : null;
+            UpstreamResponse upstreamResponse =
+                    outcome == Outcome.OK ? new UpstreamResponse(headers, body.toByteArray()) : null;
             lastUnsolicitedAt = decoder.hasPartialResponse() ? System.nanoTime() : lastUnsolicitedAt;
             boolean reusable = HttpUtil.isKeepAlive(response)
                     && attempt.written
@@ -621,7 +622,7 @@
     }
 
     private static Outcome outcomeOf(HttpResponse response) {
-        return Evidence.ofAnswer(
-                response.status().code(), "1".equals(response.headers().get(Evidence.DECLINED)));
+        return ResponseClassifier.outcomeOf(
+                response.status().code(), "1".equals(response.headers().get(ResponseClassifier.DECLINED_HEADER)));
     }
 }
--- a/src/main/java/pondridge/http2/HeldBytes.java
+++ b/src/main/java/pondridge/http2/BufferBudget.java
@@ -6,60 +6,60 @@
  * quarter of it, so that a peer that does not read, or does not complete its requests, cannot take the
  * capacity of the others. Performs no I/O and reads no clock; not thread-safe.
  */
-public final class HeldBytes {
+public final class BufferBudget {
     private static final int CONNECTION_SHARE_DIVISOR = 4;
     private final long maxBytes;
     private long totalReserved;
 
     /** Creates a budget of {@code maxBytes} over all connections. */
-    public HeldBytes(long maxBytes) {
+    public BufferBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /** Returns the bytes reserved by all connections. */
-    public long held() {
+    public long reservedBytes() {
         return totalReserved;
     }
 
     /** Creates the share of a new connection. */
-    public Share share() {
-        return new Share();
+    public ConnectionShare newShare() {
+        return new ConnectionShare();
     }
 
     /** The part of the budget used by one connection. */
-    public final class Share {
+    public final class ConnectionShare {
         private long reserved;
 
-        private Share() {}
+        private ConnectionShare() {}
 
         /** Whether this connection may buffer any more bytes. */
-        public boolean room() {
+        public boolean hasCapacity() {
             return reserved < maxBytes / CONNECTION_SHARE_DIVISOR && totalReserved < maxBytes;
         }
 
         /** Reserves bytes if there is capacity for them. */
-        public boolean take(long bytes) {
+        public boolean tryReserve(long bytes) {
             if (reserved + bytes > maxBytes / CONNECTION_SHARE_DIVISOR || totalReserved + bytes > maxBytes) {
                 return false;
             }
-            add(bytes);
+            reserve(bytes);
             return true;
         }
 
         /** Reserves bytes even beyond the limit, for the response to a request that was already accepted. */
-        public void add(long bytes) {
+        public void reserve(long bytes) {
             reserved += bytes;
             totalReserved += bytes;
         }
 
         /** Releases bytes. */
-        public void give(long bytes) {
+        public void release(long bytes) {
             reserved -= bytes;
             totalReserved -= bytes;
         }
 
         /** Returns the bytes reserved by this connection. */
-        public long held() {
+        public long reservedBytes() {
             return reserved;
         }
     }
--- a/src/main/java/pondridge/http2/Connection.java
+++ b/src/main/java/pondridge/http2/Connection.java
@@ -29,17 +29,18 @@
 import java.io.IOException;
 import java.util.List;
 import pondridge.Balancer.Outcome;
-import pondridge.core.Evidence;
 import pondridge.core.LoadReports;
-import pondridge.pool.Member;
+import pondridge.core.ResponseClassifier;
+import pondridge.pool.PooledConnection;
 
 /**
  * One connection to an upstream. Writes each attempt on its own stream, reports all frames written and read
  * to {@link StreamTable}, and ends attempts as the table decides.
  */
-final class Connection extends Http2FrameAdapter implements Member {
+final class Connection extends Http2FrameAdapter implements PooledConnection {
     private static final AsciiString LOAD_REPORT_HEADER = AsciiString.cached(LoadReports.HEADER.toLowerCase());
-    private static final AsciiString DECLINED_HEADER = AsciiString.cached(Evidence.DECLINED.toLowerCase());
+    private static final AsciiString DECLINED_HEADER =
+            AsciiString.cached(ResponseClassifier.DECLINED_HEADER.toLowerCase());
     /**
      * Bounds the small CONTINUATION frames of one header block; an unlimited number is an attack
      * (CVE-2024-27316 and similar).
@@ -71,13 +72,13 @@
     private boolean hasServed;
     private long idleSince;
 
-    Connection(ServerPool pool, Http2Options options, Proof outcomeRules, int firstStream, long now) {
+    Connection(ServerPool pool, Http2Options options, StreamOutcomeRules outcomeRules, int firstStream, long now) {
         this.pool = pool;
         this.options = options;
         this.table = new StreamTable<>(outcomeRules, firstStream);
         this.liveness = new Liveness(options.pingAfterNanos(), options.pingTimeoutNanos(), now);
         this.resetBudget = new ResetBudget(options.maxResets(), options.resetWindowNanos(), now);
-        this.floodGuard = new FloodGuard(options.controlFrames(), SECOND_NANOS, now);
+        this.floodGuard = new FloodGuard(options.controlFramesPerSecond(), SECOND_NANOS, now);
         this.idleSince = now;
         this.handler = new CodecHandlerBuilder().build();
     }
@@ -118,7 +119,7 @@
     }
 
     @Override
-    public boolean usable() {
+    public boolean isUsable() {
         return !closed && table.usable();
     }
 
@@ -128,24 +129,24 @@
     }
 
     @Override
-    public boolean idle() {
+    public boolean isIdle() {
         return table.openStreams() == 0;
     }
 
     @Override
-    public long idleSince() {
+    public long idleSinceNanos() {
         return idleSince;
     }
 
     /** Writes an attempt on a new stream. The caller has just checked that {@link #credit} is positive. */
     void write(Http2Attempt attempt, long now) {
-        if (idle()) {
+        if (isIdle()) {
             liveness.onStreamsOpened(now);
         }
         floodGuard.allow(CONTROL_FRAMES_PER_REQUEST);
         int id = table.open(attempt);
         attempt.assigned(this, id);
-        byte[] body = pool.codec().body(attempt.job());
+        byte[] body = pool.codec().encodeBody(attempt.job());
         boolean headersOnly = body.length == 0;
         ChannelPromise headersWritten = context.newPromise();
         headersWritten.addListener(write -> {
@@ -157,7 +158,7 @@
                 .writeHeaders(
                         context,
                         id,
-                        pool.codec().head(attempt.job(), attempt.remainingNanos(now)),
+                        pool.codec().encodeHeaders(attempt.job(), attempt.remainingNanos(now)),
                         0,
                         headersOnly,
                         headersWritten);
@@ -211,7 +212,7 @@
                 break;
             }
         }
-        switch (liveness.check(now, !idle())) {
+        switch (liveness.check(now, !isIdle())) {
             case SEND_PING -> {
                 handler.encoder().writePing(context, false, now, context.newPromise());
                 scheduleFlush();
@@ -230,7 +231,7 @@
         if (channel == null || closed) {
             return;
         }
-        if (context != null && idle() && channel.isActive()) {
+        if (context != null && isIdle() && channel.isActive()) {
             handler.goAway(context, 0, Http2Error.NO_ERROR.code(), Unpooled.EMPTY_BUFFER, context.newPromise());
             handler.flush(context);
         }
@@ -238,7 +239,7 @@
     }
 
     private void closeIfFinished() {
-        if (table.settingsReceived() && !table.usable() && idle()) {
+        if (table.settingsReceived() && !table.usable() && isIdle()) {
             close();
         }
     }
@@ -286,7 +287,7 @@
     }
 
     private void streamsChanged() {
-        if (idle()) {
+        if (isIdle()) {
             idleSince = System.nanoTime();
         }
         closeIfFinished();
--- a/src/main/java/pondridge/http2/Dialler.java
+++ b/src/main/java/pondridge/http2/Connector.java
@@ -7,11 +7,11 @@
 
 /** Opens connections. Implementations may add TLS below HTTP/2, and tests may replace the sockets. */
 @FunctionalInterface
-public interface Dialler {
+public interface Connector {
     /**
      * Starts to connect. The initializer runs within this call; the future is completed on the event loop.
      *
      * @param timeoutMs connect timeout in milliseconds
      */
-    ChannelFuture dial(InetSocketAddress address, int timeoutMs, ChannelInitializer<Channel> initializer);
+    ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelInitializer<Channel> initializer);
 }
--- a/src/main/java/pondridge/http2/HeaderMapper.java
+++ b/src/main/java/pondridge/http2/HeaderMapper.java
@@ -32,7 +32,7 @@
             AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
             if (name.contentEquals(HttpHeaderNames.HOST)) {
                 headers.authority(header.getValue());
-            } else if (!Headers.ofOneHop(name) && !name.contentEquals(HttpHeaderNames.CONTENT_LENGTH)) {
+            } else if (!Headers.isHopByHop(name) && !name.contentEquals(HttpHeaderNames.CONTENT_LENGTH)) {
                 headers.add(name, header.getValue());
             }
         }
@@ -66,7 +66,7 @@
             HttpHeaders forwarded = new DefaultHttpHeaders();
             for (Map.Entry<CharSequence, CharSequence> header : headers) {
                 CharSequence name = header.getKey();
-                if (name.length() > 0 && name.charAt(0) != ':' && !Headers.ofOneHop(name)) {
+                if (name.length() > 0 && name.charAt(0) != ':' && !Headers.isHopByHop(name)) {
                     forwarded.add(name, header.getValue());
                 }
             }
--- a/src/main/java/pondridge/http2/Http2Attempt.java
+++ b/src/main/java/pondridge/http2/Http2Attempt.java
@@ -109,17 +109,17 @@
 
     /** Whether the listener still wants the request to be sent. */
     boolean stillWanted() {
-        return listener.wanted();
+        return listener.shouldWrite();
     }
 
     /** Ends the attempt and notifies the listener; further calls have no effect. */
-    void end(Outcome transportOutcome, LoadReports reports, Wording codec) {
+    void end(Outcome transportOutcome, LoadReports reports, MessageCodec codec) {
         if (ended) {
             return;
         }
-        Wording.Ended result = transportOutcome == Outcome.OK
-                ? codec.answer(job, responseHeaders, forwardedHeaders, responseBody.toByteArray(), trailers)
-                : new Wording.Ended(transportOutcome, null);
+        MessageCodec.DecodedResponse result = transportOutcome == Outcome.OK
+                ? codec.decodeResponse(job, responseHeaders, forwardedHeaders, responseBody.toByteArray(), trailers)
+                : new MessageCodec.DecodedResponse(transportOutcome, null);
         ended = true;
         if (timer != null) {
             timer.cancel(false);
@@ -128,6 +128,6 @@
                 ? LoadReports.NONE
                 : reports.read(loadReport, job.uri(), () -> responseBody.toString(StandardCharsets.UTF_8));
         responseBody = null;
-        listener.ended(result.outcome(), result.answer(), load);
+        listener.ended(result.outcome(), result.response(), load);
     }
 }
--- a/src/main/java/pondridge/http2/Door.java
+++ b/src/main/java/pondridge/http2/Http2Server.java
@@ -30,7 +30,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import pondridge.core.Unread;
+import pondridge.core.DisconnectDetector;
 
 /**
  * Accepts HTTP/2 connections and enforces limits on them: the number of connections, the idle time, the bytes
@@ -38,7 +38,7 @@
  * that exceeds a limit is closed and reported with one event; other connections are not affected. Used on the
  * event loop only.
  */
-public final class Door {
+public final class Http2Server {
     private static final int MAX_RESETS_PER_WINDOW = 200;
     private static final int RESET_WINDOW_SECONDS = 30;
     private static final long SECOND_NANOS = 1_000_000_000;
@@ -54,7 +54,7 @@
      * @param idleTimeoutNanos time without received data after which a connection is closed
      * @param maxRequestHeaderBytes maximum size of the headers of one request
      * @param controlFramesPerSecond maximum number of frames without payload per second from one connection
-     * @param maxBufferedBytes limit of {@link HeldBytes}
+     * @param maxBufferedBytes limit of {@link BufferBudget}
      * @param maxAgeNanos age, plus or minus a tenth, after which a connection is drained; 0 for no limit
      * @param drainTimeoutNanos how long a connection being drained may stay open for its open streams
      */
@@ -82,8 +82,8 @@
     private final Function<Channel, ChannelHandler> tlsHandlerFactory;
     private final Events events;
     private final LongSupplier clock;
-    private final BiConsumer<Channel, HeldBytes.Share> streamInitializer;
-    private final HeldBytes bufferBudget;
+    private final BiConsumer<Channel, BufferBudget.ConnectionShare> streamInitializer;
+    private final BufferBudget bufferBudget;
     private final Set<Channel> connections = new HashSet<>();
     private final Random random = new Random();
     private Channel serverChannel;
@@ -95,14 +95,14 @@
      * @param tlsHandlerFactory creates the TLS handler below HTTP/2; null for cleartext
      * @param streamInitializer adds the handlers to the pipeline of a stream opened by the peer
      */
-    public Door(
+    public Http2Server(
             EventLoop loop,
             Limits limits,
             String eventPrefix,
             Function<Channel, ChannelHandler> tlsHandlerFactory,
             Events events,
             LongSupplier clock,
-            BiConsumer<Channel, HeldBytes.Share> streamInitializer) {
+            BiConsumer<Channel, BufferBudget.ConnectionShare> streamInitializer) {
         this.loop = loop;
         this.limits = limits;
         this.eventPrefix = eventPrefix;
@@ -110,7 +110,7 @@
         this.events = events;
         this.clock = clock;
         this.streamInitializer = streamInitializer;
-        this.bufferBudget = new HeldBytes(limits.maxBufferedBytes());
+        this.bufferBudget = new BufferBudget(limits.maxBufferedBytes());
     }
 
     /** Starts to listen. */
@@ -141,7 +141,7 @@
      * so that requests already in flight are not lost, and then one with it. A connection without open
      * streams is then closed, and every connection once the drain timeout has passed.
      */
-    public void leave() {
+    public void drainConnections() {
         List.copyOf(connections).forEach(this::drain);
     }
 
@@ -166,12 +166,12 @@
     }
 
     /** Returns the bytes of requests and responses being buffered. */
-    public long heldBytes() {
-        return bufferBudget.held();
+    public long bufferedBytes() {
+        return bufferBudget.reservedBytes();
     }
 
     /** Stops accepting connections. */
-    public void close() {
+    public void stopAccepting() {
         serverChannel.close();
     }
 
@@ -192,11 +192,11 @@
                     TimeUnit.NANOSECONDS);
             channel.closeFuture().addListener(closed -> drainTask.cancel(false));
         }
-        channel.pipeline().addLast(new Unread());
+        channel.pipeline().addLast(new DisconnectDetector());
         if (tlsHandlerFactory != null) {
             channel.pipeline().addLast(tlsHandlerFactory.apply(channel));
         }
-        HeldBytes.Share share = bufferBudget.share();
+        BufferBudget.ConnectionShare share = bufferBudget.newShare();
         channel.pipeline()
                 .addLast(
                         new IdleStateHandler(limits.idleTimeoutNanos(), 0, 0, TimeUnit.NANOSECONDS),
--- a/src/main/java/pondridge/http2/Http2Upstreams.java
+++ b/src/main/java/pondridge/http2/Http2Upstreams.java
@@ -18,11 +18,11 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.core.Job;
 import pondridge.core.LoadReports;
 import pondridge.core.Transport;
-import pondridge.pool.SharedRoom;
+import pondridge.pool.SharedConnectionLimit;
 
 /**
  * The transport to upstreams that speak HTTP/2 (RFC 9113) in cleartext, by prior knowledge. An attempt is
@@ -36,7 +36,7 @@
 
     private final EventLoop loop;
     private final Http2Options options;
-    private final Proof outcomeRules;
+    private final StreamOutcomeRules outcomeRules;
     private final int firstStreamId;
     private final int connectTimeoutMs;
     private final long idleTimeoutNanos;
@@ -45,11 +45,11 @@
     /** Pools of upstreams that were removed from the endpoint list and still have open connections. */
     private final List<ServerPool> removedPools = new ArrayList<>();
 
-    private final SharedRoom connectionLimit;
-    private final Dialler connector;
+    private final SharedConnectionLimit connectionLimit;
+    private final Connector connector;
     private final ServerPool unlistedUpstream;
     private final Future<?> maintenanceTask;
-    private Wording codec = Wording.HTTP;
+    private MessageCodec codec = MessageCodec.HTTP;
     private LongConsumer http1RequiredListener = upstream -> {};
     private long responseBytes;
 
@@ -57,26 +57,31 @@
      * Creates a transport. Connect and idle timeouts come from the platform's settings, everything else from
      * {@code options}.
      */
-    public Http2Upstreams(EventLoop loop, Options settings, Http2Options options) {
-        this(loop, settings, options, Proof.RFC9113, 1);
+    public Http2Upstreams(EventLoop loop, BalancerOptions settings, Http2Options options) {
+        this(loop, settings, options, StreamOutcomeRules.RFC9113, 1);
     }
 
     /**
      * Creates a transport whose sockets are opened by a connector, which may add a layer such as TLS below
      * HTTP/2.
      */
-    public Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Dialler connector) {
-        this(loop, settings, options, Proof.RFC9113, 1, connector);
+    public Http2Upstreams(EventLoop loop, BalancerOptions settings, Http2Options options, Connector connector) {
+        this(loop, settings, options, StreamOutcomeRules.RFC9113, 1, connector);
     }
 
     /** Creates a transport for servers that use another message format than plain HTTP. */
-    public Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Wording codec) {
-        this(loop, settings, options, Proof.RFC9113, 1);
+    public Http2Upstreams(EventLoop loop, BalancerOptions settings, Http2Options options, MessageCodec codec) {
+        this(loop, settings, options, StreamOutcomeRules.RFC9113, 1);
         this.codec = codec;
     }
 
     /** For tests: with other outcome rules and another first stream id. */
-    Http2Upstreams(EventLoop loop, Options settings, Http2Options options, Proof outcomeRules, int firstStreamId) {
+    Http2Upstreams(
+            EventLoop loop,
+            BalancerOptions settings,
+            Http2Options options,
+            StreamOutcomeRules outcomeRules,
+            int firstStreamId) {
         this(loop, settings, options, outcomeRules, firstStreamId, (address, timeoutMs, initializer) -> new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -89,11 +94,11 @@
     /** For tests: with other outcome rules, another first stream id and another connector. */
     Http2Upstreams(
             EventLoop loop,
-            Options settings,
+            BalancerOptions settings,
             Http2Options options,
-            Proof outcomeRules,
+            StreamOutcomeRules outcomeRules,
             int firstStreamId,
-            Dialler connector) {
+            Connector connector) {
         this.loop = loop;
         this.options = options;
         this.outcomeRules = outcomeRules;
@@ -103,7 +108,7 @@
         // that no request can cross the upstream's close.
         this.idleTimeoutNanos = (long) (settings.number("caps.connIdle", 5e9) * 0.9);
         this.reports = new LoadReports(settings);
-        this.connectionLimit = new SharedRoom(options.connections());
+        this.connectionLimit = new SharedConnectionLimit(options.maxConnections());
         this.connector = connector;
         this.unlistedUpstream = new ServerPool(this, options);
         long intervalNanos = Math.max(
@@ -116,7 +121,7 @@
     }
 
     /** Sets the listener that is called with an upstream that requires HTTP/1.1. */
-    public void onHttp1Wanted(LongConsumer listener) {
+    public void onHttp1Required(LongConsumer listener) {
         http1RequiredListener = listener;
     }
 
@@ -125,17 +130,17 @@
      * and waits for the upstream's SETTINGS. The listener is called on the event loop, possibly within this
      * call.
      */
-    public void learn(long upstream, Consumer<Learned> listener) {
+    public void probeProtocol(long upstream, Consumer<ProtocolProbeResult> listener) {
         pools.getOrDefault(upstream, unlistedUpstream).probeProtocol(listener);
     }
 
     @Override
-    public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
+    public void updateEndpoint(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
         pools.computeIfAbsent(upstream, id -> new ServerPool(this, options)).update(address, startedMs, ready);
     }
 
     @Override
-    public void gone(long upstream) {
+    public void removeEndpoint(long upstream) {
         ServerPool pool = pools.remove(upstream);
         if (pool != null) {
             removedPools.add(pool);
@@ -145,7 +150,7 @@
 
     @Override
     public Transport.Attempt send(long upstream, Job job, long timeoutNanos, Listener listener) {
-        if (!codec.fits(job)) {
+        if (!codec.canEncode(job)) {
             listener.ended(Outcome.NEVER_SENT, null, LoadReports.NONE);
             return Attempt.ENDED;
         }
@@ -173,7 +178,7 @@
 
     /** Returns the number of open connections. */
     public int connections() {
-        return connectionLimit.taken();
+        return connectionLimit.connectionCount();
     }
 
     /** Closes all idle connections and stops the periodic maintenance. */
@@ -193,7 +198,7 @@
         return loop;
     }
 
-    Wording codec() {
+    MessageCodec codec() {
         return codec;
     }
 
@@ -205,11 +210,11 @@
         return connectTimeoutMs;
     }
 
-    SharedRoom connectionLimit() {
+    SharedConnectionLimit connectionLimit() {
         return connectionLimit;
     }
 
-    Dialler connector() {
+    Connector connector() {
         return connector;
     }
 
--- a/src/main/java/pondridge/http2/Wording.java
+++ b/src/main/java/pondridge/http2/MessageCodec.java
@@ -3,47 +3,47 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http2.Http2Headers;
 import pondridge.Balancer.Outcome;
-import pondridge.core.Answer;
 import pondridge.core.Job;
+import pondridge.core.UpstreamResponse;
 
 /**
  * Encodes requests as, and decodes responses from, the headers and body of an HTTP/2 stream: for plain HTTP or for
- * a protocol carried over HTTP/2. It does not decide whether a request was executed; {@link Proof} does. Used on
+ * a protocol carried over HTTP/2. It does not decide whether a request was executed; {@link StreamOutcomeRules} does. Used on
  * the event loop only.
  */
-public interface Wording {
+public interface MessageCodec {
     /** A decoded response; {@code answer} is present only for {@link Outcome#OK}. */
-    record Ended(Outcome outcome, Answer answer) {}
+    record DecodedResponse(Outcome outcome, UpstreamResponse response) {}
 
     /** The codec of plain HTTP. */
-    Wording HTTP = new Wording() {
+    MessageCodec HTTP = new MessageCodec() {
         @Override
-        public Http2Headers head(Job job, long remainingNanos) {
+        public Http2Headers encodeHeaders(Job job, long remainingNanos) {
             return HeaderMapper.requestHeaders(job, remainingNanos);
         }
 
         @Override
-        public byte[] body(Job job) {
+        public byte[] encodeBody(Job job) {
             return job.body();
         }
 
         @Override
-        public Ended answer(
+        public DecodedResponse decodeResponse(
                 Job job, Http2Headers headers, HttpHeaders forwardedHeaders, byte[] body, Http2Headers trailers) {
-            return new Ended(Outcome.OK, new Answer(forwardedHeaders, body));
+            return new DecodedResponse(Outcome.OK, new UpstreamResponse(forwardedHeaders, body));
         }
     };
 
     /** Returns the headers of a request; {@code remainingNanos} is sent to the upstream as the time left. */
-    Http2Headers head(Job job, long remainingNanos);
+    Http2Headers encodeHeaders(Job job, long remainingNanos);
 
     /** Whether a request can be encoded; one that cannot is never sent. */
-    default boolean fits(Job job) {
+    default boolean canEncode(Job job) {
         return true;
     }
 
     /** Returns the body of a request. */
-    byte[] body(Job job);
+    byte[] encodeBody(Job job);
 
     /**
      * Decodes a complete response with status 200.
@@ -52,5 +52,6 @@
      * @param forwardedHeaders those of its headers that are forwarded to the client
      * @param trailers the trailers, or null if there were none
      */
-    Ended answer(Job job, Http2Headers headers, HttpHeaders forwardedHeaders, byte[] body, Http2Headers trailers);
+    DecodedResponse decodeResponse(
+            Job job, Http2Headers headers, HttpHeaders forwardedHeaders, byte[] body, Http2Headers trailers);
 }
--- a/src/main/java/pondridge/http2/Learned.java
+++ b/src/main/java/pondridge/http2/ProtocolProbeResult.java
@@ -1,11 +1,11 @@
 package pondridge.http2;
 
 /** The result of connecting to an upstream and sending only the HTTP/2 connection preface. */
-public enum Learned {
+public enum ProtocolProbeResult {
     /** The upstream responded with SETTINGS. */
     HTTP2,
     /** The upstream accepted the connection but responded with something else, or not in time. */
-    OTHER,
+    NOT_HTTP2,
     /** No connection was established. */
-    NOBODY
+    UNREACHABLE
 }
--- a/src/main/java/pondridge/http2/ServerPool.java
+++ b/src/main/java/pondridge/http2/ServerPool.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import pondridge.Balancer.Outcome;
-import pondridge.pool.Pool;
-import pondridge.pool.Turned;
+import pondridge.pool.ConnectionPool;
+import pondridge.pool.RejectionReason;
 
-/** The connections to one upstream. Carries out the decisions of its {@link Pool} on sockets and timers. */
-final class ServerPool implements Pool.Actions<Connection, Http2Attempt> {
+/** The connections to one upstream. Carries out the decisions of its {@link ConnectionPool} on sockets and timers. */
+final class ServerPool implements ConnectionPool.Actions<Connection, Http2Attempt> {
     private final Http2Upstreams upstreams;
     private final Http2Options options;
-    private final Pool<Connection, Http2Attempt> pool;
-    private final List<Consumer<Learned>> probeListeners = new ArrayList<>();
+    private final ConnectionPool<Connection, Http2Attempt> pool;
+    private final List<Consumer<ProtocolProbeResult>> probeListeners = new ArrayList<>();
     private InetSocketAddress address;
     private long startedMs;
     private boolean ready;
@@ -27,7 +27,7 @@
     ServerPool(Http2Upstreams upstreams, Http2Options options) {
         this.upstreams = upstreams;
         this.options = options;
-        this.pool = new Pool<>(options.poolLimits(), upstreams.connectionLimit(), this, System.nanoTime());
+        this.pool = new ConnectionPool<>(options.poolLimits(), upstreams.connectionLimit(), this, System.nanoTime());
     }
 
     /** Takes over the upstream's current entry in the endpoint list. */
@@ -35,7 +35,7 @@
         if (!newAddress.equals(address) || newStartedMs > startedMs) {
             address = newAddress;
             startedMs = newStartedMs;
-            pool.renewed(System.nanoTime());
+            pool.upstreamRestarted(System.nanoTime());
         }
         if (newReady) {
             ready = true;
@@ -49,13 +49,13 @@
     /** Sends nothing more to the upstream that has not been fully sent yet. */
     void shutDown() {
         ready = false;
-        pool.shut();
-        protocolDetected(Learned.NOBODY);
+        pool.close();
+        protocolDetected(ProtocolProbeResult.UNREACHABLE);
     }
 
     /** Releases the pool if it was shut down and holds no connection; false if it still does. */
     boolean dissolve() {
-        return pool.dissolve();
+        return pool.unregisterIfEmpty();
     }
 
     void closeIdle() {
@@ -63,16 +63,16 @@
     }
 
     /** Determines whether the upstream speaks HTTP/2 by sending only the connection preface. */
-    void probeProtocol(Consumer<Learned> listener) {
-        switch (pool.ask(System.nanoTime())) {
-            case UP -> listener.accept(Learned.HTTP2);
-            case COMING -> probeListeners.add(listener);
-            default -> listener.accept(Learned.NOBODY);
+    void probeProtocol(Consumer<ProtocolProbeResult> listener) {
+        switch (pool.requestConnection(System.nanoTime())) {
+            case UP -> listener.accept(ProtocolProbeResult.HTTP2);
+            case PENDING -> probeListeners.add(listener);
+            default -> listener.accept(ProtocolProbeResult.UNREACHABLE);
         }
     }
 
-    private void protocolDetected(Learned result) {
-        List<Consumer<Learned>> listeners = List.copyOf(probeListeners);
+    private void protocolDetected(ProtocolProbeResult result) {
+        List<Consumer<ProtocolProbeResult>> listeners = List.copyOf(probeListeners);
         probeListeners.clear();
         listeners.forEach(listener -> listener.accept(result));
     }
@@ -91,8 +91,8 @@
 
     /** Schedules the pool's next tick. Only one timer is pending; it may fire earlier than needed. */
     private void scheduleTick() {
-        long due = pool.due();
-        if (due == Pool.NEVER || timer != null && timerDueAt - due <= 0) {
+        long due = pool.nextTickNanos();
+        if (due == ConnectionPool.NEVER || timer != null && timerDueAt - due <= 0) {
             return;
         }
         if (timer != null) {
@@ -113,19 +113,19 @@
 
     /** Streams may have become available on a connection. */
     void streamsFreed() {
-        pool.freed(System.nanoTime());
+        pool.creditChanged(System.nanoTime());
     }
 
     @Override
-    public void turn() {
+    public void scheduleDispatch() {
         upstreams.loop().execute(() -> {
-            pool.turn(System.nanoTime());
+            pool.dispatch(System.nanoTime());
             scheduleTick();
         });
     }
 
     @Override
-    public void place(Connection connection, Http2Attempt attempt) {
+    public void assign(Connection connection, Http2Attempt attempt) {
         if (attempt.stillWanted()) {
             connection.write(attempt, System.nanoTime());
         } else {
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void end(Http2Attempt attempt, Turned why) {
+    public void reject(Http2Attempt attempt, RejectionReason why) {
         finishAttempt(
                 attempt,
                 switch (why) {
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void retire(Connection connection) {
+    public void drain(Connection connection) {
         if (ready) {
             connection.retire();
         } else {
@@ -163,7 +163,7 @@
         Connection connection = upstreams.newConnection(this);
         upstreams
                 .connector()
-                .dial(address, upstreams.connectTimeoutMs(), new ChannelInitializer<>() {
+                .connect(address, upstreams.connectTimeoutMs(), new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel socket) {
                         connection.attach(socket);
@@ -194,8 +194,8 @@
 
     /** The connection has received its first SETTINGS. */
     void settingsReceived(Connection connection) {
-        pool.cameUp(connection, System.nanoTime());
-        protocolDetected(Learned.HTTP2);
+        pool.connectionEstablished(connection, System.nanoTime());
+        protocolDetected(ProtocolProbeResult.HTTP2);
     }
 
     /**
@@ -203,15 +203,15 @@
      * is delayed.
      */
     void goAwayReceived(Connection connection) {
-        pool.leaving(connection, connection.hasServed(), System.nanoTime());
+        pool.connectionDraining(connection, connection.hasServed(), System.nanoTime());
     }
 
     /** The connection is closed or could not be established. */
     void connectionLost(Connection connection) {
         boolean beforeSettings = !connection.settingsReceived();
-        pool.lost(connection, connection.hasServed(), System.nanoTime());
-        if (beforeSettings && !pool.asked()) {
-            protocolDetected(connection.connected() ? Learned.OTHER : Learned.NOBODY);
+        pool.connectionEnded(connection, connection.hasServed(), System.nanoTime());
+        if (beforeSettings && !pool.isConnectionRequested()) {
+            protocolDetected(connection.connected() ? ProtocolProbeResult.NOT_HTTP2 : ProtocolProbeResult.UNREACHABLE);
         }
         scheduleTick();
     }
@@ -228,7 +228,7 @@
         upstreams.http1Required(this);
     }
 
-    Wording codec() {
+    MessageCodec codec() {
         return upstreams.codec();
     }
 
@@ -246,7 +246,7 @@
 
     /** Periodic maintenance. */
     void maintain(long now, long idleTimeoutNanos) {
-        for (Connection connection : pool.members()) {
+        for (Connection connection : pool.connections()) {
             if (connection.settingsReceived()) {
                 connection.maintain(now);
             }
--- a/src/main/java/pondridge/http2/Proof.java
+++ b/src/main/java/pondridge/http2/StreamOutcomeRules.java
@@ -9,9 +9,9 @@
  *
  * <p>Not final, so that a test can break one rule and check that the effect ledger detects it.
  */
-class Proof {
+class StreamOutcomeRules {
     /** The rules of RFC 9113. */
-    static final Proof RFC9113 = new Proof();
+    static final StreamOutcomeRules RFC9113 = new StreamOutcomeRules();
 
     /**
      * The upstream has reset the stream. REFUSED_STREAM states that nothing was processed (section 8.7), which
--- a/src/main/java/pondridge/http2/StreamTable.java
+++ b/src/main/java/pondridge/http2/StreamTable.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.TreeMap;
 import pondridge.Balancer.Outcome;
-import pondridge.core.Evidence;
+import pondridge.core.ResponseClassifier;
 
 /**
  * The streams of one connection to an upstream. Decides whether another stream may be opened and which
@@ -55,7 +55,7 @@
         }
     }
 
-    private final Proof outcomeRules;
+    private final StreamOutcomeRules outcomeRules;
     private final TreeMap<Integer, Stream<T>> streams = new TreeMap<>();
     private long nextId;
     private long maxConcurrentStreams = -1;
@@ -66,7 +66,7 @@
      * Creates a table whose first stream id is {@code firstId}, an odd number; only tests pass anything but
      * 1.
      */
-    StreamTable(Proof outcomeRules, int firstId) {
+    StreamTable(StreamOutcomeRules outcomeRules, int firstId) {
         this.outcomeRules = outcomeRules;
         this.nextId = firstId;
     }
@@ -207,7 +207,7 @@
         // A 200 cannot be the response to a request that was not fully sent.
         Outcome outcome = stream.status == 200 && !stream.endStreamWritten
                 ? Outcome.ERROR
-                : Evidence.ofAnswer(stream.status, stream.declined);
+                : ResponseClassifier.outcomeOf(stream.status, stream.declined);
         if (stream.endStreamWritten) {
             streams.remove(stream.id);
         }
--- a/src/main/java/pondridge/lab/ColdBudget.java
+++ b/src/main/java/pondridge/lab/ColdStartBudget.java
@@ -1,7 +1,7 @@
 package pondridge.lab;
 
 import java.util.ArrayDeque;
-import pondridge.Balancer.Limits;
+import pondridge.Balancer.SafetyLimits;
 
 /**
  * Checks the load of a server against the limit that holds during its cold-start ramp. In any window of length
@@ -9,10 +9,10 @@
  * the overload factor times the server's present capacity times the length of the window.
  * The limit is the one in the operators' specification of cold servers.
  */
-public final class ColdBudget {
+public final class ColdStartBudget {
     private record Arrival(long atNanos, double requests) {}
 
-    private final Limits limits;
+    private final SafetyLimits limits;
     private final long startedNanos;
     private final double warmCapacityPerNano;
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
@@ -25,7 +25,7 @@
      *
      * @param warmCapacityPerNano requests per nanosecond after the ramp
      */
-    ColdBudget(Limits limits, long startedNanos, double warmCapacityPerNano) {
+    ColdStartBudget(SafetyLimits limits, long startedNanos, double warmCapacityPerNano) {
         this.limits = limits;
         this.startedNanos = startedNanos;
         this.warmCapacityPerNano = warmCapacityPerNano;
@@ -33,8 +33,9 @@
 
     /** Returns the present fraction of the warm capacity. It grows linearly from the cold share to 1 over the ramp. */
     double capacityFraction(long nowNanos) {
-        double rampProgress = limits.rampTime() == 0 ? 1 : (nowNanos - startedNanos) / (double) limits.rampTime();
-        return limits.coldShare() + (1 - limits.coldShare()) * Math.max(0, Math.min(1, rampProgress));
+        double rampProgress = limits.rampNanos() == 0 ? 1 : (nowNanos - startedNanos) / (double) limits.rampNanos();
+        return limits.coldCapacityFraction()
+                + (1 - limits.coldCapacityFraction()) * Math.max(0, Math.min(1, rampProgress));
     }
 
     /** Records an arrival. Returns false if the load of the current window exceeds the limit. */
@@ -44,11 +45,13 @@
         }
         arrivals.add(new Arrival(nowNanos, requests));
         arrivedInWindow += requests;
-        while (nowNanos - arrivals.peek().atNanos >= limits.tipAfter()) {
+        while (nowNanos - arrivals.peek().atNanos >= limits.overloadWindowNanos()) {
             arrivedInWindow -= arrivals.poll().requests;
         }
-        double expected =
-                limits.overloadFactor() * capacityFraction(nowNanos) * warmCapacityPerNano * limits.tipAfter();
+        double expected = limits.overloadFactor()
+                * capacityFraction(nowNanos)
+                * warmCapacityPerNano
+                * limits.overloadWindowNanos();
         double limit = expected + 2 * Math.sqrt(expected) + 2;
         if (arrivedInWindow * worstWindowLimit > worstWindowRequests * limit) {
             worstWindowRequests = arrivedInWindow;
@@ -58,12 +61,12 @@
     }
 
     /** Returns the requests of mean work in the window with the highest load relative to its limit. */
-    public double worstSum() {
+    public double worstWindowRequests() {
         return worstWindowRequests;
     }
 
     /** Returns the limit of the window with the highest load relative to its limit. */
-    public double worstBound() {
+    public double worstWindowLimit() {
         return worstWindowLimit;
     }
 }
--- a/src/main/java/pondridge/lab/Queue.java
+++ b/src/main/java/pondridge/lab/EventQueue.java
@@ -4,7 +4,7 @@
 import java.util.function.LongConsumer;
 
 /** Event queue in virtual time. Events due at the same time run in the order in which they were scheduled. */
-final class Queue {
+final class EventQueue {
     private record Event(long dueNanos, long sequence, LongConsumer action) {}
 
     private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
--- a/src/main/java/pondridge/lab/Upstreams.java
+++ b/src/main/java/pondridge/lab/SimulatedServers.java
@@ -4,11 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
-import pondridge.Balancer.Limits;
 import pondridge.Balancer.Outcome;
+import pondridge.Balancer.SafetyLimits;
 
 /** The modelled servers. Each processes as many requests at a time as it has threads, and more slowly while cold. */
-final class Upstreams {
+final class SimulatedServers {
     /** A request at a server; {@code onEnd} receives the time and the outcome of its end. */
     static final class Work {
         final double requests;
@@ -26,8 +26,8 @@
     /** One server, for the time between one start and the next. */
     static final class Server {
         final int number;
-        final Scene.Machine model;
-        final ColdBudget budget;
+        final SimulationScenario.ServerModel model;
+        final ColdStartBudget budget;
         final long startedNanos;
         final ArrayDeque<Work> queued = new ArrayDeque<>();
         final List<Work> inProgress = new ArrayList<>();
@@ -35,7 +35,7 @@
         long pausedUntilNanos;
         long totalPauseNanos;
 
-        Server(int number, Scene.Machine model, ColdBudget budget, long startedNanos) {
+        Server(int number, SimulationScenario.ServerModel model, ColdStartBudget budget, long startedNanos) {
             this.number = number;
             this.model = model;
             this.budget = budget;
@@ -43,25 +43,25 @@
         }
     }
 
-    private final Queue queue;
-    private final Tally result;
+    private final EventQueue queue;
+    private final SimulationResult result;
     final List<Server> servers = new ArrayList<>();
-    private final Limits limits;
+    private final SafetyLimits limits;
     private final double meanWorkNanos;
 
-    Upstreams(Queue queue, Tally result, Scene scenario) {
+    SimulatedServers(EventQueue queue, SimulationResult result, SimulationScenario scenario) {
         this.queue = queue;
         this.result = result;
-        this.limits = scenario.settings().limits();
+        this.limits = scenario.settings().safetyLimits();
         this.meanWorkNanos = scenario.arrivals().meanWorkNanos();
-        for (Scene.Machine model : scenario.servers()) {
+        for (SimulationScenario.ServerModel model : scenario.servers()) {
             servers.add(null);
-            start(servers.size() - 1, model, -limits.rampTime());
+            start(servers.size() - 1, model, -limits.rampNanos());
         }
     }
 
-    void start(int number, Scene.Machine model, long nowNanos) {
-        ColdBudget budget = new ColdBudget(limits, nowNanos, model.threads() / meanWorkNanos);
+    void start(int number, SimulationScenario.ServerModel model, long nowNanos) {
+        ColdStartBudget budget = new ColdStartBudget(limits, nowNanos, model.threads() / meanWorkNanos);
         servers.set(number, new Server(number, model, budget, nowNanos));
         if (nowNanos >= 0) {
             result.budgets.add(budget);
--- a/src/main/java/pondridge/lab/Bed.java
+++ b/src/main/java/pondridge/lab/Simulation.java
@@ -7,17 +7,17 @@
 import java.util.Random;
 import java.util.function.LongConsumer;
 import pondridge.Balancer.Actions;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.RequestClass;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
-import pondridge.Rules;
+import pondridge.Balancer.UpstreamState;
+import pondridge.LoadBalancingPolicy;
 
-/** Runs a {@link Scene} with the real decision module. */
-public final class Bed {
+/** Runs a {@link SimulationScenario} with the real decision module. */
+public final class Simulation {
     /** Start of the modules' clock. It is not 0, since a start time of 0 in a list means a server that is long warm. */
     private static final long CLOCK_START_NANOS = 1_000_000_000_000L;
 
@@ -35,7 +35,7 @@
     private static final class Try {
         final ClientRequest clientRequest;
         final long receivedNanos;
-        final List<Upstreams.Work> attempts = new ArrayList<>();
+        final List<SimulatedServers.Work> attempts = new ArrayList<>();
         final List<Boolean> pending = new ArrayList<>();
         boolean ended;
 
@@ -45,11 +45,11 @@
         }
     }
 
-    private final Scene scenario;
+    private final SimulationScenario scenario;
     private final Random random;
-    private final Queue queue = new Queue();
-    private final Tally result;
-    private final Upstreams servers;
+    private final EventQueue queue = new EventQueue();
+    private final SimulationResult result;
+    private final SimulatedServers servers;
     private final SidecarHost[] sidecars;
     private final long[] startedNanos;
     private final boolean[] removed;
@@ -58,19 +58,19 @@
     private int nextSidecar;
     private long clientsPausedUntilNanos;
 
-    private Bed(Scene scenario) {
+    private Simulation(SimulationScenario scenario) {
         this.scenario = scenario;
         this.random = new Random(scenario.seed());
-        this.result = new Tally(scenario.servers().size());
-        this.servers = new Upstreams(queue, result, scenario);
+        this.result = new SimulationResult(scenario.servers().size());
+        this.servers = new SimulatedServers(queue, result, scenario);
         this.sidecars = new SidecarHost[scenario.sidecars()];
         this.startedNanos = new long[scenario.servers().size()];
         this.removed = new boolean[startedNanos.length];
     }
 
     /** Runs the scenario to its end. */
-    public static Tally play(Scene scenario) {
-        Bed simulation = new Bed(scenario);
+    public static SimulationResult run(SimulationScenario scenario) {
+        Simulation simulation = new Simulation(scenario);
         scenario.events()
                 .forEach(event ->
                         simulation.queue.schedule(event.atNanos(), atNanos -> simulation.applyEvent(atNanos, event)));
@@ -86,44 +86,47 @@
         return simulation.result;
     }
 
-    private void applyEvent(long atNanos, Scene.Change event) {
+    private void applyEvent(long atNanos, SimulationScenario.TimedEvent event) {
         int index = event.index();
         switch (event.type()) {
-            case GONE -> {
+            case SERVER_REMOVED -> {
                 removed[index] = true;
                 servers.crash(atNanos, index);
             }
-            case COLD -> {
+            case SERVER_RESTARTED -> {
                 removed[index] = false;
                 startedNanos[index] = CLOCK_START_NANOS + atNanos;
                 servers.crash(atNanos, index);
                 servers.start(index, scenario.servers().get(index), atNanos);
             }
-            case STILL_SERVER -> servers.pause(atNanos, index, event.pauseNanos());
-            case STILL_SIDECAR -> {
+            case SERVER_PAUSED -> servers.pause(atNanos, index, event.pauseNanos());
+            case SIDECAR_PAUSED -> {
                 if (sidecars[index] == null) {
                     startSidecar(atNanos, index);
                 }
                 sidecars[index].pausedUntilNanos = atNanos + event.pauseNanos();
             }
-            case STILL_CLIENTS -> clientsPausedUntilNanos = atNanos + event.pauseNanos();
+            case CLIENTS_PAUSED -> clientsPausedUntilNanos = atNanos + event.pauseNanos();
             default -> startSidecar(atNanos, index);
         }
-        if (event.type() == Scene.Event.GONE || event.type() == Scene.Event.COLD) {
+        if (event.type() == SimulationScenario.EventType.SERVER_REMOVED
+                || event.type() == SimulationScenario.EventType.SERVER_RESTARTED) {
             List<Upstream> update = List.of(entry(index));
             for (SidecarHost sidecar : sidecars) {
                 if (sidecar != null) {
                     long delayNanos =
                             scenario.maxUpdateDelayNanos() == 0 ? 0 : random.nextLong(scenario.maxUpdateDelayNanos());
                     queue.schedule(
-                            atNanos + delayNanos, dueNanos -> sidecar.deliverList(dueNanos, ListKind.DELTA, update));
+                            atNanos + delayNanos,
+                            dueNanos -> sidecar.deliverList(dueNanos, EndpointListKind.DELTA, update));
                 }
             }
         }
     }
 
     private Upstream entry(int index) {
-        return new Upstream(index, 0, 0, 0, removed[index] ? State.GONE : State.READY, 1, startedNanos[index]);
+        return new Upstream(
+                index, 0, 0, 0, removed[index] ? UpstreamState.GONE : UpstreamState.READY, 1, startedNanos[index]);
     }
 
     private void startSidecar(long atNanos, int index) {
@@ -139,11 +142,11 @@
             }
         }
         sidecars[index].module.start(CLOCK_START_NANOS + atNanos);
-        sidecars[index].deliverList(atNanos, ListKind.CACHED, list);
+        sidecars[index].deliverList(atNanos, EndpointListKind.CACHED, list);
     }
 
     private void arrive(long atNanos) {
-        Scene.Arrivals arrivals = scenario.arrivals();
+        SimulationScenario.Arrivals arrivals = scenario.arrivals();
         double meanGapNanos = NANOS_PER_SECOND / arrivals.requestsPerSecond();
         double delayNanos = arrivals.evenlySpaced() ? meanGapNanos : -Math.log(1 - random.nextDouble()) * meanGapNanos;
         queue.schedule(atNanos + (long) delayNanos, this::arrive);
@@ -165,37 +168,37 @@
 
     /** One sidecar: executes the actions of its decision module. */
     private final class SidecarHost implements Actions {
-        private final Rules module;
+        private final LoadBalancingPolicy module;
         private final Map<Long, Try> tries = new HashMap<>();
         private boolean stopped;
         private long pausedUntilNanos;
 
         SidecarHost(int rank, long seed) {
             Settings all = scenario.settings();
-            this.module = new Rules(
+            this.module = new LoadBalancingPolicy(
                     new Settings(
                             rank,
-                            all.replicas(),
+                            all.replicaCount(),
                             all.zone(),
-                            all.quantum(),
-                            all.discovery(),
-                            all.weights(),
+                            all.minEventIntervalNanos(),
+                            all.discoveryMode(),
+                            all.weightKind(),
                             all.classes(),
                             all.tenants(),
-                            all.allowed(),
-                            all.limits(),
-                            all.reportFields(),
-                            all.charges(),
-                            all.valueByWork(),
-                            all.overShareWorth()),
+                            all.capabilities(),
+                            all.safetyLimits(),
+                            all.loadReportFields(),
+                            all.overheadCosts(),
+                            all.utilityPerWork(),
+                            all.overQuotaUtilityFraction()),
                     seed,
                     this);
         }
 
-        void deliverList(long atNanos, ListKind kind, List<Upstream> entries) {
+        void deliverList(long atNanos, EndpointListKind kind, List<Upstream> entries) {
             nowNanos = atNanos;
             if (!stopped) {
-                module.listChanged(CLOCK_START_NANOS + atNanos, kind, entries);
+                module.endpointListChanged(CLOCK_START_NANOS + atNanos, kind, entries);
             }
         }
 
@@ -218,7 +221,7 @@
                     + scenario.settings()
                             .classes()
                             .get(clientRequest.classIndex)
-                            .deadline()
+                            .deadlineNanos()
                     - atNanos;
             runWhenResumed(atNanos, dueNanos -> {
                 long id = nextRequestId++;
@@ -226,7 +229,7 @@
                 double workHint = scenario.arrivals().workHinted()
                         ? clientRequest.relativeWork * scenario.arrivals().meanWorkNanos()
                         : 0;
-                module.request(
+                module.requestArrived(
                         CLOCK_START_NANOS + dueNanos,
                         new Request(
                                 id,
@@ -250,8 +253,8 @@
                     + scenario.settings()
                             .classes()
                             .get(clientRequest.classIndex)
-                            .deadline();
-            Upstreams.Work work = new Upstreams.Work(
+                            .deadlineNanos();
+            SimulatedServers.Work work = new SimulatedServers.Work(
                     clientRequest.relativeWork,
                     (long) (clientRequest.relativeWork * scenario.arrivals().meanWorkNanos()),
                     (atNanos, outcome) -> queue.schedule(
@@ -281,19 +284,19 @@
             }
             clientTry.pending.set(attempt, false);
             if (outcome == Outcome.REJECTED) {
-                result.secondAt(atNanos).rejected++;
+                result.secondAt(atNanos).rejectedByServers++;
             }
             clientTry.attempts.get(attempt).abandoned = true;
             if (outcome == Outcome.OK && !clientTry.ended) {
                 clientTry.ended = true;
                 RequestClass requestClass = scenario.settings().classes().get(clientTry.clientRequest.classIndex);
-                if (atNanos - clientTry.clientRequest.startNanos <= requestClass.aim()) {
-                    result.secondAt(clientTry.clientRequest.startNanos).inTime++;
+                if (atNanos - clientTry.clientRequest.startNanos <= requestClass.sloNanos()) {
+                    result.secondAt(clientTry.clientRequest.startNanos).answeredInTime++;
                 } else {
                     result.secondAt(clientTry.clientRequest.startNanos).answeredLate++;
                 }
             }
-            module.outcome(
+            module.attemptEnded(
                     CLOCK_START_NANOS + atNanos,
                     request,
                     attempt,
@@ -312,9 +315,9 @@
             if (!clientTry.attempts.isEmpty()) {
                 result.secondAt(nowNanos).refusedAfterAttempts++;
             } else if (clientTry.receivedNanos == nowNanos) {
-                result.secondAt(nowNanos).refusedAtOnce++;
+                result.secondAt(nowNanos).refusedImmediately++;
             } else {
-                result.secondAt(nowNanos).refusedAfterWait++;
+                result.secondAt(nowNanos).refusedAfterQueueing++;
             }
             long retryNanos = nowNanos + Math.max(scenario.arrivals().retryDelayNanos(), retryAfterNanos);
             if (clientRequest.retry
@@ -324,7 +327,7 @@
                                     + scenario.settings()
                                             .classes()
                                             .get(clientRequest.classIndex)
-                                            .deadline()) {
+                                            .deadlineNanos()) {
                 result.secondAt(clientRequest.startNanos).refused++;
                 return;
             }
@@ -349,19 +352,19 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
-            Upstreams.Work work = tries.get(request).attempts.get(attempt);
+        public void cancelAttempt(long request, int attempt) {
+            SimulatedServers.Work work = tries.get(request).attempts.get(attempt);
             work.abandoned = true;
             work.onEnd.accept(nowNanos, Outcome.CANCELLED);
         }
 
         @Override
-        public void timer(long token, long atNanos) {
+        public void setTimer(long token, long atNanos) {
             queue.schedule(
                     Math.max(nowNanos, atNanos - CLOCK_START_NANOS),
                     firedNanos -> runWhenResumed(firedNanos, dueNanos -> {
                         if (!stopped) {
-                            module.timer(CLOCK_START_NANOS + dueNanos, token);
+                            module.timerFired(CLOCK_START_NANOS + dueNanos, token);
                         }
                     }));
         }
@@ -372,18 +375,18 @@
         }
 
         @Override
-        public void closeIdle(long upstream) {}
+        public void closeIdleConnections(long upstream) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
         public void log(String line) {}
 
         @Override
-        public void subscribe(boolean on) {}
+        public void setSubscription(boolean on) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpointList() {}
     }
 }
--- a/src/main/java/pondridge/lab/Scene.java
+++ b/src/main/java/pondridge/lab/SimulationScenario.java
@@ -16,17 +16,17 @@
  * @param roundTripNanos network time of a request to a server and its response back
  * @param endNanos end of the run
  */
-public record Scene(
+public record SimulationScenario(
         long seed,
         Settings settings,
         int sidecars,
-        List<Machine> servers,
+        List<ServerModel> servers,
         Arrivals arrivals,
-        List<Change> events,
+        List<TimedEvent> events,
         long maxUpdateDelayNanos,
         long roundTripNanos,
         long endNanos) {
-    public Scene {
+    public SimulationScenario {
         servers = List.copyOf(servers);
         events = List.copyOf(events);
     }
@@ -38,7 +38,7 @@
      * @param queueSlots number of further requests that may wait; it rejects any beyond that at once
      * @param crashesOnOverload whether it crashes, and stays down, when it gets more than its cold-start budget
      */
-    public record Machine(int threads, int queueSlots, boolean crashesOnOverload) {}
+    public record ServerModel(int threads, int queueSlots, boolean crashesOnOverload) {}
 
     /**
      * Load from the clients.
@@ -70,13 +70,13 @@
      * or all clients pause, as in a garbage collection. After a pause they process everything that arrived, or
      * was due to be sent, in the meantime.
      */
-    public enum Event {
-        GONE,
-        COLD,
-        SIDECAR,
-        STILL_SERVER,
-        STILL_SIDECAR,
-        STILL_CLIENTS
+    public enum EventType {
+        SERVER_REMOVED,
+        SERVER_RESTARTED,
+        SIDECAR_RESTARTED,
+        SERVER_PAUSED,
+        SIDECAR_PAUSED,
+        CLIENTS_PAUSED
     }
 
     /**
@@ -85,8 +85,8 @@
      * @param index number of the server or sidecar that it concerns
      * @param pauseNanos length of a pause; 0 for all other types
      */
-    public record Change(long atNanos, Event type, int index, long pauseNanos) {
-        public Change(long atNanos, Event type, int index) {
+    public record TimedEvent(long atNanos, EventType type, int index, long pauseNanos) {
+        public TimedEvent(long atNanos, EventType type, int index) {
             this(atNanos, type, index, 0);
         }
     }
--- a/src/main/java/pondridge/platform/Discovery.java
+++ b/src/main/java/pondridge/platform/DiscoveryClient.java
@@ -29,9 +29,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
-import pondridge.core.Directory;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Json;
 import pondridge.core.RequestLog;
 import pondridge.core.Target;
@@ -42,7 +42,7 @@
  * balancer requests nothing: a list counts as received as soon as the agent has it, even with no watch open, so
  * the watch is opened at startup and reopened whenever it ends.
  */
-public final class Discovery implements Directory {
+public final class DiscoveryClient implements EndpointDiscovery {
     /**
      * Limit on silence on an open watch, and on receiving one object. The service sends an empty line every
      * 2 s, so a longer pause means that the watch has broken. A change missed that way counts as received 6 s
@@ -66,15 +66,16 @@
     /** Parses an entry; returns null, with a line on standard error, if it is invalid. */
     private static Target parseTarget(JsonNode node) {
         String uid = node.path("uid").asText("");
-        State state =
+        UpstreamState state =
                 switch (node.path("state").asText()) {
-                    case "SERVING" -> State.READY;
-                    case "DRAINING" -> State.DRAINING;
-                    case "DELETED" -> State.GONE;
+                    case "SERVING" -> UpstreamState.READY;
+                    case "DRAINING" -> UpstreamState.DRAINING;
+                    case "DELETED" -> UpstreamState.GONE;
                     default -> null;
                 };
-        InetSocketAddress endpoint = Config.parseAddress(node.path("endpoint").asText(""));
-        if (uid.isEmpty() || state == null || endpoint == null && state != State.GONE) {
+        InetSocketAddress endpoint =
+                PlatformConfig.parseAddress(node.path("endpoint").asText(""));
+        if (uid.isEmpty() || state == null || endpoint == null && state != UpstreamState.GONE) {
             System.err.println("discovery: ignoring invalid entry: " + node);
             return null;
         }
@@ -92,10 +93,10 @@
     /**
      * A full endpoint list, or a change to it.
      *
-     * @param rev revision of the list after this message
+     * @param revision revision of the list after this message
      * @param full whether {@code targets} is the whole list; otherwise only the targets that changed
      */
-    public record EndpointList(long rev, boolean full, List<Target> targets) {
+    public record EndpointList(long revision, boolean full, List<Target> targets) {
         public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
         /** Parses a list; invalid entries are skipped. */
@@ -113,7 +114,7 @@
 
     private final EventLoop loop;
     private final boolean pushed;
-    private final BiConsumer<ListKind, List<Target>> listener;
+    private final BiConsumer<EndpointListKind, List<Target>> listener;
     private final Set<Call> openCalls = new HashSet<>();
     private InetSocketAddress address;
     private long revision;
@@ -132,15 +133,15 @@
     /**
      * Creates a client that calls {@code listener} on the event loop for each response and each failure.
      *
-     * @param pushed whether lists are pushed to an agent at this address: see {@link #follow}
+     * @param pushed whether lists are pushed to an agent at this address: see {@link #startIfPushed}
      * @param revision revision of the cached list
      */
-    public Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             boolean pushed,
             long revision,
-            BiConsumer<ListKind, List<Target>> listener) {
+            BiConsumer<EndpointListKind, List<Target>> listener) {
         this.loop = loop;
         this.pushed = pushed;
         this.address = address;
@@ -149,7 +150,7 @@
     }
 
     /** Revision of the last list received. Call on the event loop; already updated when the listener is called. */
-    public long rev() {
+    public long revision() {
         return revision;
     }
 
@@ -159,7 +160,7 @@
     }
 
     /** Starts watching if lists are pushed; otherwise does nothing, since the balancer requests the watch. */
-    public void follow() {
+    public void startIfPushed() {
         if (pushed) {
             watch(true);
         }
@@ -271,7 +272,7 @@
 
         void open() {
             openCalls.add(this);
-            requestLog.discoveryAsked(watching, revision);
+            requestLog.discoveryCallStarted(watching, revision);
             updateTimeout();
             new Bootstrap()
                     .group(loop)
@@ -348,7 +349,7 @@
 
         private void fail(String reason) {
             if (!closed) {
-                requestLog.discoveryFailed(watching, reason);
+                requestLog.discoveryCallFailed(watching, reason);
                 close();
                 if (nextAddress != null && watch == this) {
                     // The watch is replaced at once by one at the new service, so this is not a failure.
@@ -359,9 +360,10 @@
                     watch = null;
                     rewatchIfPushed();
                 } else if (pushed) {
-                    loop.schedule(Discovery.this::fetchFullListIfPending, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(
+                            DiscoveryClient.this::fetchFullListIfPending, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                 }
-                listener.accept(ListKind.FAILED, List.of());
+                listener.accept(EndpointListKind.FAILED, List.of());
             }
         }
 
@@ -400,7 +402,7 @@
                             // No change since the known revision is a first response, too.
                             responded = true;
                             updateTimeout();
-                            listener.accept(ListKind.DELTA, List.of());
+                            listener.accept(EndpointListKind.DELTA, List.of());
                             fetchFullListIfPending();
                             switchUnlessCallPending();
                         }
@@ -422,7 +424,7 @@
          * or a switch to another one, but then no newer list has arrived in the meantime.
          */
         private boolean isOutdated(EndpointList list) {
-            return list.rev() < revision && (watching ? responded && !list.full() : revision != initialRevision);
+            return list.revision() < revision && (watching ? responded && !list.full() : revision != initialRevision);
         }
 
         private void readObject() throws IOException {
@@ -433,8 +435,8 @@
             }
             EndpointList list = EndpointList.of(node);
             boolean outdated = isOutdated(list);
-            ListKind kind = list.full() ? ListKind.FULL : ListKind.DELTA;
-            requestLog.listReceived(watching, list.rev(), outdated, kind, list.targets());
+            EndpointListKind kind = list.full() ? EndpointListKind.FULL : EndpointListKind.DELTA;
+            requestLog.endpointListReceived(watching, list.revision(), outdated, kind, list.targets());
             responded = true;
             extendObjectTimeout = false;
             updateTimeout();
@@ -444,7 +446,7 @@
                 }
                 return;
             }
-            revision = list.rev();
+            revision = list.revision();
             // Changes alone would leave targets in place that only the old service listed.
             fullListPending &= !list.full();
             fetchFullListIfPending();
--- a/src/main/java/pondridge/platform/Config.java
+++ b/src/main/java/pondridge/platform/PlatformConfig.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.StringJoiner;
 import pondridge.Balancer;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.core.Json;
 
 /**
@@ -19,22 +19,22 @@
  * whose message names the key.
  *
  * @param maxSockets limit on open file descriptors
- * @param known endpoint list cached from before the start
+ * @param cachedEndpoints endpoint list cached from before the start
  */
-public record Config(
+public record PlatformConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
         long seed,
         int maxSockets,
-        Discovery.EndpointList known,
-        Options options) {
+        DiscoveryClient.EndpointList cachedEndpoints,
+        BalancerOptions options) {
     private static final int MIN_SOCKETS = 64;
     /** The JVM and its libraries hold 35; the rest is for accepting, discovery and reading the configuration. */
     private static final int RESERVED_DESCRIPTORS = 48;
 
     /** Reads a JSON file. */
-    public static Config read(Path file) throws IOException {
+    public static PlatformConfig read(Path file) throws IOException {
         try {
             return of(Json.MAPPER.readTree(Files.readAllBytes(file)));
         } catch (JsonProcessingException e) {
@@ -43,22 +43,23 @@
     }
 
     /** Parses the content of a configuration file. */
-    public static Config of(JsonNode root) {
+    public static PlatformConfig of(JsonNode root) {
         JsonNode settings = root.path("settings");
         if (!settings.isObject()) {
             throw new IllegalArgumentException("missing: settings");
         }
         StringBuilder lines = new StringBuilder();
         flatten("", settings, lines);
-        Options options = new Options(lines.toString());
+        BalancerOptions options = new BalancerOptions(lines.toString());
         options.settings();
         int maxSockets = root.path("limits").path("sockets").asInt(1024);
         if (maxSockets < MIN_SOCKETS) {
             throw new IllegalArgumentException("expected at least " + MIN_SOCKETS + ": limits.sockets");
         }
-        Discovery.EndpointList known =
-                root.has("known") ? Discovery.EndpointList.of(root.get("known")) : Discovery.EndpointList.EMPTY;
-        return new Config(
+        DiscoveryClient.EndpointList known = root.has("known")
+                ? DiscoveryClient.EndpointList.of(root.get("known"))
+                : DiscoveryClient.EndpointList.EMPTY;
+        return new PlatformConfig(
                 root.path("name").asText("sidecar"),
                 address(root, "listen"),
                 address(root, "discovery"),
@@ -69,21 +70,21 @@
     }
 
     /** Whether endpoint lists are pushed to an agent on this machine instead of being requested. */
-    public boolean pushed() {
-        return options.settings().discovery() == Balancer.Discovery.AUTOMATIC;
+    public boolean isDiscoveryPushed() {
+        return options.settings().discoveryMode() == Balancer.DiscoveryMode.AUTOMATIC;
     }
 
     /**
      * Limit on client connections, three eighths of the descriptors. Clients may need a third of all descriptors for
      * concurrent requests; the remainder is for connections that are closing.
      */
-    public int mostClients() {
+    public int maxClientConnections() {
         return maxSockets * 3 / 8;
     }
 
     /** Limit on upstream connections: what client connections and {@link #RESERVED_DESCRIPTORS} leave. */
-    public int mostUpstream() {
-        return Math.max(maxSockets / 4, maxSockets - mostClients() - RESERVED_DESCRIPTORS);
+    public int maxUpstreamConnections() {
+        return Math.max(maxSockets / 4, maxSockets - maxClientConnections() - RESERVED_DESCRIPTORS);
     }
 
     private static InetSocketAddress address(JsonNode root, String key) {
@@ -114,7 +115,7 @@
         }
     }
 
-    /** Writes a JSON tree as path=value lines, the simulator's wire format, which {@link Options} reads. */
+    /** Writes a JSON tree as path=value lines, the simulator's wire format, which {@link BalancerOptions} reads. */
     private static void flatten(String path, JsonNode node, StringBuilder lines) {
         if (node.isObject()) {
             for (Map.Entry<String, JsonNode> field : node.properties()) {
