--- a/src/main/java/pondridge/pool/Pool.java
+++ b/src/main/java/pondridge/pool/ConnectionPool.java
@@ -14,38 +14,38 @@
  * <p>Events arrive through the public methods, each with the time in nanoseconds on one monotonic clock. The
  * pool responds through {@link Actions}: one event may cause several actions, and an action may deliver the
  * next event before it returns. After each event that can leave an attempt waiting, the caller asks
- * {@link #due()} for the time of the next {@link #tick}. Not thread-safe.
+ * {@link #nextTickNanos()} for the time of the next {@link #tick}. Not thread-safe.
  *
  * <p>Not final so that a test can break one rule and verify that its model detects the fault.
  *
  * @param <C> the connections
  * @param <T> identifies an attempt; compared with {@code equals}
  */
-public class Pool<C extends Member, T> {
-    /** Returned by {@link #due()} when no tick is needed. */
+public class ConnectionPool<C extends PooledConnection, T> {
+    /** Returned by {@link #nextTickNanos()} when no tick is needed. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
     /** The operations that a pool requests from its owner. */
     public interface Actions<C, T> {
-        /** Creates a connection and starts dialling; {@link Pool#cameUp} or {@link Pool#lost} follows later. */
+        /** Creates a connection and starts dialling; {@link ConnectionPool#connectionEstablished} or {@link ConnectionPool#connectionEnded} follows later. */
         C dial();
 
         /** Assigns an attempt to a connection with credit, which has less credit when this returns. */
-        void place(C connection, T attempt);
+        void assign(C connection, T attempt);
 
         /** Ends an attempt that was not assigned to a connection. */
-        void end(T attempt, Turned reason);
+        void reject(T attempt, RejectionReason reason);
 
-        /** Closes a connection immediately; {@link Pool#lost} follows, possibly within this call. */
+        /** Closes a connection immediately; {@link ConnectionPool#connectionEnded} follows, possibly within this call. */
         void close(C connection);
 
         /** Closes a connection once its running attempts have ended. */
-        void retire(C connection);
+        void drain(C connection);
 
-        /** Calls {@link Pool#turn} after the current read has been processed. */
-        void turn();
+        /** Calls {@link ConnectionPool#dispatch} after the current read has been processed. */
+        void scheduleDispatch();
     }
 
     /** The state of a connection from its dial to its end. */
@@ -66,16 +66,16 @@
         }
     }
 
-    /** Result of {@link #ask}. */
-    public enum Reach {
+    /** Result of {@link #requestConnection}. */
+    public enum Availability {
         UP,
-        COMING,
-        SHUT,
-        NOT_NOW
+        PENDING,
+        CLOSED,
+        UNAVAILABLE
     }
 
     private final PoolLimits limits;
-    private final SharedRoom sharedLimit;
+    private final SharedConnectionLimit sharedLimit;
     private final Actions<C, T> actions;
     private final List<Entry<C>> entries = new ArrayList<>();
     /** Waiting attempts with their arrival time in nanoseconds, in order of arrival. */
@@ -85,7 +85,7 @@
     private boolean accepting;
     private boolean connectionRequested;
     /** Response of the shared limit to the request that is pending there; null if none is. */
-    private SharedRoom.Grant pendingGrant;
+    private SharedConnectionLimit.Grant pendingGrant;
 
     private boolean dispatchScheduled;
     private int consecutiveFailures;
@@ -93,7 +93,7 @@
     private long usableSinceNanos;
 
     /** Creates a pool that is closed until {@link #open} is called. */
-    public Pool(PoolLimits limits, SharedRoom sharedLimit, Actions<C, T> actions, long nowNanos) {
+    public ConnectionPool(PoolLimits limits, SharedConnectionLimit sharedLimit, Actions<C, T> actions, long nowNanos) {
         this.limits = limits;
         this.sharedLimit = sharedLimit;
         this.actions = actions;
@@ -108,15 +108,15 @@
     }
 
     /** Accepts no new attempts: rejects waiting ones, drains connections that are up, closes those being dialled. */
-    public final void shut() {
+    public final void close() {
         accepting = false;
         connectionRequested = false;
-        rejectAll(Turned.SHUT);
+        rejectAll(RejectionReason.SHUT);
         drainAll();
     }
 
     /** The upstream was replaced by another process: resets the backoff and drains the connections to the old one. */
-    public final void renewed(long nowNanos) {
+    public final void upstreamRestarted(long nowNanos) {
         consecutiveFailures = 0;
         earliestDialNanos = nowNanos;
         drainAll();
@@ -132,7 +132,7 @@
                 closeEntry(entry);
             } else {
                 entry.state = State.ENDING;
-                actions.retire(entry.connection);
+                actions.drain(entry.connection);
             }
         }
     }
@@ -149,14 +149,14 @@
     /** Takes an attempt: assigns it to a connection, queues it or rejects it. */
     public final void offer(T attempt, long nowNanos) {
         if (!accepting) {
-            actions.end(attempt, Turned.SHUT);
+            actions.reject(attempt, RejectionReason.SHUT);
             return;
         }
         C available = waiting.isEmpty() ? connectionWithCredit() : null;
         if (available != null) {
-            actions.place(available, attempt);
+            actions.assign(available, attempt);
         } else if (waiting.size() >= limits.maxWaiting()) {
-            actions.end(attempt, Turned.FULL);
+            actions.reject(attempt, RejectionReason.FULL);
         } else {
             waiting.put(attempt, nowNanos);
             dialOrReject(nowNanos);
@@ -171,27 +171,27 @@
     }
 
     /** Requests an established connection without an attempt to assign to it. */
-    public final Reach ask(long nowNanos) {
+    public final Availability requestConnection(long nowNanos) {
         if (hasUsableConnection()) {
-            return Reach.UP;
+            return Availability.UP;
         }
         if (!accepting) {
-            return Reach.SHUT;
+            return Availability.CLOSED;
         }
         connectionRequested = true;
         tryDial(nowNanos);
-        connectionRequested = connecting != null || pendingGrant == SharedRoom.Grant.PENDING;
+        connectionRequested = connecting != null || pendingGrant == SharedConnectionLimit.Grant.PENDING;
         cancelUnneededRequest();
-        return connectionRequested ? Reach.COMING : Reach.NOT_NOW;
+        return connectionRequested ? Availability.PENDING : Availability.UNAVAILABLE;
     }
 
-    /** Whether the connection requested with {@link #ask} is still pending. */
-    public final boolean asked() {
+    /** Whether the connection requested with {@link #requestConnection} is still pending. */
+    public final boolean isConnectionRequested() {
         return connectionRequested;
     }
 
     /** A connection is established; it may already be without credit or no longer usable. */
-    public final void cameUp(C connection, long nowNanos) {
+    public final void connectionEstablished(C connection, long nowNanos) {
         Entry<C> entry = entryOf(connection);
         if (entry == null || entry.state != State.CONNECTING) {
             return;
@@ -202,11 +202,11 @@
         entry.state = State.UP;
         connecting = null;
         connectionRequested = false;
-        freed(nowNanos);
+        creditChanged(nowNanos);
     }
 
     /** The credit or usability of a connection may have changed. */
-    public final void freed(long nowNanos) {
+    public final void creditChanged(long nowNanos) {
         scheduleDispatch();
         if (!dispatchScheduled) {
             sharedLimit.connectionIdle(nowNanos);
@@ -218,7 +218,7 @@
      *
      * @param useful whether it has served anything; if so, the next dial is not delayed
      */
-    public final void leaving(C connection, boolean useful, long nowNanos) {
+    public final void connectionDraining(C connection, boolean useful, long nowNanos) {
         Entry<C> entry = entryOf(connection);
         if (entry != null && entry.state == State.UP) {
             entry.state = State.ENDING;
@@ -228,7 +228,7 @@
     }
 
     /** A connection has ended; called exactly once for each that was dialled. */
-    public final void lost(C connection, boolean useful, long nowNanos) {
+    public final void connectionEnded(C connection, boolean useful, long nowNanos) {
         Entry<C> entry = entryOf(connection);
         if (entry == null) {
             return;
@@ -255,8 +255,8 @@
         }
     }
 
-    /** Runs the dispatch requested with {@link Actions#turn}: assigns waiting attempts in order of arrival. */
-    public final void turn(long nowNanos) {
+    /** Runs the dispatch requested with {@link Actions#scheduleDispatch}: assigns waiting attempts in order of arrival. */
+    public final void dispatch(long nowNanos) {
         dispatchScheduled = false;
         tick(nowNanos);
         if (!dispatchScheduled) {
@@ -264,7 +264,7 @@
         }
     }
 
-    /** Called at the time returned by {@link #due()}, or later. */
+    /** Called at the time returned by {@link #nextTickNanos()}, or later. */
     public final void tick(long nowNanos) {
         while (accepting && !waiting.isEmpty()) {
             C available = connectionWithCredit();
@@ -273,7 +273,7 @@
             }
             T next = oldestWaiting();
             waiting.remove(next);
-            actions.place(available, next);
+            actions.assign(available, next);
         }
         if (!hasConnectionOrPending()) {
             dialOrReject(nowNanos);
@@ -281,14 +281,14 @@
         while (!waiting.isEmpty() && !onlyConnecting() && waitDeadline() - nowNanos <= 0) {
             T next = oldestWaiting();
             waiting.remove(next);
-            actions.end(next, Turned.STARVED);
+            actions.reject(next, RejectionReason.STARVED);
         }
         dialOrReject(nowNanos);
         cancelUnneededRequest();
     }
 
     /** Returns the time for the next {@link #tick}, or {@link #NEVER}. */
-    public final long due() {
+    public final long nextTickNanos() {
         long dueNanos = waiting.isEmpty() || onlyConnecting() ? NEVER : waitDeadline();
         if (wantsConnection() && connecting == null && pendingGrant == null && belowConnectionLimit()) {
             dueNanos = dueNanos == NEVER || earliestDialNanos - dueNanos < 0 ? earliestDialNanos : dueNanos;
@@ -300,20 +300,20 @@
     public final void closeIdle(long maxIdleNanos, long nowNanos) {
         for (Entry<C> entry : List.copyOf(entries)) {
             if (entry.state == State.UP
-                    && entry.connection.idle()
-                    && nowNanos - entry.connection.idleSince() > maxIdleNanos) {
+                    && entry.connection.isIdle()
+                    && nowNanos - entry.connection.idleSinceNanos() > maxIdleNanos) {
                 closeEntry(entry);
             }
         }
     }
 
     /** Returns all connections that have not ended, oldest first. */
-    public final List<C> members() {
+    public final List<C> connections() {
         return entries.stream().map(entry -> entry.connection).toList();
     }
 
     /** Unregisters a closed pool from the shared limit; returns false while the pool is open or has connections. */
-    public final boolean dissolve() {
+    public final boolean unregisterIfEmpty() {
         if (accepting || !entries.isEmpty()) {
             return false;
         }
@@ -321,7 +321,7 @@
         return true;
     }
 
-    final Member longestIdleConnection() {
+    final PooledConnection longestIdleConnection() {
         Entry<C> longestIdle = longestIdleEntry();
         return longestIdle == null ? null : longestIdle.connection;
     }
@@ -331,9 +331,10 @@
         for (Entry<C> entry : entries) {
             // An idle connection with credit is about to be used if attempts are waiting.
             if (entry.state == State.UP
-                    && entry.connection.idle()
+                    && entry.connection.isIdle()
                     && (waiting.isEmpty() || entry.connection.credit() == 0)
-                    && (longestIdle == null || entry.connection.idleSince() - longestIdle.connection.idleSince() < 0)) {
+                    && (longestIdle == null
+                            || entry.connection.idleSinceNanos() - longestIdle.connection.idleSinceNanos() < 0)) {
                 longestIdle = entry;
             }
         }
@@ -370,7 +371,7 @@
         if (wantsConnection()) {
             tryDial(nowNanos);
             if (!hasConnectionOrPending()) {
-                rejectAll(consecutiveFailures > 0 ? Turned.UNREACHABLE : Turned.NO_ROOM);
+                rejectAll(consecutiveFailures > 0 ? RejectionReason.UNREACHABLE : RejectionReason.NO_ROOM);
             }
         }
     }
@@ -379,8 +380,8 @@
         if (connecting != null || !belowConnectionLimit() || nowNanos - earliestDialNanos < 0) {
             return;
         }
-        SharedRoom.Grant grant = sharedLimit.acquire(this, nowNanos);
-        pendingGrant = grant == SharedRoom.Grant.GRANTED ? null : grant;
+        SharedConnectionLimit.Grant grant = sharedLimit.acquire(this, nowNanos);
+        pendingGrant = grant == SharedConnectionLimit.Grant.GRANTED ? null : grant;
         if (pendingGrant == null) {
             connecting = new Entry<>(actions.dial());
             entries.add(connecting);
@@ -404,7 +405,7 @@
 
     /** Whether a connection for the waiting attempts exists or is pending. */
     private boolean hasConnectionOrPending() {
-        return connecting != null || pendingGrant == SharedRoom.Grant.PENDING || hasUsableConnection();
+        return connecting != null || pendingGrant == SharedConnectionLimit.Grant.PENDING || hasUsableConnection();
     }
 
     private boolean onlyConnecting() {
@@ -423,14 +424,14 @@
     private void scheduleDispatch() {
         if (!dispatchScheduled && !waiting.isEmpty()) {
             dispatchScheduled = true;
-            actions.turn();
+            actions.scheduleDispatch();
         }
     }
 
-    private void rejectAll(Turned reason) {
+    private void rejectAll(RejectionReason reason) {
         for (T attempt : List.copyOf(waiting.keySet())) {
             if (waiting.remove(attempt) != null) {
-                actions.end(attempt, reason);
+                actions.reject(attempt, reason);
             }
         }
     }
@@ -444,14 +445,14 @@
         return null;
     }
 
-    private static boolean isUsable(Entry<? extends Member> entry) {
-        return entry.state == State.CONNECTING || entry.state == State.UP && entry.connection.usable();
+    private static boolean isUsable(Entry<? extends PooledConnection> entry) {
+        return entry.state == State.CONNECTING || entry.state == State.UP && entry.connection.isUsable();
     }
 
     /** Whether an established connection has credit or may regain it. */
     private boolean hasUsableConnection() {
         for (Entry<C> entry : entries) {
-            if (entry.state == State.UP && entry.connection.usable()) {
+            if (entry.state == State.UP && entry.connection.isUsable()) {
                 return true;
             }
         }
--- a/src/main/java/pondridge/pool/Turned.java
+++ b/src/main/java/pondridge/pool/RejectionReason.java
@@ -1,7 +1,7 @@
 package pondridge.pool;
 
 /** Why a pool rejected an attempt; a rejected attempt was never assigned to a connection. */
-public enum Turned {
+public enum RejectionReason {
     /** The pool is closed to new attempts. */
     SHUT,
     /** The limit of waiting attempts is reached. */
--- a/src/main/java/pondridge/pool/SharedRoom.java
+++ b/src/main/java/pondridge/pool/SharedConnectionLimit.java
@@ -8,7 +8,7 @@
  * idle for longest is evicted, whichever pool it belongs to. Pools that could not get a connection receive freed
  * capacity in the order in which they requested it. Used only by its pools, on their thread.
  */
-public final class SharedRoom {
+public final class SharedConnectionLimit {
     /** Response to a request for capacity. */
     enum Grant {
         /** The capacity is assigned to the requester. */
@@ -20,32 +20,32 @@
     }
 
     private final int maxConnections;
-    private final Set<Pool<?, ?>> pools = new LinkedHashSet<>();
-    private final Set<Pool<?, ?>> waitingPools = new LinkedHashSet<>();
+    private final Set<ConnectionPool<?, ?>> pools = new LinkedHashSet<>();
+    private final Set<ConnectionPool<?, ?>> waitingPools = new LinkedHashSet<>();
     private int connectionCount;
     private int evictionsInProgress;
 
     /** Creates a limit of this many connections. */
-    public SharedRoom(int maxConnections) {
+    public SharedConnectionLimit(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
     /** Returns the current number of connections, including those that are closing. */
-    public int taken() {
+    public int connectionCount() {
         return connectionCount;
     }
 
-    void register(Pool<?, ?> pool) {
+    void register(ConnectionPool<?, ?> pool) {
         pools.add(pool);
     }
 
     /** Removes a pool that has no connections left and will dial none. */
-    void unregister(Pool<?, ?> pool) {
+    void unregister(ConnectionPool<?, ?> pool) {
         pools.remove(pool);
         waitingPools.remove(pool);
     }
 
-    Grant acquire(Pool<?, ?> requester, long nowNanos) {
+    Grant acquire(ConnectionPool<?, ?> requester, long nowNanos) {
         int waitingBefore = waitingPools.size() - (waitingPools.contains(requester) ? 1 : 0);
         if (connectionCount >= maxConnections && evictionsInProgress <= waitingBefore) {
             // The end of the evicted connection may be reported within this call.
@@ -60,7 +60,7 @@
         return evictionsInProgress >= waitingPools.size() ? Grant.PENDING : Grant.UNAVAILABLE;
     }
 
-    void cancelRequest(Pool<?, ?> requester) {
+    void cancelRequest(ConnectionPool<?, ?> requester) {
         waitingPools.remove(requester);
     }
 
@@ -69,7 +69,7 @@
         connectionCount--;
         evictionsInProgress -= evicted ? 1 : 0;
         while (connectionCount < maxConnections && !waitingPools.isEmpty()) {
-            Pool<?, ?> next = waitingPools.iterator().next();
+            ConnectionPool<?, ?> next = waitingPools.iterator().next();
             waitingPools.remove(next);
             next.capacityAvailable(nowNanos);
         }
@@ -83,13 +83,13 @@
     }
 
     private void evictLongestIdle(long nowNanos) {
-        Pool<?, ?> owner = null;
+        ConnectionPool<?, ?> owner = null;
         long ownerIdleSince = 0;
-        for (Pool<?, ?> pool : pools) {
-            Member candidate = pool.longestIdleConnection();
-            if (candidate != null && (owner == null || candidate.idleSince() - ownerIdleSince < 0)) {
+        for (ConnectionPool<?, ?> pool : pools) {
+            PooledConnection candidate = pool.longestIdleConnection();
+            if (candidate != null && (owner == null || candidate.idleSinceNanos() - ownerIdleSince < 0)) {
                 owner = pool;
-                ownerIdleSince = candidate.idleSince();
+                ownerIdleSince = candidate.idleSinceNanos();
             }
         }
         if (owner != null) {
--- a/src/main/java/pondridge/scale/CaseResult.java
+++ b/src/main/java/pondridge/scale/CaseResult.java
@@ -24,7 +24,7 @@
         Step step,
         double eventCount,
         double seconds,
-        Knowledge.Times propagation,
+        PropagationTracker.Times propagation,
         int missingFollowers,
         ListDistribution.Counts sourceCounts,
         long sourceCpuNanos,
--- a/src/main/java/pondridge/scale/ControlListDistribution.java
+++ b/src/main/java/pondridge/scale/ControlListDistribution.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.stream.IntStream;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.control.ControlClient;
 import pondridge.control.ControlRelay;
 import pondridge.control.ControlSettings;
 import pondridge.control.ControlSource;
-import pondridge.control.Events;
+import pondridge.control.EventLog;
 import pondridge.control.Resource;
-import pondridge.control.Targets;
+import pondridge.control.TargetCodec;
 import pondridge.control.Traffic;
 import pondridge.core.Target;
 import pondridge.standin.FaultyLink;
@@ -40,7 +40,7 @@
     private static final int STARTUP_TIMEOUT_SECONDS = 60;
     private static final int POLL_INTERVAL_MILLIS = 5;
     private static final int VERSION_CHECK_INTERVAL_MILLIS = 1_000;
-    private static final Events FAILURE_EVENTS = (event, peer, detail) -> {
+    private static final EventLog FAILURE_EVENTS = (event, peer, detail) -> {
         if (List.of("refused", "entry_passed_over", "listener_failed", "not_written", "not_taken")
                 .contains(event)) {
             System.err.println("control: " + event + ' ' + peer + ": " + detail);
@@ -78,8 +78,8 @@
 
         void kill() {
             loop.submit(() -> {
-                        stoppedFullLists += relay.wholes();
-                        stoppedDeltas += relay.differences();
+                        stoppedFullLists += relay.snapshotsSent();
+                        stoppedDeltas += relay.deltasSent();
                     })
                     .syncUninterruptibly();
             relay.close();
@@ -89,9 +89,9 @@
         Counts counts() {
             return loop.submit(() -> counts(
                             downstreamTraffic,
-                            stoppedFullLists + (relay == null ? 0 : relay.wholes()),
-                            stoppedDeltas + (relay == null ? 0 : relay.differences()),
-                            relay == null ? 0 : (int) relay.sums().count()))
+                            stoppedFullLists + (relay == null ? 0 : relay.snapshotsSent()),
+                            stoppedDeltas + (relay == null ? 0 : relay.deltasSent()),
+                            relay == null ? 0 : (int) relay.propagationStatus().followerCount()))
                     .syncUninterruptibly()
                     .getNow();
         }
@@ -198,15 +198,15 @@
                 null,
                 upstreams,
                 List.of(),
-                base.serving(),
-                base.choice(),
-                base.silence(),
-                base.stale(),
-                base.fold(),
-                base.report(),
-                base.markers(),
-                base.entries(),
-                base.longestMessage());
+                base.watcherLimits(),
+                base.relaySelectorLimits(),
+                base.silenceTimeoutNanos(),
+                base.staleAfterNanos(),
+                base.commitDelayNanos(),
+                base.statusIntervalNanos(),
+                base.maxTombstones(),
+                base.maxEntries(),
+                base.maxMessageBytes());
     }
 
     private long versionInCommit(long commitNumber) {
@@ -224,7 +224,7 @@
         List<Resource> resources = new ArrayList<>();
         boolean modified = false;
         for (Target target : changed) {
-            Resource resource = Targets.resource(serviceName(target), target);
+            Resource resource = TargetCodec.toResource(serviceName(target), target);
             resources.add(resource);
             modified |= !resource.equals(publishedResources.put(target.uid(), resource));
         }
@@ -242,7 +242,10 @@
 
     @Override
     public Subscription subscribe(
-            int follower, EventLoop followerLoop, boolean inRegion, BiConsumer<ListKind, List<Target>> listener) {
+            int follower,
+            EventLoop followerLoop,
+            boolean inRegion,
+            BiConsumer<EndpointListKind, List<Target>> listener) {
         List<InetSocketAddress> upstreams = inRegion
                 ? regionProxies.stream().map(FaultyLink::address).toList()
                 : relayNodes.stream().map(node -> node.address).toList();
@@ -253,7 +256,7 @@
                         .mapToObj(i -> "s-" + i)
                         .toList();
         ControlSettings followerSettings = settings(ControlSettings.Role.FOLLOWER, "f-" + follower, null, upstreams)
-                .as("f-" + follower, services);
+                .forFollower("f-" + follower, services);
         ControlClient client = new ControlClient(
                 followerLoop,
                 followerSettings,
@@ -283,7 +286,7 @@
             private void reportNewVersion() {
                 if (version() > reportedVersion) {
                     reportedVersion = version();
-                    listener.accept(ListKind.DELTA, List.of());
+                    listener.accept(EndpointListKind.DELTA, List.of());
                 }
             }
 
@@ -329,8 +332,8 @@
     public void setSourceKilled(boolean killed) {
         if (killed) {
             loop.submit(() -> {
-                        stoppedFullLists += source.wholes();
-                        stoppedDeltas += source.differences();
+                        stoppedFullLists += source.snapshotsSent();
+                        stoppedDeltas += source.deltasSent();
                     })
                     .syncUninterruptibly();
             source.close();
@@ -362,7 +365,7 @@
     @Override
     public void setRegionCut(boolean cut) {
         regionProxies.forEach(proxy -> {
-            proxy.refuse(cut);
+            proxy.setResetNewConnections(cut);
             if (cut) {
                 proxy.reset();
             }
@@ -372,8 +375,8 @@
     @Override
     public Counts sourceCounts() {
         return loop.submit(() -> {
-                    long fullLists = stoppedFullLists + (source == null ? 0 : source.wholes());
-                    long deltas = stoppedDeltas + (source == null ? 0 : source.differences());
+                    long fullLists = stoppedFullLists + (source == null ? 0 : source.snapshotsSent());
+                    long deltas = stoppedDeltas + (source == null ? 0 : source.deltasSent());
                     return new Counts(
                             0,
                             fullLists,
--- a/src/main/java/pondridge/scale/DiscoveryListDistribution.java
+++ b/src/main/java/pondridge/scale/DiscoveryListDistribution.java
@@ -5,10 +5,10 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.BiConsumer;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
-import pondridge.platform.Discovery;
+import pondridge.platform.DiscoveryClient;
 import pondridge.standin.DiscoveryStandin;
 
 /** Distribution by the platform's discovery service: each follower has its own watch at the single source. */
@@ -24,7 +24,7 @@
     DiscoveryListDistribution(boolean pushed, List<Target> initialEntries) {
         this.pushed = pushed;
         this.source = new DiscoveryStandin(sourceLoops.next(), ANY_PORT, toSourceEntries(initialEntries));
-        this.regionAddress = source.door(ANY_PORT);
+        this.regionAddress = source.addListener(ANY_PORT);
     }
 
     private static List<DiscoveryStandin.Entry> toSourceEntries(List<Target> targets) {
@@ -33,31 +33,32 @@
                         target.uid(),
                         target.endpoint(),
                         target.zone(),
-                        target.state() == State.READY
+                        target.state() == UpstreamState.READY
                                 ? "SERVING"
-                                : target.state() == State.DRAINING ? "DRAINING" : "DELETED",
+                                : target.state() == UpstreamState.DRAINING ? "DRAINING" : "DELETED",
                         target.startedMs()))
                 .toList();
     }
 
     @Override
     public void publish(List<Target> changed) {
-        source.change(toSourceEntries(changed), 0);
+        source.updateEntries(toSourceEntries(changed), 0);
     }
 
     @Override
     public Subscription subscribe(
-            int follower, EventLoop loop, boolean inRegion, BiConsumer<ListKind, List<Target>> listener) {
-        Discovery discovery = new Discovery(loop, inRegion ? regionAddress : sourceAddress(), pushed, 0, listener);
+            int follower, EventLoop loop, boolean inRegion, BiConsumer<EndpointListKind, List<Target>> listener) {
+        DiscoveryClient discovery =
+                new DiscoveryClient(loop, inRegion ? regionAddress : sourceAddress(), pushed, 0, listener);
         return new Subscription() {
             @Override
             public void start() {
-                discovery.follow();
+                discovery.startIfPushed();
             }
 
             @Override
             public long version() {
-                return discovery.rev();
+                return discovery.revision();
             }
 
             @Override
@@ -79,25 +80,30 @@
 
     @Override
     public void setKilled(boolean killed) {
-        source.shut(0, killed);
-        source.shut(1, killed);
+        source.setListenerClosed(0, killed);
+        source.setListenerClosed(1, killed);
     }
 
     @Override
     public void setSilent(boolean silent) {
-        source.silent(silent);
+        source.setSilent(silent);
     }
 
     @Override
     public void setRegionCut(boolean cut) {
-        source.shut(1, cut);
+        source.setListenerClosed(1, cut);
     }
 
     @Override
     public Counts sourceCounts() {
         DiscoveryStandin.Counts counts = source.counts();
         return new Counts(
-                counts.calls(), counts.lists(), counts.changes(), counts.empties(), counts.bytes(), counts.watches());
+                counts.calls(),
+                counts.lists(),
+                counts.changes(),
+                counts.emptyLines(),
+                counts.bytes(),
+                counts.watches());
     }
 
     @Override
--- a/src/main/java/pondridge/scale/HollowFleet.java
+++ b/src/main/java/pondridge/scale/HollowFleet.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.atomic.LongAdder;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.scale.ScalePlan.Step;
 
 /** All hollow sidecars of one fleet size, on their own event loops. Used on the thread of the run only. */
 final class HollowFleet implements AutoCloseable {
     private final MeasuredLoopGroup followerLoops;
     private final ListDistribution distribution;
-    private final Options options;
-    private final Knowledge tracker;
+    private final BalancerOptions options;
+    private final PropagationTracker tracker;
     private final Random seedSource;
     private final double regionFraction;
     private final EventLoop[] loops;
@@ -22,7 +22,12 @@
     private final LongAdder failedCalls = new LongAdder();
 
     /** Creates a fleet in which no sidecar is started yet. */
-    HollowFleet(int size, ScalePlan plan, ListDistribution distribution, Options options, Knowledge tracker) {
+    HollowFleet(
+            int size,
+            ScalePlan plan,
+            ListDistribution distribution,
+            BalancerOptions options,
+            PropagationTracker tracker) {
         this.followerLoops = new MeasuredLoopGroup("follower", plan.followerLoops());
         this.distribution = distribution;
         this.options = options;
--- a/src/main/java/pondridge/scale/HollowSidecar.java
+++ b/src/main/java/pondridge/scale/HollowSidecar.java
@@ -3,10 +3,10 @@
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
-import pondridge.core.Directory;
+import pondridge.BalancerOptions;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Engine;
 import pondridge.core.Job;
 import pondridge.core.LoadReports;
@@ -24,10 +24,10 @@
     /** Transport that sends nothing. */
     private static final Transport NO_TRANSPORT = new Transport() {
         @Override
-        public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {}
+        public void updateEndpoint(long upstream, InetSocketAddress address, long startedMs, boolean ready) {}
 
         @Override
-        public void gone(long upstream) {}
+        public void removeEndpoint(long upstream) {}
 
         @Override
         public Attempt send(long upstream, Job job, long wait, Listener listener) {
@@ -45,7 +45,7 @@
     };
 
     private final int number;
-    private final Knowledge tracker;
+    private final PropagationTracker tracker;
     private final Runnable onFailure;
     private final Engine engine;
     private final ListDistribution.Subscription subscription;
@@ -55,11 +55,11 @@
     HollowSidecar(
             int number,
             EventLoop loop,
-            Options options,
+            BalancerOptions options,
             long seed,
             ListDistribution distribution,
             boolean inRegion,
-            Knowledge tracker,
+            PropagationTracker tracker,
             Runnable onFailure) {
         this.number = number;
         this.tracker = tracker;
@@ -71,7 +71,7 @@
     /** Starts the sidecar with an empty list. */
     void start() {
         engine.start(
-                new Directory() {
+                new EndpointDiscovery() {
                     @Override
                     public void watch(boolean on) {
                         if (!stopped) {
@@ -90,12 +90,12 @@
         subscription.start();
     }
 
-    private void listChanged(ListKind kind, List<Target> targets) {
+    private void listChanged(EndpointListKind kind, List<Target> targets) {
         if (stopped) {
             return;
         }
-        engine.listed(kind, targets);
-        if (kind == ListKind.FAILED) {
+        engine.updateEndpoints(kind, targets);
+        if (kind == EndpointListKind.FAILED) {
             onFailure.run();
         } else {
             tracker.recordReceived(number, subscription.version(), System.nanoTime());
--- a/src/main/java/pondridge/scale/InProcessSidecar.java
+++ b/src/main/java/pondridge/scale/InProcessSidecar.java
@@ -4,7 +4,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.core.Engine;
 import pondridge.http1.Frontend;
 import pondridge.http1.Upstreams;
@@ -16,13 +16,13 @@
     private final InetSocketAddress address;
 
     /** Starts a sidecar that follows the given list and accepts connections. */
-    InProcessSidecar(Options options, long seed, ListDistribution distribution) {
+    InProcessSidecar(BalancerOptions options, long seed, ListDistribution distribution) {
         EventLoop loop = loops.next();
         Frontend frontend = loop.submit(() -> {
                     Engine engine = new Engine(
                             loop, options, seed, MAX_CONNECTIONS, new Upstreams(loop, options, MAX_CONNECTIONS));
                     ListDistribution.Subscription subscription =
-                            distribution.subscribe(-1, loop, false, engine::listed);
+                            distribution.subscribe(-1, loop, false, engine::updateEndpoints);
                     engine.start(subscription, List.of());
                     subscription.start();
                     return new Frontend(engine, options, MAX_CONNECTIONS);
@@ -33,7 +33,7 @@
                 .syncUninterruptibly()
                 .channel()
                 .localAddress();
-        loop.execute(frontend::ready);
+        loop.execute(frontend::markReady);
     }
 
     @Override
--- a/src/main/java/pondridge/scale/ListDistribution.java
+++ b/src/main/java/pondridge/scale/ListDistribution.java
@@ -4,8 +4,8 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.BiConsumer;
-import pondridge.Balancer.ListKind;
-import pondridge.core.Directory;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Target;
 
 /**
@@ -19,7 +19,7 @@
     long FIRST = 1;
 
     /** One follower's subscription. Its methods and its listener are called on the follower's event loop. */
-    interface Subscription extends Directory {
+    interface Subscription extends EndpointDiscovery {
         /** Starts to follow the list, where the mechanism does so without {@link #watch}. */
         void start();
 
@@ -79,7 +79,8 @@
      * @param follower number of the follower; negative for one that is not counted
      * @param inRegion whether {@link #setRegionCut} applies to the follower
      */
-    Subscription subscribe(int follower, EventLoop loop, boolean inRegion, BiConsumer<ListKind, List<Target>> listener);
+    Subscription subscribe(
+            int follower, EventLoop loop, boolean inRegion, BiConsumer<EndpointListKind, List<Target>> listener);
 
     /** Returns the address of the source, for {@code discovery} in the configuration of real sidecars. */
     InetSocketAddress sourceAddress();
--- a/src/main/java/pondridge/scale/ProcessSidecar.java
+++ b/src/main/java/pondridge/scale/ProcessSidecar.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.locks.LockSupport;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.core.Json;
-import pondridge.demo.Child;
+import pondridge.demo.ChildProcess;
 
 /**
  * A real sidecar as a separate process of the shipped program. It follows the list of the platform's discovery.
@@ -26,7 +26,7 @@
     private static final long STARTUP_TIMEOUT_NANOS = 30_000_000_000L;
     private static final long POLL_INTERVAL_NANOS = 20_000_000;
     private static final int READ_TIMEOUT_MILLIS = 1_000;
-    private final Child child;
+    private final ChildProcess child;
     private final InetSocketAddress address;
 
     /**
@@ -34,7 +34,7 @@
      *
      * @param configFolder folder for the configuration file
      */
-    ProcessSidecar(String name, Path configFolder, Options options, long seed, InetSocketAddress discovery)
+    ProcessSidecar(String name, Path configFolder, BalancerOptions options, long seed, InetSocketAddress discovery)
             throws IOException {
         // The program can't report a port chosen by the system, so a free port is chosen here.
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -48,9 +48,9 @@
                 .put("seed", Long.toHexString(seed));
         config.putObject("limits").put("sockets", MAX_SOCKETS);
         ObjectNode settings = config.putObject("settings");
-        options.lines().forEach(settings::put);
+        options.asMap().forEach(settings::put);
         Path file = Files.writeString(configFolder.resolve(name + ".json"), config.toString());
-        child = Child.start(
+        child = ChildProcess.start(
                 name, "pondridge.sidecar.Main", List.of(), Map.of("PROXY_CONFIG", file.toString()), line -> {});
     }
 
--- a/src/main/java/pondridge/scale/Knowledge.java
+++ b/src/main/java/pondridge/scale/PropagationTracker.java
@@ -12,7 +12,7 @@
  * a version counts as having all earlier ones, since later versions supersede them. Times are passed as
  * arguments, in nanoseconds of any single clock. Thread-safe.
  */
-public final class Knowledge {
+public final class PropagationTracker {
     private static final long MAX_RECORDED_MICROS = 3_600_000_000L;
 
     /**
@@ -33,7 +33,7 @@
     private Histogram delaysMicros = new Histogram(MAX_RECORDED_MICROS, 3);
 
     /** Creates a tracker in which no follower has any version. */
-    public Knowledge(int followers) {
+    public PropagationTracker(int followers) {
         receivedVersion = new long[followers];
         requiredVersion = new long[followers];
         Arrays.fill(receivedVersion, -1);
--- a/src/main/java/pondridge/scale/RealTestbed.java
+++ b/src/main/java/pondridge/scale/RealTestbed.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import pondridge.Balancer.State;
-import pondridge.Options;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
 import pondridge.core.Target;
-import pondridge.standin.EffectLedger;
+import pondridge.standin.ExecutionLedger;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
-import pondridge.standin.OpenLoad;
+import pondridge.standin.IdempotencyKeyStore;
+import pondridge.standin.OpenLoopLoadGenerator;
 import pondridge.standin.StandinServer;
 
 /**
@@ -33,23 +33,23 @@
     private static final InetSocketAddress DISCARD_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 9);
 
     private final ScalePlan plan;
-    private final Options options;
+    private final BalancerOptions options;
     private final long clientTimeoutNanos;
     private final MeasuredLoopGroup serverLoops = new MeasuredLoopGroup("servers", 1);
     private final MeasuredLoopGroup clientLoops = new MeasuredLoopGroup("clients", 1);
     private final EventLoop clientLoop = clientLoops.next();
-    private final EffectLedger ledger;
-    private final KeyMemory keyMemory = new KeyMemory();
+    private final ExecutionLedger ledger;
+    private final IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
     private final List<StandinServer> servers = new ArrayList<>();
     private final List<RealSidecar> sidecars = new ArrayList<>();
     private final Thread shutdownHook = new Thread(this::killAll);
 
     /** Starts the servers; {@link #start} starts the sidecars. */
-    RealTestbed(ScalePlan plan, Options options, long clientTimeoutMillis) {
+    RealTestbed(ScalePlan plan, BalancerOptions options, long clientTimeoutMillis) {
         this.plan = plan;
         this.options = options;
         this.clientTimeoutNanos = clientTimeoutMillis * NANOS_PER_MILLI;
-        this.ledger = new EffectLedger(500 * NANOS_PER_MILLI, (long) options.number("rules.stopSendingWithin", 2e9));
+        this.ledger = new ExecutionLedger(500 * NANOS_PER_MILLI, (long) options.number("rules.stopSendingWithin", 2e9));
         EventLoop loop = serverLoops.next();
         for (int i = 0; i < plan.serverCount(); i++) {
             servers.add(new StandinServer(
@@ -59,7 +59,7 @@
                             entryName(i),
                             zoneName(i),
                             StandinServer.Protocol.HTTP1,
-                            FaultScript.none(WORK_NANOS),
+                            FaultScript.withoutFaults(WORK_NANOS),
                             ledger,
                             keyMemory)));
         }
@@ -75,7 +75,7 @@
     }
 
     /** Returns these entries of the list, all in one state. */
-    List<Target> targets(List<Integer> entries, State state) {
+    List<Target> targets(List<Integer> entries, UpstreamState state) {
         return entries.stream()
                 .map(entry -> new Target(
                         entryName(entry),
@@ -92,10 +92,10 @@
     }
 
     /** Records in the ledger that the source is about to publish this state; the ledger checks sidecars against it. */
-    void announceState(List<Integer> entries, State state) {
+    void announceState(List<Integer> entries, UpstreamState state) {
         // A server shared by several entries is never unavailable as a whole.
         if (servers.size() == plan.entries()) {
-            entries.forEach(entry -> ledger.draining(entryName(entry), state != State.READY));
+            entries.forEach(entry -> ledger.setDraining(entryName(entry), state != UpstreamState.READY));
         }
     }
 
@@ -131,13 +131,13 @@
         classShares.put("order-book", 0.15);
         Map<String, Long> timeouts = new LinkedHashMap<>();
         classShares.keySet().forEach(requestClass -> timeouts.put(requestClass, clientTimeoutNanos));
-        return new OpenLoad(
+        return new OpenLoopLoadGenerator(
                         clientLoop,
                         sidecars.stream().map(RealSidecar::address).toList(),
                         ledger,
                         plan.seed() + caseName.hashCode(),
                         caseName)
-                .start(new OpenLoad.Plan(
+                .start(new OpenLoopLoadGenerator.Plan(
                         (int) Math.ceil(plan.requestsPerSecond() * seconds),
                         plan.requestsPerSecond(),
                         classShares,
@@ -145,7 +145,7 @@
                         BODY_BYTES));
     }
 
-    EffectLedger.Verdict verdict() {
+    ExecutionLedger.Verdict verdict() {
         return ledger.verdict();
     }
 
--- a/src/main/java/pondridge/scale/ScalePlan.java
+++ b/src/main/java/pondridge/scale/ScalePlan.java
@@ -108,7 +108,7 @@
     public static ScalePlan read(Path path) {
         SettingsFile file = SettingsFile.read(path);
         ScalePlan plan = of(file);
-        file.finish();
+        file.rejectUnknownKeys();
         return plan;
     }
 
@@ -116,12 +116,12 @@
     static ScalePlan of(SettingsFile file) {
         Section scale = file.section("scale");
         List<Step> cases = new ArrayList<>();
-        file.section("cases").sections().forEach((name, section) -> cases.add(step(name, section)));
+        file.section("cases").subsections().forEach((name, section) -> cases.add(step(name, section)));
         if (cases.isEmpty()) {
             throw new SettingsException(file.name(), "cases", "expected at least one section [cases.NAME]");
         }
-        boolean control =
-                scale.word("way", "discovery", List.of("discovery", "control")).equals("control");
+        boolean control = scale.choice("way", "discovery", List.of("discovery", "control"))
+                .equals("control");
         int services = control ? scale.number("services", 1, 1, 4_096) : 1;
         ScalePlan plan = new ScalePlan(
                 file.name(),
@@ -130,28 +130,28 @@
                 scale.number("entries", 60, 1, 20_000),
                 scale.number("zones", 3, 1, 100),
                 scale.number("loops", 2, 1, 8),
-                scale.word("lists", "asked", List.of("asked", "pushed")).equals("pushed"),
-                scale.time("ask_within", "10s", "100ms", "10min"),
+                scale.choice("lists", "asked", List.of("asked", "pushed")).equals("pushed"),
+                scale.durationNanos("ask_within", "10s", "100ms", "10min"),
                 scale.number("sidecars", control ? 0 : 2, 0, 20),
-                scale.word("hosting", "process", List.of("process", "loop")).equals("process"),
+                scale.choice("hosting", "process", List.of("process", "loop")).equals("process"),
                 scale.number("per_second", 40, 0, 1_000),
-                scale.time("limit", "60s", "1s", "10min"),
+                scale.durationNanos("limit", "60s", "1s", "10min"),
                 control ? ControlSettings.of(file, Path.of("")) : null,
                 control ? scale.number("relays", 2, 1, 16) : 0,
                 services,
                 control ? scale.number("follows", services, 1, services) : 1,
                 List.copyOf(cases));
         if (plan.zones > plan.entries) {
-            throw scale.contradiction("zones", "expected no more than entries, " + plan.entries);
+            throw scale.invalid("zones", "expected no more than entries, " + plan.entries);
         }
         if (plan.services > plan.entries) {
-            throw scale.contradiction("services", "expected no more than entries, " + plan.entries);
+            throw scale.invalid("services", "expected no more than entries, " + plan.entries);
         }
         if (control && plan.realSidecars > 0) {
-            throw scale.contradiction("sidecars", "expected 0 with way control: real ones follow discovery");
+            throw scale.invalid("sidecars", "expected 0 with way control: real ones follow discovery");
         }
         if ((long) plan.largestSize() * plan.entries * plan.servicesPerFollower / plan.services > MAX_TOTAL_ENTRIES) {
-            throw scale.contradiction(
+            throw scale.invalid(
                     "entries",
                     "expected at most " + MAX_TOTAL_ENTRIES / plan.largestSize() + " with " + plan.largestSize()
                             + " hollow sidecars: all of them hold the list");
@@ -161,30 +161,30 @@
 
     private static Step step(String name, Section section) {
         section.text("do", null);
-        String word = section.word(
+        String word = section.choice(
                 "do", null, Arrays.stream(Act.values()).map(Act::configName).toList());
         Act act = Act.valueOf(word.replace('-', '_').toUpperCase(Locale.ROOT));
         boolean singleChange =
-                section.word("told", "singly", List.of("singly", "folded")).equals("folded");
+                section.choice("told", "singly", List.of("singly", "folded")).equals("folded");
         Step step = new Step(
                 name,
                 act,
-                section.time("for", act == Act.JOIN ? "0ms" : "1s", "0ms", "10min"),
-                section.fraction("per_second", 1, 0.01, 1_000),
+                section.durationNanos("for", act == Act.JOIN ? "0ms" : "1s", "0ms", "10min"),
+                section.decimal("per_second", 1, 0.01, 1_000),
                 singleChange,
-                section.word("change", "after", List.of("after", "before")).equals("before"),
-                section.fraction("part", 0.3, 0.01, 1));
+                section.choice("change", "after", List.of("after", "before")).equals("before"),
+                section.decimal("part", 0.3, 0.01, 1));
         if (act == Act.CHURN && Schedule.churnCount(step) == 0) {
-            throw section.contradiction("for", "expected at least one change: for times per_second is less");
+            throw section.invalid("for", "expected at least one change: for times per_second is less");
         }
         if (act == Act.SILENT && step.durationNanos < 5_000 * NANOS_PER_MILLI) {
-            throw section.contradiction("for", "expected 5s or more: a shorter silence is not noticed");
+            throw section.invalid("for", "expected 5s or more: a shorter silence is not noticed");
         }
         if (step.changeBefore && (!step.outage() || act == Act.SOURCE_KILLED)) {
-            throw section.contradiction("change", "expected with an outage, but not the source's");
+            throw section.invalid("change", "expected with an outage, but not the source's");
         }
         if (singleChange && act != Act.ZONE_GONE) {
-            throw section.contradiction("told", "expected with zone-gone alone");
+            throw section.invalid("told", "expected with zone-gone alone");
         }
         return step;
     }
--- a/src/main/java/pondridge/scale/ScaleReport.java
+++ b/src/main/java/pondridge/scale/ScaleReport.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger.Verdict;
 
 /**
  * Report of a run: a table of all cases at all fleet sizes, and the slope of each figure over the sizes.
@@ -18,7 +18,7 @@
     /** Returns whether every change reached all followers in time and the real sidecars broke no rule. */
     public boolean clean() {
         return results.stream().allMatch(result -> result.missingFollowers() == 0)
-                && verdicts.stream().allMatch(Verdict::clean);
+                && verdicts.stream().allMatch(Verdict::passed);
     }
 
     /** Returns all lines of the report. */
@@ -32,17 +32,17 @@
                     Locale.ROOT,
                     "real: asked=%d served=%d refused=%d failed=%d "
                             + "lost=%d doubled=%d after-drain=%d late=%d clean=%s",
-                    verdict.asked(),
+                    verdict.requests(),
                     verdict.served(),
                     verdict.refused(),
                     verdict.failed(),
                     verdict.unanswered(),
-                    verdict.doubled(),
-                    verdict.afterDrain(),
+                    verdict.duplicateEffects(),
+                    verdict.sendsAfterDrain(),
                     verdict.late(),
-                    verdict.clean()));
-            if (!verdict.clean()) {
-                lines.addAll(verdict.words());
+                    verdict.passed()));
+            if (!verdict.passed()) {
+                lines.addAll(verdict.violations());
             }
         }
         lines.add("scale: seed=" + seed + " clean=" + clean());
--- a/src/main/java/pondridge/scale/ScaleRun.java
+++ b/src/main/java/pondridge/scale/ScaleRun.java
@@ -14,13 +14,13 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import pondridge.Balancer.State;
-import pondridge.Options;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
 import pondridge.core.Target;
-import pondridge.demo.Usual;
+import pondridge.demo.StandinOptions;
 import pondridge.scale.ScalePlan.Act;
 import pondridge.scale.ScalePlan.Step;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger.Verdict;
 
 /**
  * Runs a {@link ScalePlan}. Each fleet size has a new source, its own real sidecars and its own hollow sidecars; the
@@ -36,32 +36,33 @@
     private static final int LOAD_TIMEOUT_SECONDS = 120;
 
     /** Creates the distribution of the list for one fleet size. */
-    public interface Source {
+    public interface DistributionFactory {
         /** Starts a distribution with these initial entries. */
         ListDistribution start(ScalePlan plan, List<Target> initialEntries);
 
         /** The platform's discovery. */
-        Source DISCOVERY = (plan, initialEntries) -> new DiscoveryListDistribution(plan.pushed(), initialEntries);
+        DistributionFactory DISCOVERY =
+                (plan, initialEntries) -> new DiscoveryListDistribution(plan.pushed(), initialEntries);
 
         /** The mechanism that the plan names. */
-        Source PLANNED = (plan, initialEntries) -> plan.control() == null
+        DistributionFactory FROM_PLAN = (plan, initialEntries) -> plan.control() == null
                 ? DISCOVERY.start(plan, initialEntries)
                 : new ControlListDistribution(plan, initialEntries);
     }
 
     private final ScalePlan plan;
-    private final Source distributionFactory;
+    private final DistributionFactory distributionFactory;
     private final Consumer<String> progress;
-    private final Options options;
+    private final BalancerOptions options;
     private final List<Integer> allEntries;
     private final List<CaseResult> results = new ArrayList<>();
 
     /** Creates a run; {@code progress} receives the result line of each case when it ends. */
-    public ScaleRun(ScalePlan plan, Source distributionFactory, Consumer<String> progress) {
+    public ScaleRun(ScalePlan plan, DistributionFactory distributionFactory, Consumer<String> progress) {
         this.plan = plan;
         this.distributionFactory = distributionFactory;
         this.progress = progress;
-        this.options = Usual.options(
+        this.options = StandinOptions.withDeadline(
                 CLIENT_TIMEOUT_MILLIS,
                 "discovery=" + (plan.pushed() || plan.control() != null ? "automatic" : "subscribe"),
                 "rules.askWithin=" + plan.refetchWithinNanos());
@@ -74,7 +75,7 @@
      * @throws pondridge.settings.SettingsException before anything is started, if the plan needs more file
      *     descriptors than this process may open
      */
-    public ScaleReport play() throws IOException, InterruptedException {
+    public ScaleReport run() throws IOException, InterruptedException {
         plan.checkDescriptors(maxDescriptors());
         new SizeRun(WARM_UP_SIZE).warmUp();
         List<Verdict> verdicts = new ArrayList<>();
@@ -112,7 +113,7 @@
     /** Run of one fleet size, with the objects that live as long. */
     private final class SizeRun {
         private final int size;
-        private final Knowledge tracker;
+        private final PropagationTracker tracker;
         private RealTestbed testbed;
         private ListDistribution distribution;
         private HollowFleet fleet;
@@ -121,13 +122,13 @@
 
         SizeRun(int size) {
             this.size = size;
-            this.tracker = new Knowledge(size);
+            this.tracker = new PropagationTracker(size);
         }
 
         Verdict run() throws IOException, InterruptedException {
             try (RealTestbed newTestbed = new RealTestbed(plan, options, CLIENT_TIMEOUT_MILLIS);
                     ListDistribution newDistribution =
-                            distributionFactory.start(plan, newTestbed.targets(allEntries, State.READY));
+                            distributionFactory.start(plan, newTestbed.targets(allEntries, UpstreamState.READY));
                     HollowFleet newFleet = new HollowFleet(size, plan, newDistribution, options, tracker)) {
                 testbed = newTestbed;
                 distribution = newDistribution;
@@ -156,13 +157,13 @@
         void warmUp() throws InterruptedException {
             try (RealTestbed newTestbed = new RealTestbed(plan, options, CLIENT_TIMEOUT_MILLIS);
                     ListDistribution newDistribution =
-                            distributionFactory.start(plan, newTestbed.targets(allEntries, State.READY));
+                            distributionFactory.start(plan, newTestbed.targets(allEntries, UpstreamState.READY));
                     HollowFleet newFleet = new HollowFleet(size, plan, newDistribution, options, tracker)) {
                 testbed = newTestbed;
                 distribution = newDistribution;
                 newFleet.joinAll();
                 awaitPropagation();
-                publish(List.of(0), State.READY);
+                publish(List.of(0), UpstreamState.READY);
                 awaitPropagation();
             }
         }
@@ -171,7 +172,7 @@
             return awaitCondition(() -> tracker.countMissing(version) == 0);
         }
 
-        private void publish(List<Integer> changed, State state) {
+        private void publish(List<Integer> changed, UpstreamState state) {
             version++;
             testbed.announceState(changed, state);
             int[] changedServices =
@@ -247,14 +248,14 @@
             private void runAction() throws InterruptedException {
                 if (step.outage()) {
                     if (step.changeBefore()) {
-                        publish(List.of(0), State.READY);
+                        publish(List.of(0), UpstreamState.READY);
                     }
                     setOutage(true);
                     sleepUntil(startedNanos + step.durationNanos());
                     failedCallsInOutage = fleet.failedCalls() - failedCallsBefore;
                     if (!step.changeBefore()) {
                         // One unchanged entry is published again: a version that followers cut off by the outage lack.
-                        publish(List.of(0), State.READY);
+                        publish(List.of(0), UpstreamState.READY);
                     }
                     setOutage(false);
                 } else if (step.act() == Act.JOIN) {
@@ -284,7 +285,7 @@
             /** Sets all entries to ready for the next case and waits until all followers have received that. */
             private void restoreEntries() throws InterruptedException {
                 if (!schedule.unavailable().isEmpty()) {
-                    publish(schedule.unavailable(), State.READY);
+                    publish(schedule.unavailable(), UpstreamState.READY);
                     awaitPropagation();
                 }
             }
--- a/src/main/java/pondridge/scale/Schedule.java
+++ b/src/main/java/pondridge/scale/Schedule.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 import pondridge.scale.ScalePlan.Step;
 
 /**
@@ -15,7 +15,7 @@
  */
 public final class Schedule {
     /** One change of the list, published as one version. */
-    public record Change(long atNanos, List<Integer> entries, State state) {}
+    public record Change(long atNanos, List<Integer> entries, UpstreamState state) {}
 
     private final List<Change> changes = new ArrayList<>();
     private final List<Integer> unavailable = new ArrayList<>();
@@ -44,14 +44,14 @@
                     unavailable.size() >= Math.max(1, entryCount / 4) || !unavailable.isEmpty() && random.nextBoolean();
             if (restore) {
                 changes.add(new Change(
-                        atNanos, List.of(unavailable.remove(random.nextInt(unavailable.size()))), State.READY));
+                        atNanos, List.of(unavailable.remove(random.nextInt(unavailable.size()))), UpstreamState.READY));
             } else {
                 int entry = random.nextInt(entryCount);
                 while (unavailable.contains(entry)) {
                     entry = random.nextInt(entryCount);
                 }
                 unavailable.add(entry);
-                changes.add(new Change(atNanos, List.of(entry), State.DRAINING));
+                changes.add(new Change(atNanos, List.of(entry), UpstreamState.DRAINING));
             }
         }
     }
@@ -64,11 +64,13 @@
                 .toList());
         Collections.shuffle(unavailable, random);
         if (step.singleChange()) {
-            changes.add(new Change(0, List.copyOf(unavailable), State.GONE));
+            changes.add(new Change(0, List.copyOf(unavailable), UpstreamState.GONE));
         } else {
             for (int i = 0; i < unavailable.size(); i++) {
                 changes.add(new Change(
-                        step.durationNanos() / unavailable.size() * i, List.of(unavailable.get(i)), State.GONE));
+                        step.durationNanos() / unavailable.size() * i,
+                        List.of(unavailable.get(i)),
+                        UpstreamState.GONE));
             }
         }
     }
--- a/src/main/java/pondridge/settings/Section.java
+++ b/src/main/java/pondridge/settings/Section.java
@@ -64,17 +64,17 @@
     }
 
     /** Returns a duration in nanoseconds. */
-    public long time(String key, String defaultValue, String min, String max) {
+    public long durationNanos(String key, String defaultValue, String min, String max) {
         return quantity(key, defaultValue, min, max, NANOS_PER_UNIT, "a time with its unit (us, ms, s, min)");
     }
 
     /** Returns a size in bytes. */
-    public int size(String key, String defaultValue, String min, String max) {
+    public int sizeBytes(String key, String defaultValue, String min, String max) {
         return (int) quantity(key, defaultValue, min, max, BYTES_PER_UNIT, "a size with its unit (B, KiB, MiB)");
     }
 
     /** Returns one of the allowed words. */
-    public String word(String key, String defaultValue, List<String> allowed) {
+    public String choice(String key, String defaultValue, List<String> allowed) {
         JsonNode value = value(key);
         if (value.isMissingNode()) {
             return defaultValue;
@@ -86,7 +86,7 @@
     }
 
     /** Returns a number with or without a fractional part. */
-    public double fraction(String key, double defaultValue, double min, double max) {
+    public double decimal(String key, double defaultValue, double min, double max) {
         JsonNode value = value(key);
         if (value.isMissingNode()) {
             return defaultValue;
@@ -129,7 +129,7 @@
     }
 
     /** Returns the subsections by name; this section must not hold anything else. */
-    public Map<String, Section> sections() {
+    public Map<String, Section> subsections() {
         Map<String, Section> byName = new LinkedHashMap<>();
         node.properties().forEach(field -> {
             requestedKeys.add(field.getKey());
@@ -143,7 +143,7 @@
     }
 
     /** Returns a subsection; an empty one where the key is missing. */
-    public Section section(String key) {
+    public Section subsection(String key) {
         JsonNode value = value(key);
         if (!value.isMissingNode() && !value.isObject()) {
             throw unexpected(key, "a section", value);
@@ -155,7 +155,7 @@
     }
 
     /** Returns an error for a key whose value fails a check of the caller, such as one over several keys. */
-    public SettingsException contradiction(String key, String problem) {
+    public SettingsException invalid(String key, String problem) {
         return new SettingsException(file, name + "." + key, problem);
     }
 
@@ -186,7 +186,7 @@
     }
 
     private SettingsException unexpected(String key, String expected, JsonNode found) {
-        return contradiction(key, "expected " + expected + ", found " + found);
+        return invalid(key, "expected " + expected + ", found " + found);
     }
 
     /** Reports keys of this section and its subsections that no reader has requested. */
@@ -194,7 +194,7 @@
         subsections.forEach(Section::rejectUnknownKeys);
         for (String key : (Iterable<String>) node::fieldNames) {
             if (!requestedKeys.contains(key)) {
-                throw contradiction(key, "unknown key");
+                throw invalid(key, "unknown key");
             }
         }
     }
--- a/src/main/java/pondridge/settings/SettingsFile.java
+++ b/src/main/java/pondridge/settings/SettingsFile.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 
 /**
- * A TOML file with one section per subsystem. Each reader requests the sections it needs; {@link #finish} then
+ * A TOML file with one section per subsystem. Each reader requests the sections it needs; {@link #rejectUnknownKeys} then
  * rejects sections and keys that no reader has requested, so that a misspelled name does not silently leave a
  * default in place.
  */
@@ -57,7 +57,7 @@
      * Merges this file over a base file. Where both have a value, this file takes precedence. A section in
      * {@code replacedSections} that this file has is not merged but replaces that of the base file.
      */
-    public SettingsFile over(SettingsFile base, Set<String> replacedSections) {
+    public SettingsFile overlayOn(SettingsFile base, Set<String> replacedSections) {
         ObjectNode merged = base.root.deepCopy();
         replacedSections.stream().filter(root::has).forEach(merged::remove);
         merge(merged, root);
@@ -80,7 +80,7 @@
     }
 
     /** Whether the file has this section. */
-    public boolean has(String section) {
+    public boolean hasSection(String section) {
         return root.has(section);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** Rejects sections and keys that no reader has requested; called after all readers. */
-    public void finish() {
+    public void rejectUnknownKeys() {
         for (String key : (Iterable<String>) root::fieldNames) {
             if (!requestedKeys.contains(key)) {
                 throw new SettingsException(name, key, "unknown section");
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import pondridge.Balancer.RequestClass;
-import pondridge.control.Following;
+import pondridge.control.SidecarControl;
 import pondridge.core.Engine;
 import pondridge.core.RequestLog;
 import pondridge.core.Transport;
 import pondridge.http1.Frontend;
 import pondridge.http1.Upstreams;
-import pondridge.platform.Config;
-import pondridge.platform.Discovery;
-import pondridge.store.Sharing;
-import pondridge.transport.MixedUpstreams;
+import pondridge.platform.DiscoveryClient;
+import pondridge.platform.PlatformConfig;
+import pondridge.store.SharedStoreBinding;
+import pondridge.transport.MixedProtocolTransport;
 
 /** Entry point of the sidecar process: configuration, startup, and graceful shutdown at SIGTERM. */
 public final class Main {
@@ -58,15 +58,15 @@
         // Otherwise Netty would find and load the gateway's logging library, which the sidecar does not use.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         String file = System.getenv("PROXY_CONFIG");
-        CompletableFuture<Consumer<Config>> configApplier = new CompletableFuture<>();
+        CompletableFuture<Consumer<PlatformConfig>> configApplier = new CompletableFuture<>();
         reloadAtSighup(file, configApplier);
-        Config config;
+        PlatformConfig config;
         SidecarSettings settings = null;
         try {
             if (file == null) {
                 throw new IllegalArgumentException("not set: PROXY_CONFIG");
             }
-            config = Config.read(Path.of(file));
+            config = PlatformConfig.read(Path.of(file));
             if (args.length == 2 && args[0].equals("--settings")) {
                 settings = SidecarSettings.read(Path.of(args[1]));
             } else if (args.length > 0 && !DRY_RUN_ARGUMENT.equals(args[0])) {
@@ -89,12 +89,12 @@
      * separate thread, so reading the file does not block the event loop. A signal during startup waits until
      * startup is complete. An invalid file changes nothing.
      */
-    private static void reloadAtSighup(String file, CompletableFuture<Consumer<Config>> configApplier) {
+    private static void reloadAtSighup(String file, CompletableFuture<Consumer<PlatformConfig>> configApplier) {
         onSighup(() -> {
-            Consumer<Config> applyConfig = configApplier.join();
+            Consumer<PlatformConfig> applyConfig = configApplier.join();
             synchronized (configApplier) {
                 try {
-                    applyConfig.accept(Config.read(Path.of(file)));
+                    applyConfig.accept(PlatformConfig.read(Path.of(file)));
                 } catch (IllegalArgumentException | IOException e) {
                     System.err.println("pondridge: new configuration rejected: " + e.getMessage());
                 }
@@ -134,38 +134,44 @@
     private static void start(
             MultiThreadIoEventLoopGroup group,
             EventLoop loop,
-            Config config,
+            PlatformConfig config,
             SidecarSettings settings,
             boolean dryRun,
-            CompletableFuture<Consumer<Config>> configApplier) {
+            CompletableFuture<Consumer<PlatformConfig>> configApplier) {
         Transport upstreams = settings == null
-                ? new Upstreams(loop, config.options(), config.mostUpstream())
-                : MixedUpstreams.of(loop, config.options(), settings.upstreams(), config.mostUpstream());
+                ? new Upstreams(loop, config.options(), config.maxUpstreamConnections())
+                : MixedProtocolTransport.of(
+                        loop, config.options(), settings.upstreams(), config.maxUpstreamConnections());
         Engine engine = new Engine(loop, config.options(), config.seed(), config.maxSockets() / 2, upstreams);
         if (settings != null && settings.store() != null) {
-            Sharing.begin(
-                    loop, engine, settings.store(), config.options().settings().limits(), config.seed() + 1);
+            SharedStoreBinding.start(
+                    loop, engine, settings.store(), config.options().settings().safetyLimits(), config.seed() + 1);
         }
-        Discovery discovery = new Discovery(
-                loop, config.discovery(), config.pushed(), config.known().rev(), engine::listed);
-        Frontend frontend = new Frontend(engine, config.options(), config.mostClients());
+        DiscoveryClient discovery = new DiscoveryClient(
+                loop,
+                config.discoveryAddress(),
+                config.isDiscoveryPushed(),
+                config.cachedEndpoints().revision(),
+                engine::updateEndpoints);
+        Frontend frontend = new Frontend(engine, config.options(), config.maxClientConnections());
         RequestLog requestLog = RequestLog.fromEnvironment();
-        engine.log(requestLog);
+        engine.setRequestLog(requestLog);
         discovery.setRequestLog(requestLog);
-        frontend.log(requestLog);
+        frontend.setRequestLog(requestLog);
         if (settings != null && settings.control() != null) {
-            Following.begin(loop, engine, settings.control(), config.known().targets());
+            SidecarControl.start(
+                    loop, engine, settings.control(), config.cachedEndpoints().targets());
         } else {
-            engine.start(discovery, config.known().targets());
-            discovery.follow();
+            engine.start(discovery, config.cachedEndpoints().targets());
+            discovery.startIfPushed();
         }
         SecondaryFrontend secondary = settings == null || settings.grpc() == null
                 ? SecondaryFrontend.NONE
                 : new SecondaryFrontend.Grpc(loop, settings.grpc(), config, engine);
         // Only the discovery address is reloaded; all other settings keep their values from startup.
-        configApplier.complete(newConfig -> loop.execute(() -> discovery.switchTo(newConfig.discovery())));
-        secondary.listen(() ->
-                RetryingBinder.bind(loop, config.listen(), () -> frontend.listen(group, config.listen()), channel -> {
+        configApplier.complete(newConfig -> loop.execute(() -> discovery.switchTo(newConfig.discoveryAddress())));
+        secondary.listen(() -> RetryingBinder.bind(
+                loop, config.listenAddress(), () -> frontend.listen(group, config.listenAddress()), channel -> {
                     installShutdownHook(loop, config, engine, frontend, secondary);
                     WarmUp.run(
                             loop,
@@ -175,14 +181,14 @@
                 }));
     }
 
-    private static void markReady(Config config, Frontend frontend, SecondaryFrontend secondary) {
-        frontend.ready();
+    private static void markReady(PlatformConfig config, Frontend frontend, SecondaryFrontend secondary) {
+        frontend.markReady();
         secondary.ready();
         if (!System.getProperty("java.vm.info", "").contains("sharing")) {
             // If an archive exists but does not match, the JVM prints its own warning.
             System.err.println("pondridge: class data sharing archive not in use, so startup was slow");
         }
-        System.err.println("pondridge: " + config.name() + " ready at " + config.listen());
+        System.err.println("pondridge: " + config.name() + " ready at " + config.listenAddress());
     }
 
     /** Exits after a dry run, on a new thread because the shutdown hook still needs the event loop. */
@@ -192,11 +198,11 @@
 
     /** Installs a hook that drains the sidecar at SIGTERM and exits when it is empty or its time is up. */
     private static void installShutdownHook(
-            EventLoop loop, Config config, Engine engine, Frontend frontend, SecondaryFrontend secondary) {
+            EventLoop loop, PlatformConfig config, Engine engine, Frontend frontend, SecondaryFrontend secondary) {
         long longestDeadlineMs = Math.min(
                 MAX_COUNTED_DEADLINE_MS,
                 config.options().settings().classes().stream()
-                                .mapToLong(RequestClass::deadline)
+                                .mapToLong(RequestClass::deadlineNanos)
                                 .max()
                                 .orElse(0)
                         / 1_000_000);
@@ -204,7 +210,8 @@
             CountDownLatch drained = new CountDownLatch(1);
             loop.execute(frontend::drain);
             loop.execute(secondary::drain);
-            loop.execute(() -> engine.endWithin((longestDeadlineMs + SIGKILL_MARGIN_MS - FINAL_WRITES_MS) * 1_000_000));
+            loop.execute(() ->
+                    engine.announceShutdown((longestDeadlineMs + SIGKILL_MARGIN_MS - FINAL_WRITES_MS) * 1_000_000));
             loop.schedule(secondary::close, ACCEPT_AFTER_SIGTERM_MS, TimeUnit.MILLISECONDS);
             loop.schedule(
                     () -> closeWhenQuiet(loop, frontend, MAX_QUIET_CHECKS),
@@ -212,7 +219,7 @@
                     TimeUnit.MILLISECONDS);
             loop.scheduleWithFixedDelay(
                     () -> {
-                        if (frontend.empty() && engine.idle() && secondary.idle()) {
+                        if (frontend.hasNoConnections() && engine.isIdle() && secondary.idle()) {
                             drained.countDown();
                         }
                     },
@@ -230,7 +237,7 @@
 
     /** Closes the listener once no client has connected for a while, or after the last check. */
     private static void closeWhenQuiet(EventLoop loop, Frontend frontend, int remainingChecks) {
-        if (remainingChecks == 0 || frontend.quiet() > ACCEPT_QUIET_NANOS) {
+        if (remainingChecks == 0 || frontend.nanosSinceLastAccept() > ACCEPT_QUIET_NANOS) {
             frontend.close();
         } else {
             loop.schedule(
--- a/src/main/java/pondridge/sidecar/SecondaryFrontend.java
+++ b/src/main/java/pondridge/sidecar/SecondaryFrontend.java
@@ -3,9 +3,9 @@
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import pondridge.core.Engine;
-import pondridge.grpc.GrpcFront;
+import pondridge.grpc.GrpcFrontend;
 import pondridge.grpc.GrpcSettings;
-import pondridge.platform.Config;
+import pondridge.platform.PlatformConfig;
 
 /** A frontend in addition to the HTTP/1.1 one. With {@link #NONE} no classes of another protocol are loaded. */
 interface SecondaryFrontend {
@@ -35,12 +35,12 @@
     final class Grpc implements SecondaryFrontend {
         private final EventLoop loop;
         private final InetSocketAddress address;
-        private final GrpcFront frontend;
+        private final GrpcFrontend frontend;
 
-        Grpc(EventLoop loop, GrpcSettings settings, Config config, Engine engine) {
+        Grpc(EventLoop loop, GrpcSettings settings, PlatformConfig config, Engine engine) {
             this.loop = loop;
-            address = settings.listen();
-            frontend = new GrpcFront(
+            address = settings.listenAddress();
+            frontend = new GrpcFrontend(
                     loop,
                     settings,
                     config.options(),
@@ -56,7 +56,7 @@
 
         @Override
         public void ready() {
-            frontend.ready(true);
+            frontend.setReady(true);
         }
 
         @Override
@@ -71,7 +71,7 @@
 
         @Override
         public boolean idle() {
-            return frontend.idle();
+            return frontend.isIdle();
         }
     }
 }
--- a/src/main/java/pondridge/sidecar/SidecarSettings.java
+++ b/src/main/java/pondridge/sidecar/SidecarSettings.java
@@ -17,7 +17,7 @@
 public record SidecarSettings(TransportSettings upstreams, StoreSettings store, ControlSettings control) {
     /** Settings of the gRPC frontend; null if it is disabled. */
     GrpcSettings grpc() {
-        return upstreams.grpc() == null || upstreams.grpc().listen() == null ? null : upstreams.grpc();
+        return upstreams.grpc() == null || upstreams.grpc().listenAddress() == null ? null : upstreams.grpc();
     }
 
     /** Reads a settings file; throws {@link pondridge.settings.SettingsException} if it is invalid. */
@@ -25,16 +25,18 @@
         SettingsFile file = SettingsFile.read(path);
         SidecarSettings settings = new SidecarSettings(
                 TransportSettings.of(file, path.toAbsolutePath().getParent()),
-                file.has("store") ? StoreSettings.of(file, path.toAbsolutePath().getParent()) : null,
-                file.has("control") ? control(file, path.toAbsolutePath().getParent()) : null);
-        file.finish();
+                file.hasSection("store")
+                        ? StoreSettings.of(file, path.toAbsolutePath().getParent())
+                        : null,
+                file.hasSection("control") ? control(file, path.toAbsolutePath().getParent()) : null);
+        file.rejectUnknownKeys();
         return settings;
     }
 
     private static ControlSettings control(SettingsFile file, Path directory) {
         ControlSettings settings = ControlSettings.of(file, directory);
         if (settings.role() == ControlSettings.Role.SOURCE || settings.role() == ControlSettings.Role.RELAY) {
-            throw file.section("control").contradiction("role", "expected off or follower for a sidecar");
+            throw file.section("control").invalid("role", "expected off or follower for a sidecar");
         }
         return settings.role() == ControlSettings.Role.OFF ? null : settings;
     }
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -6,14 +6,14 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import pondridge.Balancer;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
-import pondridge.Options;
-import pondridge.Rules;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
+import pondridge.LoadBalancingPolicy;
 import pondridge.core.Job;
 import pondridge.http1.Upstreams;
 
@@ -41,10 +41,10 @@
     }
 
     /** Call on the event loop. {@code onDone} runs at the end, also if the frontend cannot be reached. */
-    static void run(EventLoop loop, Options options, InetSocketAddress frontendAddress, Runnable onDone) {
+    static void run(EventLoop loop, BalancerOptions options, InetSocketAddress frontendAddress, Runnable onDone) {
         warmUpBalancer(options.settings());
         Upstreams ownFrontend = new Upstreams(loop, options, 1);
-        ownFrontend.listed(0, frontendAddress, 0, true);
+        ownFrontend.updateEndpoint(0, frontendAddress, 0, true);
         new WarmUp(ownFrontend, onDone).sendRequests(ITERATIONS);
     }
 
@@ -63,19 +63,21 @@
     }
 
     private static void warmUpBalancer(Settings settings) {
-        Balancer balancer = new Rules(settings, 0, new NoOpActions());
+        Balancer balancer = new LoadBalancingPolicy(settings, 0, new NoOpActions());
         long now = System.nanoTime() & Long.MAX_VALUE;
         balancer.start(now);
-        balancer.listChanged(
+        balancer.endpointListChanged(
                 now,
-                ListKind.CACHED,
-                List.of(new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
+                EndpointListKind.CACHED,
+                List.of(
+                        new Upstream(1, 0, 0, 0, UpstreamState.READY, 1, 0),
+                        new Upstream(2, 0, 0, 0, UpstreamState.READY, 1, 0)));
         for (int i = 0; i < ITERATIONS; i++) {
             now += STEP_NANOS;
-            balancer.request(
+            balancer.requestArrived(
                     now, new Request(i, i % settings.classes().size(), 0, 0, REQUEST_TIMEOUT_NANOS, 0, false, false));
-            balancer.outcome(now + STEP_NANOS / 2, i, 0, 1, Outcome.OK, STEP_NANOS / 2, true, new float[0]);
-            balancer.timer(now + STEP_NANOS / 2, i);
+            balancer.attemptEnded(now + STEP_NANOS / 2, i, 0, 1, Outcome.OK, STEP_NANOS / 2, true, new float[0]);
+            balancer.timerFired(now + STEP_NANOS / 2, i);
         }
     }
 
@@ -90,27 +92,27 @@
         public void fail(long request) {}
 
         @Override
-        public void cancel(long request, int attempt) {}
+        public void cancelAttempt(long request, int attempt) {}
 
         @Override
-        public void timer(long token, long at) {}
+        public void setTimer(long token, long at) {}
 
         @Override
         public void probe(long upstream) {}
 
         @Override
-        public void closeIdle(long upstream) {}
+        public void closeIdleConnections(long upstream) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
         public void log(String line) {}
 
         @Override
-        public void subscribe(boolean on) {}
+        public void setSubscription(boolean on) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpointList() {}
     }
 }
--- a/src/main/java/pondridge/siteloss/RefusalOrder.java
+++ b/src/main/java/pondridge/siteloss/RequestAdmission.java
@@ -6,8 +6,8 @@
  * another gateway gets the same decision. The hash is salted with an epoch that changes from time to time, so
  * that the same keys are not refused permanently.
  */
-public final class RefusalOrder {
-    private RefusalOrder() {}
+public final class RequestAdmission {
+    private RequestAdmission() {}
 
     /**
      * Whether a request is among the admitted fraction.
--- a/src/main/java/pondridge/siteloss/Split.java
+++ b/src/main/java/pondridge/siteloss/SiteFailoverRouting.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import pondridge.siteloss.Topology.Kind;
 import pondridge.siteloss.Topology.Site;
+import pondridge.siteloss.Topology.TrafficClass;
 
 /**
  * Applies the plan for the loss of the local site at a gateway: decides whether a request is admitted and which
  * site it is sent to. Both depend on a hash of the request's key, so that all gateways of the site make the same
  * decision for the same request, and their total follows the shares of the plan whichever of them are running.
  */
-public final class Split {
+public final class SiteFailoverRouting {
     /** Without a plan: the caller chooses the site, and all requests are admitted. */
-    public static final Split NONE = new Split(null, "", List.of());
+    public static final SiteFailoverRouting NONE = new SiteFailoverRouting(null, "", List.of());
 
     private static final long SITE_SELECTION_EPOCH = 1;
     private static final long ADMISSION_EPOCH = 2;
@@ -33,7 +33,7 @@
     /** Rate to each site and admitted fraction, both indexed by class number. */
     private record Plan(List<Map<String, Double>> ratesByClass, List<Double> admittedFractions) {}
 
-    private Split(Topology topology, String localSite, List<String> classes) {
+    private SiteFailoverRouting(Topology topology, String localSite, List<String> classes) {
         this.topology = topology;
         this.localSite = localSite;
         this.classes = classes;
@@ -46,13 +46,13 @@
      * @param classes class names, indexed by class number; a name or site that the topology does not contain
      *     results in an {@link IllegalArgumentException}
      */
-    public static Split of(Topology topology, String localSite, List<String> classes) {
+    public static SiteFailoverRouting of(Topology topology, String localSite, List<String> classes) {
         for (String name : classes) {
-            if (topology.classes().stream().map(Kind::name).noneMatch(name::equals)) {
+            if (topology.classes().stream().map(TrafficClass::name).noneMatch(name::equals)) {
                 throw new IllegalArgumentException("the plan has no class " + name);
             }
         }
-        Split split = new Split(topology, localSite, List.copyOf(classes));
+        SiteFailoverRouting split = new SiteFailoverRouting(topology, localSite, List.copyOf(classes));
         split.plan(topology.sites().stream().map(Site::name).collect(Collectors.toSet()));
         return split;
     }
@@ -73,20 +73,20 @@
         Topology reachableTopology = new Topology(
                 topology.sites(),
                 topology.classes(),
-                topology.ways().stream()
+                topology.links().stream()
                         .filter(link -> !link.from().equals(localSite) || reachable.contains(link.to()))
                         .toList(),
-                topology.reserve());
-        LossPlan plan = LossPlanner.plan(reachableTopology, Set.of(localSite));
+                topology.reserveFraction());
+        SiteLossPlan plan = SiteLossPlanner.plan(reachableTopology, Set.of(localSite));
         List<Map<String, Double>> ratesByClass = new ArrayList<>();
         List<Double> admittedFractions = new ArrayList<>();
         for (String name : classes) {
             Map<String, Double> rates = new TreeMap<>();
             plan.flows().stream()
-                    .filter(flow -> flow.kind().equals(name))
-                    .forEach(flow -> rates.put(flow.to(), flow.perSecond()));
+                    .filter(flow -> flow.trafficClass().equals(name))
+                    .forEach(flow -> rates.put(flow.to(), flow.requestsPerSecond()));
             ratesByClass.add(rates);
-            admittedFractions.add(plan.admitted(localSite, name));
+            admittedFractions.add(plan.admittedFraction(localSite, name));
         }
         return new Plan(ratesByClass, admittedFractions);
     }
@@ -94,7 +94,7 @@
     /** Whether a request is among those for which the reachable sites have capacity. */
     public boolean admits(int classNumber, long key, Set<String> reachable) {
         return topology == null
-                || RefusalOrder.admits(
+                || RequestAdmission.admits(
                         key, ADMISSION_EPOCH, plan(reachable).admittedFractions.get(classNumber));
     }
 
@@ -105,7 +105,7 @@
      *
      * @param reachable reachable sites, including those that cannot accept this request
      */
-    public String pick(int classNumber, long key, Collection<String> candidates, Set<String> reachable) {
+    public String selectSite(int classNumber, long key, Collection<String> candidates, Set<String> reachable) {
         if (topology == null) {
             return null;
         }
@@ -115,7 +115,7 @@
                 plan(reachable).ratesByClass.get(classNumber).entrySet()) {
             if (siteRate.getValue() > 0 && candidates.contains(siteRate.getKey())) {
                 // Weighted rendezvous hashing: the minimum of exponential variates with the plan's rates.
-                double uniform = RefusalOrder.hashToUnitInterval(
+                double uniform = RequestAdmission.hashToUnitInterval(
                         key ^ siteRate.getKey().hashCode() * 0x9e3779b97f4a7c15L, SITE_SELECTION_EPOCH);
                 double variate = -Math.log(1 - uniform) / siteRate.getValue();
                 if (variate < smallest) {
--- a/src/main/java/pondridge/siteloss/LossPlanner.java
+++ b/src/main/java/pondridge/siteloss/SiteLossPlanner.java
@@ -8,11 +8,11 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pondridge.siteloss.LossPlan.Flow;
-import pondridge.siteloss.LossPlan.Refused;
-import pondridge.siteloss.Topology.Kind;
+import pondridge.siteloss.SiteLossPlan.Flow;
+import pondridge.siteloss.SiteLossPlan.RefusedLoad;
 import pondridge.siteloss.Topology.Site;
-import pondridge.siteloss.Topology.Way;
+import pondridge.siteloss.Topology.SiteLink;
+import pondridge.siteloss.Topology.TrafficClass;
 
 /**
  * Distributes the demand of lost sites over the survivors. The survivors' own clients have priority. The classes
@@ -21,7 +21,7 @@
  * rearranged along augmenting paths until the flow is maximal, so that nothing is refused while any site has
  * capacity for it. The plan depends on the topology alone: equal topologies result in equal plans.
  */
-public final class LossPlanner {
+public final class SiteLossPlanner {
     private static final double EPSILON = 1e-9;
     private static final int SPREAD_ROUNDS = 40;
     private static final int MAX_AUGMENTING_PATHS = 10_000;
@@ -30,9 +30,9 @@
     private final List<Site> survivors;
     private final double[] freeWork;
     private final double[][] freeLinkRate;
-    private final Way[][] links;
+    private final SiteLink[][] links;
 
-    private LossPlanner(Topology topology, Set<String> lostNames) {
+    private SiteLossPlanner(Topology topology, Set<String> lostNames) {
         this.topology = topology;
         this.lostSites = topology.sites().stream()
                 .filter(site -> lostNames.contains(site.name()))
@@ -41,12 +41,12 @@
                 .filter(site -> !lostNames.contains(site.name()))
                 .toList();
         this.freeWork = survivors.stream()
-                .mapToDouble(
-                        site -> Math.max(0, site.capacity() * (1 - topology.reserve()) - topology.ownWork(site, 0)))
+                .mapToDouble(site ->
+                        Math.max(0, site.capacity() * (1 - topology.reserveFraction()) - topology.ownWork(site, 0)))
                 .toArray();
         this.freeLinkRate = new double[lostSites.size()][survivors.size()];
-        this.links = new Way[lostSites.size()][survivors.size()];
-        for (Way link : topology.ways()) {
+        this.links = new SiteLink[lostSites.size()][survivors.size()];
+        for (SiteLink link : topology.links()) {
             int from = indexOf(lostSites, link.from());
             int to = indexOf(survivors, link.to());
             if (from >= 0 && to >= 0) {
@@ -57,13 +57,13 @@
     }
 
     /** Plans for the simultaneous loss of these sites; throws {@link IllegalArgumentException} for an unknown name. */
-    public static LossPlan plan(Topology topology, Set<String> lostNames) {
+    public static SiteLossPlan plan(Topology topology, Set<String> lostNames) {
         lostNames.forEach(name -> {
             if (indexOf(topology.sites(), name) < 0) {
                 throw new IllegalArgumentException("no such site: " + name);
             }
         });
-        return new LossPlanner(topology, lostNames).plan();
+        return new SiteLossPlanner(topology, lostNames).plan();
     }
 
     private static int indexOf(List<Site> sites, String name) {
@@ -75,35 +75,35 @@
         return -1;
     }
 
-    private LossPlan plan() {
+    private SiteLossPlan plan() {
         List<Flow> flows = new ArrayList<>();
-        List<Refused> refused = new ArrayList<>();
+        List<RefusedLoad> refused = new ArrayList<>();
         Set<String> bottlenecks = new LinkedHashSet<>();
-        List<Kind> order = topology.classes().stream()
-                .sorted(Comparator.comparingDouble(Kind::worth).reversed())
+        List<TrafficClass> order = topology.classes().stream()
+                .sorted(Comparator.comparingDouble(TrafficClass::utility).reversed())
                 .toList();
-        double highestUtility = order.get(0).worth();
+        double highestUtility = order.get(0).utility();
         double redirectedWork = 0;
         double unallocated = 0;
-        for (Kind trafficClass : order) {
+        for (TrafficClass trafficClass : order) {
             double[][] allocated = allocate(trafficClass);
             for (int i = 0; i < lostSites.size(); i++) {
                 String from = lostSites.get(i).name();
-                double demand = lostSites.get(i).asked().getOrDefault(trafficClass.name(), 0.0);
+                double demand = lostSites.get(i).demandPerSecond().getOrDefault(trafficClass.name(), 0.0);
                 double refusedRate = demand - Arrays.stream(allocated[i]).sum();
                 for (int j = 0; j < survivors.size(); j++) {
                     freeLinkRate[i][j] -= allocated[i][j];
-                    freeWork[j] -= allocated[i][j] * trafficClass.work();
+                    freeWork[j] -= allocated[i][j] * trafficClass.workSeconds();
                     if (allocated[i][j] > EPSILON) {
                         flows.add(new Flow(from, survivors.get(j).name(), trafficClass.name(), allocated[i][j]));
                     }
                 }
                 if (refusedRate > EPSILON * Math.max(1, demand)) {
-                    refused.add(new Refused(from, trafficClass.name(), refusedRate, demand));
+                    refused.add(new RefusedLoad(from, trafficClass.name(), refusedRate, demand));
                     bottlenecks.addAll(bottlenecks(trafficClass, i));
                 }
-                boolean ofHighestUtility = trafficClass.worth() == highestUtility;
-                redirectedWork += ofHighestUtility ? demand * trafficClass.work() : 0;
+                boolean ofHighestUtility = trafficClass.utility() == highestUtility;
+                redirectedWork += ofHighestUtility ? demand * trafficClass.workSeconds() : 0;
                 unallocated += ofHighestUtility ? Math.max(0, refusedRate) : 0;
             }
         }
@@ -111,7 +111,7 @@
                 .filter(site -> topology.ownWork(site, 0) > site.capacity())
                 .map(Site::name)
                 .toList();
-        return new LossPlan(
+        return new SiteLossPlan(
                 new LinkedHashSet<>(lostSites.stream().map(Site::name).toList()),
                 List.copyOf(flows),
                 List.copyOf(refused),
@@ -125,17 +125,18 @@
         double ownWork = survivors.stream()
                 .mapToDouble(site -> topology.ownWork(site, highestUtility))
                 .sum();
-        double capacity = survivors.stream().mapToDouble(Site::capacity).sum() * (1 - topology.reserve());
+        double capacity = survivors.stream().mapToDouble(Site::capacity).sum() * (1 - topology.reserveFraction());
         double fraction = ownWork + redirectedWork == 0 ? 0 : (ownWork + redirectedWork) / capacity;
         return unallocated > EPSILON ? Math.max(fraction, 1 + EPSILON) : fraction;
     }
 
     /** Whether a response over this link can meet its SLO: the SLO less the round trip must exceed the work. */
-    private boolean meetsSlo(Kind trafficClass, int from, int to) {
-        return links[from][to] != null && trafficClass.aim() - links[from][to].roundTripSeconds() > trafficClass.work();
+    private boolean meetsSlo(TrafficClass trafficClass, int from, int to) {
+        return links[from][to] != null
+                && trafficClass.sloSeconds() - links[from][to].roundTripSeconds() > trafficClass.workSeconds();
     }
 
-    private List<String> bottlenecks(Kind trafficClass, int from) {
+    private List<String> bottlenecks(TrafficClass trafficClass, int from) {
         List<String> reasons = new ArrayList<>();
         for (int j = 0; j < survivors.size(); j++) {
             String to = survivors.get(j).name();
@@ -154,13 +155,13 @@
     }
 
     /** Returns the requests per second of a class from each lost site (first index) to each survivor. */
-    private double[][] allocate(Kind trafficClass) {
+    private double[][] allocate(TrafficClass trafficClass) {
         double[][] allocated = new double[lostSites.size()][survivors.size()];
         double[] remaining = lostSites.stream()
-                .mapToDouble(site -> site.asked().getOrDefault(trafficClass.name(), 0.0))
+                .mapToDouble(site -> site.demandPerSecond().getOrDefault(trafficClass.name(), 0.0))
                 .toArray();
         double[] freeRate = Arrays.stream(freeWork)
-                .map(work -> Math.max(0, work) / trafficClass.work())
+                .map(work -> Math.max(0, work) / trafficClass.workSeconds())
                 .toArray();
         for (int round = 0; round < SPREAD_ROUNDS; round++) {
             distributeByFreeCapacity(trafficClass, allocated, remaining, freeRate);
@@ -174,7 +175,7 @@
 
     /** Offers remaining demand in proportion to free capacity; an overloaded site scales all offers down equally. */
     private void distributeByFreeCapacity(
-            Kind trafficClass, double[][] allocated, double[] remaining, double[] freeRate) {
+            TrafficClass trafficClass, double[][] allocated, double[] remaining, double[] freeRate) {
         double[][] offered = new double[lostSites.size()][survivors.size()];
         double[] totalOffered = new double[survivors.size()];
         for (int i = 0; i < lostSites.size(); i++) {
@@ -198,13 +199,13 @@
     }
 
     /** Returns the free capacity of a reachable site; amounts within rounding error count as zero. */
-    private double usableRate(Kind trafficClass, double[][] allocated, double[] freeRate, int from, int to) {
+    private double usableRate(TrafficClass trafficClass, double[][] allocated, double[] freeRate, int from, int to) {
         return freeRate[to] > EPSILON && residualLinkRate(trafficClass, allocated, from, to) > EPSILON
                 ? freeRate[to]
                 : 0;
     }
 
-    private double residualLinkRate(Kind trafficClass, double[][] allocated, int from, int to) {
+    private double residualLinkRate(TrafficClass trafficClass, double[][] allocated, int from, int to) {
         return meetsSlo(trafficClass, from, to) ? Math.max(0, freeLinkRate[from][to] - allocated[from][to]) : 0;
     }
 
@@ -219,7 +220,7 @@
      * Finds an augmenting path by breadth-first search: from a lost site with remaining demand to a survivor with
      * free capacity, possibly displacing load of other lost sites. Returns the amount moved, 0 if there is no path.
      */
-    private double augment(Kind trafficClass, double[][] allocated, double[] remaining, double[] freeRate) {
+    private double augment(TrafficClass trafficClass, double[][] allocated, double[] remaining, double[] freeRate) {
         int[] sourceOfSurvivor = new int[survivors.size()];
         // -1: start of a path; -2: not visited.
         int[] previousSurvivor = new int[lostSites.size()];
@@ -255,7 +256,7 @@
     }
 
     private double augmentAlong(
-            Kind trafficClass,
+            TrafficClass trafficClass,
             double[][] allocated,
             double[] remaining,
             double[] freeRate,
--- a/src/main/java/pondridge/siteloss/Topology.java
+++ b/src/main/java/pondridge/siteloss/Topology.java
@@ -6,27 +6,27 @@
 
 /**
  * The input of a plan: sites with their capacity and demand, request classes with their utility and work, and the
- * network links between sites. The figures are provided by the operators; {@link LossPlan#slack} shows how far
+ * network links between sites. The figures are provided by the operators; {@link SiteLossPlan#requiredCapacityFraction} shows how far
  * they may be off.
  *
  * @param sites at least one, with distinct names
  * @param classes at least one, with distinct names
- * @param ways network links; a site can send only to sites to which it has a link
- * @param reserve fraction of a site's capacity that load of other sites may not use, from 0 to 1
+ * @param links network links; a site can send only to sites to which it has a link
+ * @param reserveFraction fraction of a site's capacity that load of other sites may not use, from 0 to 1
  */
-public record Topology(List<Site> sites, List<Kind> classes, List<Way> ways, double reserve) {
+public record Topology(List<Site> sites, List<TrafficClass> classes, List<SiteLink> links, double reserveFraction) {
     /**
      * A site.
      *
      * @param capacity seconds of work per second over all its servers, which is their number of threads
-     * @param asked requests per second of its own clients, by class; 0 for a class that is absent
+     * @param demandPerSecond requests per second of its own clients, by class; 0 for a class that is absent
      */
-    public record Site(String name, double capacity, Map<String, Double> asked) {
+    public record Site(String name, double capacity, Map<String, Double> demandPerSecond) {
         public Site {
             require(!name.isEmpty() && capacity >= 0 && Double.isFinite(capacity), "site " + name);
-            asked = Map.copyOf(asked);
+            demandPerSecond = Map.copyOf(demandPerSecond);
             require(
-                    asked.values().stream().allMatch(rate -> rate >= 0 && Double.isFinite(rate)),
+                    demandPerSecond.values().stream().allMatch(rate -> rate >= 0 && Double.isFinite(rate)),
                     "site " + name + ": requests a second");
         }
     }
@@ -34,14 +34,18 @@
     /**
      * A class of requests.
      *
-     * @param worth utility of a response within the SLO; classes of lower utility are refused first
-     * @param work seconds for which a request occupies a server thread
-     * @param aim latency SLO in seconds; a later response has no utility
+     * @param utility utility of a response within the SLO; classes of lower utility are refused first
+     * @param workSeconds seconds for which a request occupies a server thread
+     * @param sloSeconds latency SLO in seconds; a later response has no utility
      */
-    public record Kind(String name, double worth, double work, double aim) {
-        public Kind {
+    public record TrafficClass(String name, double utility, double workSeconds, double sloSeconds) {
+        public TrafficClass {
             require(
-                    !name.isEmpty() && worth >= 0 && work > 0 && aim > 0 && Double.isFinite(worth + work + aim),
+                    !name.isEmpty()
+                            && utility >= 0
+                            && workSeconds > 0
+                            && sloSeconds > 0
+                            && Double.isFinite(utility + workSeconds + sloSeconds),
                     "class " + name);
         }
     }
@@ -52,8 +56,8 @@
      * @param requestsPerSecond the limit of requests over this link, for all classes together
      * @param roundTripSeconds round-trip time
      */
-    public record Way(String from, String to, double requestsPerSecond, double roundTripSeconds) {
-        public Way {
+    public record SiteLink(String from, String to, double requestsPerSecond, double roundTripSeconds) {
+        public SiteLink {
             require(
                     requestsPerSecond >= 0
                             && roundTripSeconds >= 0
@@ -66,30 +70,33 @@
     public Topology {
         sites = List.copyOf(sites);
         classes = List.copyOf(classes);
-        ways = List.copyOf(ways);
-        require(reserve >= 0 && reserve <= 1, "reserve");
+        links = List.copyOf(links);
+        require(reserveFraction >= 0 && reserveFraction <= 1, "reserve");
         List<String> siteNames = sites.stream().map(Site::name).toList();
-        List<String> classNames = classes.stream().map(Kind::name).toList();
+        List<String> classNames = classes.stream().map(TrafficClass::name).toList();
         require(!sites.isEmpty() && siteNames.stream().distinct().count() == siteNames.size(), "sites");
         require(!classes.isEmpty() && classNames.stream().distinct().count() == classNames.size(), "classes");
         require(
-                ways.stream().allMatch(link -> siteNames.contains(link.from) && siteNames.contains(link.to)),
+                links.stream().allMatch(link -> siteNames.contains(link.from) && siteNames.contains(link.to)),
                 "ways: unknown site");
         require(
-                ways.stream()
+                links.stream()
                                 .map(link -> List.of(link.from, link.to))
                                 .distinct()
                                 .count()
-                        == ways.size(),
+                        == links.size(),
                 "ways: a pair twice");
-        require(sites.stream().allMatch(site -> classNames.containsAll(site.asked.keySet())), "sites: unknown class");
+        require(
+                sites.stream().allMatch(site -> classNames.containsAll(site.demandPerSecond.keySet())),
+                "sites: unknown class");
     }
 
     /** Returns the demand of a site's own clients for classes of at least this utility, in work per second. */
     double ownWork(Site site, double minUtility) {
         return classes.stream()
-                .filter(trafficClass -> trafficClass.worth >= minUtility)
-                .mapToDouble(trafficClass -> site.asked.getOrDefault(trafficClass.name, 0.0) * trafficClass.work)
+                .filter(trafficClass -> trafficClass.utility >= minUtility)
+                .mapToDouble(trafficClass ->
+                        site.demandPerSecond.getOrDefault(trafficClass.name, 0.0) * trafficClass.workSeconds)
                 .sum();
     }
 
--- a/src/main/java/pondridge/standin/DiscoveryStandin.java
+++ b/src/main/java/pondridge/standin/DiscoveryStandin.java
@@ -72,11 +72,11 @@
      * @param calls requests received
      * @param lists full lists written
      * @param changes change lines written, one for each notified watch
-     * @param empties empty lines written
+     * @param emptyLines empty lines written
      * @param bytes bytes written to the sockets
      * @param watches watches that are open now
      */
-    public record Counts(long calls, long lists, long changes, long empties, long bytes, int watches) {}
+    public record Counts(long calls, long lists, long changes, long emptyLines, long bytes, int watches) {}
 
     /** A listening address with the connections accepted there. */
     private final class Listener {
@@ -143,7 +143,7 @@
         this.loop = loop;
         this.watches = new DefaultChannelGroup(loop);
         initialEntries.forEach(each -> entries.put(each.uid, each));
-        door(listen);
+        addListener(listen);
         loop.scheduleWithFixedDelay(
                 () -> emptyLines += push("\n"), EMPTY_LINE_INTERVAL_S, EMPTY_LINE_INTERVAL_S, TimeUnit.SECONDS);
     }
@@ -154,7 +154,7 @@
     }
 
     /** Listens at one more address, at a free port where that is 0, and returns the address. */
-    public InetSocketAddress door(InetSocketAddress listen) {
+    public InetSocketAddress addListener(InetSocketAddress listen) {
         Listener listener = new Listener(listen);
         listener.bind();
         listeners.add(listener);
@@ -168,7 +168,7 @@
      * @param index the listener, in the order of creation
      * @param closed whether to close or to open it
      */
-    public void shut(int index, boolean closed) {
+    public void setListenerClosed(int index, boolean closed) {
         if (closed) {
             listeners.get(index).unbind();
         } else {
@@ -184,7 +184,7 @@
     }
 
     /** Applies new or changed entries and notifies the watches after this delay. */
-    public void change(Collection<Entry> changed, long delayNanos) {
+    public void updateEntries(Collection<Entry> changed, long delayNanos) {
         List<Entry> updates = List.copyOf(changed);
         loop.schedule(
                 () -> {
@@ -204,7 +204,7 @@
     }
 
     /** Sets whether it is silent: it then writes nothing on open watches and does not respond to requests. */
-    public void silent(boolean enabled) {
+    public void setSilent(boolean enabled) {
         loop.submit(() -> {
                     silent = enabled;
                     if (!enabled) {
--- a/src/main/java/pondridge/standin/Doors.java
+++ b/src/main/java/pondridge/standin/EndpointFaults.java
@@ -12,14 +12,14 @@
  * and which were paused when. Requests at a killed endpoint are left to their clients; a paused endpoint cannot
  * respond. Thread-safe.
  */
-public final class Doors {
+public final class EndpointFaults {
     private record Pause(long from, long until) {}
 
     private final Set<InetSocketAddress> killed = ConcurrentHashMap.newKeySet();
     private final Map<InetSocketAddress, List<Pause>> pauses = new ConcurrentHashMap<>();
 
     /** Records that an endpoint is about to be killed. */
-    public void killed(InetSocketAddress endpoint) {
+    public void recordKill(InetSocketAddress endpoint) {
         killed.add(endpoint);
     }
 
@@ -29,7 +29,7 @@
     }
 
     /** Records that an endpoint is paused from now on for this long. */
-    public void stops(InetSocketAddress endpoint, long lengthNanos) {
+    public void recordPause(InetSocketAddress endpoint, long lengthNanos) {
         long now = System.nanoTime();
         pauses.computeIfAbsent(endpoint, each -> new CopyOnWriteArrayList<>()).add(new Pause(now, now + lengthNanos));
     }
--- a/src/main/java/pondridge/standin/EffectLedger.java
+++ b/src/main/java/pondridge/standin/ExecutionLedger.java
@@ -10,7 +10,7 @@
  * send to a draining server, and checks invariants over them. The result is a {@link Verdict}. Times are
  * from {@link System#nanoTime}. Thread-safe.
  */
-public final class EffectLedger {
+public final class ExecutionLedger {
     /** The number of violations that are described in text; further ones are only counted. */
     private static final int MAX_VIOLATIONS = 20;
 
@@ -20,66 +20,66 @@
      * The counts of a whole run. Without violations, only the counts of sent, served, refused and failed
      * requests and of dropped repeats may differ from 0.
      *
-     * @param asked requests that clients sent
+     * @param requests requests that clients sent
      * @param served requests with status 200
      * @param refused requests with status 429 or 503
      * @param failed requests with any other status, or whose front endpoint was killed
      * @param unanswered requests without a final response
      * @param late requests whose response came after the client's timeout and the slack
-     * @param answeredTwice requests with more than one final response
-     * @param mixedUp requests that got the response to another request
-     * @param doubledKeyed keys whose request had its effect more than once
-     * @param doubledUnsafe unsafe requests that were executed more than once
-     * @param refusedAfterRun requests whose status allows a retry, although they were executed and repeats
+     * @param duplicateResponses requests with more than one final response
+     * @param mismatchedResponses requests that got the response to another request
+     * @param duplicateKeyedEffects keys whose request had its effect more than once
+     * @param duplicateUnsafeExecutions unsafe requests that were executed more than once
+     * @param refusedAfterExecution requests whose status allows a retry, although they were executed and repeats
      *     are not deduplicated
-     * @param unknownRuns executions of requests that no client sent
-     * @param afterDrain sends to a server later than the grace period after its drain was announced
-     * @param pushedOver cold servers that crashed under load
-     * @param dropped repeats that servers dropped because they remembered the key
-     * @param words descriptions of the first violations, one line each
+     * @param unknownExecutions executions of requests that no client sent
+     * @param sendsAfterDrain sends to a server later than the grace period after its drain was announced
+     * @param coldServerCrashes cold servers that crashed under load
+     * @param droppedRepeats repeats that servers dropped because they remembered the key
+     * @param violations descriptions of the first violations, one line each
      */
     public record Verdict(
-            int asked,
+            int requests,
             int served,
             int refused,
             int failed,
             int unanswered,
             int late,
-            int answeredTwice,
-            int mixedUp,
-            int doubledKeyed,
-            int doubledUnsafe,
-            int refusedAfterRun,
-            int unknownRuns,
-            int afterDrain,
-            int pushedOver,
-            int dropped,
-            List<String> words) {
+            int duplicateResponses,
+            int mismatchedResponses,
+            int duplicateKeyedEffects,
+            int duplicateUnsafeExecutions,
+            int refusedAfterExecution,
+            int unknownExecutions,
+            int sendsAfterDrain,
+            int coldServerCrashes,
+            int droppedRepeats,
+            List<String> violations) {
         /** Whether no invariant was violated. */
-        public boolean clean() {
+        public boolean passed() {
             return unanswered
                             + late
-                            + answeredTwice
-                            + mixedUp
-                            + doubledKeyed
-                            + doubledUnsafe
-                            + refusedAfterRun
-                            + unknownRuns
-                            + afterDrain
-                            + pushedOver
+                            + duplicateResponses
+                            + mismatchedResponses
+                            + duplicateKeyedEffects
+                            + duplicateUnsafeExecutions
+                            + refusedAfterExecution
+                            + unknownExecutions
+                            + sendsAfterDrain
+                            + coldServerCrashes
                     == 0;
         }
 
         /** Keys and unsafe requests whose effect happened more than once. */
-        public int doubled() {
-            return doubledKeyed + doubledUnsafe;
+        public int duplicateEffects() {
+            return duplicateKeyedEffects + duplicateUnsafeExecutions;
         }
     }
 
     private record Pause(long until, long lengthNanos) {}
 
     private static final class RequestRecord {
-        private final OrderClass requestClass;
+        private final StandinRequestClass requestClass;
         private final String key;
         private final long sentAt;
         private final long deadline;
@@ -92,7 +92,7 @@
         private long excusedNanos;
         private int executions;
 
-        RequestRecord(OrderClass requestClass, String key, long sentAt, long deadline) {
+        RequestRecord(StandinRequestClass requestClass, String key, long sentAt, long deadline) {
             this.sentAt = sentAt;
             this.requestClass = requestClass;
             this.key = key;
@@ -123,13 +123,13 @@
      * @param responseSlackNanos how long after the client's timeout a response is still in time
      * @param drainGraceNanos how long after the announcement of a drain sends may still arrive
      */
-    public EffectLedger(long responseSlackNanos, long drainGraceNanos) {
+    public ExecutionLedger(long responseSlackNanos, long drainGraceNanos) {
         this.responseSlackNanos = responseSlackNanos;
         this.drainGraceNanos = drainGraceNanos;
     }
 
     /** Records that a client is about to send a request with this timeout. */
-    public synchronized void asked(String id, OrderClass requestClass, String key, long timeoutNanos) {
+    public synchronized void requestSent(String id, StandinRequestClass requestClass, String key, long timeoutNanos) {
         long now = System.nanoTime();
         if (requests.put(id, new RequestRecord(requestClass, key, now, now + timeoutNanos)) != null) {
             throw new IllegalArgumentException("duplicate request id: " + id);
@@ -137,7 +137,7 @@
     }
 
     /** Records a complete response; {@code madeFor} is the request id that a response with status 200 names. */
-    public synchronized void answered(String id, int status, String madeFor) {
+    public synchronized void responseReceived(String id, int status, String madeFor) {
         RequestRecord request = requests.get(id);
         request.responses++;
         request.status = status;
@@ -153,7 +153,7 @@
      * Records that the whole machine was paused for this long until now, as observed by a thread that only
      * reads the clock. Nothing can respond during a pause, so responses may be later by its length.
      */
-    public synchronized void paused(long lengthNanos) {
+    public synchronized void machinePaused(long lengthNanos) {
         if (pauses.size() < MAX_PAUSES) {
             pauses.add(new Pause(System.nanoTime(), lengthNanos));
         }
@@ -170,28 +170,29 @@
     }
 
     /** Records how long the process that holds a request was paused; its response may be later by that. */
-    public synchronized void excused(String id, long nanos) {
+    public synchronized void requestPaused(String id, long nanos) {
         requests.get(id).excusedNanos = nanos;
     }
 
     /** Records that the process holding a request was killed or paused; a missing response is no violation. */
-    public synchronized void orphaned(String id) {
+    public synchronized void requestOrphaned(String id) {
         requests.get(id).orphaned = true;
     }
 
     /**
      * A client's attempt in its current state.
      *
-     * @param askedAt when it was sent, by {@link System#nanoTime}
-     * @param answeredAt when its response came, by {@link System#nanoTime}; 0 without one
+     * @param sentAtNanos when it was sent, by {@link System#nanoTime}
+     * @param respondedAtNanos when its response came, by {@link System#nanoTime}; 0 without one
      * @param status of the response; 0 without one
      */
-    public record Ask(String id, OrderClass kind, long askedAt, long answeredAt, int status) {}
+    public record ClientAttempt(
+            String id, StandinRequestClass requestClass, long sentAtNanos, long respondedAtNanos, int status) {}
 
     /** All attempts so far, in no particular order. */
-    public synchronized List<Ask> asks() {
+    public synchronized List<ClientAttempt> attempts() {
         return requests.entrySet().stream()
-                .map(each -> new Ask(
+                .map(each -> new ClientAttempt(
                         each.getKey(),
                         each.getValue().requestClass,
                         each.getValue().sentAt,
@@ -201,14 +202,14 @@
     }
 
     /** Records that a client gave up without a response, for this reason. */
-    public synchronized void unanswered(String id, String reason) {
+    public synchronized void responseMissing(String id, String reason) {
         if (!requests.get(id).orphaned) {
             addViolation("no answer: " + id + ", " + reason);
         }
     }
 
     /** Records that the head of a request has reached a server. */
-    public synchronized void arrived(String server, String id) {
+    public synchronized void requestArrived(String server, String id) {
         Long since = drainingSince.get(server);
         if (since != null && System.nanoTime() - since > drainGraceNanos) {
             sendsAfterDrain++;
@@ -217,7 +218,7 @@
     }
 
     /** Records that a server has executed a request, so that its effect has happened. */
-    public synchronized void ran(String server, String id, String key) {
+    public synchronized void requestExecuted(String server, String id, String key) {
         RequestRecord request = requests.get(id);
         if (request == null) {
             unknownExecutions++;
@@ -225,23 +226,23 @@
             return;
         }
         request.executions++;
-        if (request.requestClass.effect() == OrderClass.Effect.KEYED) {
+        if (request.requestClass.effect() == StandinRequestClass.Effect.KEYED) {
             String effect = request.requestClass.name() + '/' + key;
             if (effectCounts.merge(effect, 1, Integer::sum) > 1) {
                 addViolation("effect twice: " + effect + " at " + server);
             }
-        } else if (request.requestClass.effect() == OrderClass.Effect.UNSAFE && request.executions > 1) {
+        } else if (request.requestClass.effect() == StandinRequestClass.Effect.UNSAFE && request.executions > 1) {
             addViolation("run twice: " + id + " at " + server);
         }
     }
 
     /** Records that a server has dropped a repeat. */
-    public synchronized void dropped() {
+    public synchronized void repeatDropped() {
         droppedRepeats++;
     }
 
     /** Records that the program under test was notified that a server is draining or gone, or is back. */
-    public synchronized void draining(String server, boolean drains) {
+    public synchronized void setDraining(String server, boolean drains) {
         if (drains) {
             drainingSince.putIfAbsent(server, System.nanoTime());
         } else {
@@ -250,20 +251,20 @@
     }
 
     /** Records that a cold server has crashed under load. */
-    public synchronized void pushedOver(String server) {
+    public synchronized void coldServerCrashed(String server) {
         coldServerCrashes++;
         addViolation("pushed over: " + server);
     }
 
     /** How many requests have a response. */
-    public synchronized int answers() {
+    public synchronized int responseCount() {
         return (int) requests.values().stream()
                 .filter(request -> request.responses > 0)
                 .count();
     }
 
     /** The counts of one request class. */
-    public record Tally(int asked, int served, int refused, int failed) {}
+    public record Tally(int requests, int served, int refused, int failed) {}
 
     /** The counts of the named request class so far. */
     public synchronized Tally tally(String className) {
@@ -278,7 +279,7 @@
     }
 
     /** How often requests of the named class were executed. */
-    public synchronized int runs(String className) {
+    public synchronized int executions(String className) {
         return requests.values().stream()
                 .filter(request -> request.requestClass.name().equals(className))
                 .mapToInt(request -> request.executions)
@@ -307,10 +308,11 @@
             }
             count[5] += request.responses > 1 ? 1 : 0;
             count[6] += request.mismatched ? 1 : 0;
-            boolean unsafe = request.requestClass.effect() == OrderClass.Effect.UNSAFE;
+            boolean unsafe = request.requestClass.effect() == StandinRequestClass.Effect.UNSAFE;
             count[7] += unsafe && request.executions > 1 ? 1 : 0;
             boolean repeatHarms = unsafe
-                    || request.requestClass.effect() == OrderClass.Effect.KEYED && request.requestClass.perZone();
+                    || request.requestClass.effect() == StandinRequestClass.Effect.KEYED
+                            && request.requestClass.keyPerZone();
             count[8] += outcome == 1 && request.responses > 0 && request.executions > 0 && repeatHarms ? 1 : 0;
         }
         int duplicateKeyedEffects = (int)
--- a/src/main/java/pondridge/standin/FaultScript.java
+++ b/src/main/java/pondridge/standin/FaultScript.java
@@ -33,7 +33,7 @@
     }
 
     /** A script without faults and with this mean work time. */
-    public static FaultScript none(long meanWorkNanos) {
+    public static FaultScript withoutFaults(long meanWorkNanos) {
         return new FaultScript(0, Map.of(), meanWorkNanos, meanWorkNanos);
     }
 
@@ -42,7 +42,7 @@
      *
      * @throws IllegalArgumentException if a fault is unknown or a fraction is invalid
      */
-    public static Map<Fault, Double> parse(String text) {
+    public static Map<Fault, Double> parseFractions(String text) {
         Map<Fault, Double> shares = new EnumMap<>(Fault.class);
         double sum = 0;
         for (String part : text.isBlank() ? new String[0] : text.split(",")) {
@@ -77,7 +77,7 @@
     }
 
     /** Replaces the fault fractions from now on; null restores those of the script. Callable on any thread. */
-    public void override(Map<Fault, Double> fractions) {
+    public void overrideFractions(Map<Fault, Double> fractions) {
         overridingFractions = fractions;
     }
 
--- a/src/main/java/pondridge/standin/FaultyLink.java
+++ b/src/main/java/pondridge/standin/FaultyLink.java
@@ -31,34 +31,35 @@
     private static final int MAX_BUFFERED_BYTES = 1 << 20;
 
     /** A direction: from the connecting side to the target, or back. */
-    public enum Way {
-        THERE,
-        BACK
+    public enum Direction {
+        FORWARD,
+        BACKWARD
     }
 
     /**
      * The condition of one direction.
      *
-     * @param delay of each chunk in nanoseconds
-     * @param jitter the maximum that is added to the delay in nanoseconds, uniformly distributed
+     * @param delayNanos of each chunk in nanoseconds
+     * @param jitterNanos the maximum that is added to the delay in nanoseconds, uniformly distributed
      * @param bytesPerSecond the bandwidth; 0 for unlimited
      * @param stalled bytes are kept until the stall ends, and are then delivered
-     * @param lost bytes are discarded while the connection stays open; that connection never works again
+     * @param discarding bytes are discarded while the connection stays open; that connection never works again
      */
-    public record Condition(long delay, long jitter, long bytesPerSecond, boolean stalled, boolean lost) {
+    public record Condition(
+            long delayNanos, long jitterNanos, long bytesPerSecond, boolean stalled, boolean discarding) {
         /** A working link with this delay and jitter, in nanoseconds. */
         public static Condition delayed(long delay, long jitter) {
             return new Condition(delay, jitter, 0, false, false);
         }
 
         /** The same condition, stalled or not. */
-        public Condition stalled(boolean enabled) {
-            return new Condition(delay, jitter, bytesPerSecond, enabled, lost);
+        public Condition withStalled(boolean enabled) {
+            return new Condition(delayNanos, jitterNanos, bytesPerSecond, enabled, discarding);
         }
 
         /** The same condition, with bytes discarded or not. */
-        public Condition lost(boolean enabled) {
-            return new Condition(delay, jitter, bytesPerSecond, stalled, enabled);
+        public Condition withDiscarding(boolean enabled) {
+            return new Condition(delayNanos, jitterNanos, bytesPerSecond, stalled, enabled);
         }
     }
 
@@ -106,14 +107,14 @@
     }
 
     /** Sets the address that new connections are relayed to. */
-    public void target(InetSocketAddress address) {
+    public void setTarget(InetSocketAddress address) {
         target = address;
     }
 
     /** Sets the condition of a direction. */
-    public void set(Way way, Condition condition) {
+    public void setCondition(Direction way, Condition condition) {
         loop.submit(() -> {
-                    if (way == Way.THERE) {
+                    if (way == Direction.FORWARD) {
                         forward = condition;
                     } else {
                         backward = condition;
@@ -124,9 +125,9 @@
     }
 
     /** Sets the condition of both directions. */
-    public void set(Condition condition) {
-        set(Way.THERE, condition);
-        set(Way.BACK, condition);
+    public void setCondition(Condition condition) {
+        setCondition(Direction.FORWARD, condition);
+        setCondition(Direction.BACKWARD, condition);
     }
 
     /** Resets all connections. */
@@ -135,7 +136,7 @@
     }
 
     /** Sets whether new connections are reset as soon as they are accepted. */
-    public void refuse(boolean enabled) {
+    public void setResetNewConnections(boolean enabled) {
         loop.submit(() -> resetNewConnections = enabled).awaitUninterruptibly();
     }
 
@@ -144,7 +145,7 @@
             abort(clientSide);
             return;
         }
-        Relay toTarget = new Relay(clientSide, Way.THERE);
+        Relay toTarget = new Relay(clientSide, Direction.FORWARD);
         clientSide.pipeline().addLast(toTarget);
         new Bootstrap()
                 .group(loop)
@@ -154,7 +155,7 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel targetSide) {
-                        Relay toClient = new Relay(targetSide, Way.BACK);
+                        Relay toClient = new Relay(targetSide, Direction.BACKWARD);
                         toClient.setDestination(clientSide);
                         toTarget.setDestination(targetSide);
                         targetSide.pipeline().addLast(toClient);
@@ -181,7 +182,7 @@
     /** Relays one direction of one connection. */
     private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel from;
-        private final Way way;
+        private final Direction way;
         private final ArrayDeque<Chunk> buffered = new ArrayDeque<>();
         private Channel to;
         private int bufferedBytes;
@@ -189,7 +190,7 @@
         private boolean senderClosed;
         private boolean discarding;
 
-        Relay(Channel from, Way way) {
+        Relay(Channel from, Direction way) {
             this.from = from;
             this.way = way;
             relays.add(this);
@@ -203,23 +204,23 @@
         }
 
         private Condition condition() {
-            return way == Way.THERE ? forward : backward;
+            return way == Direction.FORWARD ? forward : backward;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             Condition current = condition();
-            discarding |= current.lost;
+            discarding |= current.discarding;
             if (discarding) {
                 bytes.release();
                 return;
             }
-            long jitterNanos = current.jitter == 0 ? 0 : (long) (random.nextDouble() * current.jitter);
+            long jitterNanos = current.jitterNanos == 0 ? 0 : (long) (random.nextDouble() * current.jitterNanos);
             long transmitNanos =
                     current.bytesPerSecond == 0 ? 0 : bytes.readableBytes() * 1_000_000_000L / current.bytesPerSecond;
             lastDueNanos = Math.max(
-                    lastDueNanos + transmitNanos, System.nanoTime() + current.delay + jitterNanos + transmitNanos);
+                    lastDueNanos + transmitNanos, System.nanoTime() + current.delayNanos + jitterNanos + transmitNanos);
             bufferedBytes += bytes.readableBytes();
             buffered.add(new Chunk(bytes, lastDueNanos));
             if (bufferedBytes > MAX_BUFFERED_BYTES) {
@@ -287,7 +288,7 @@
         public void channelInactive(ChannelHandlerContext context) {
             senderClosed = true;
             if (to != null && !discarding) {
-                loop.schedule(this::deliverDue, condition().delay, TimeUnit.NANOSECONDS);
+                loop.schedule(this::deliverDue, condition().delayNanos, TimeUnit.NANOSECONDS);
             }
         }
 
--- a/src/main/java/pondridge/standin/KeyMemory.java
+++ b/src/main/java/pondridge/standin/IdempotencyKeyStore.java
@@ -5,24 +5,24 @@
 import java.util.Map;
 
 /** The idempotency keys that the stand-in servers of all zones remember to drop repeats. Thread-safe. */
-public final class KeyMemory {
+public final class IdempotencyKeyStore {
     private record Expiry(String key, long expiresAt) {}
 
     private final Map<String, Long> expiryByKey = new HashMap<>();
     private final Map<Long, ArrayDeque<Expiry>> expiriesByTtl = new HashMap<>();
 
     /** Remembers the key; false if it is remembered already where the request arrived, which is then a repeat. */
-    public synchronized boolean first(OrderClass requestClass, String zone, String key, long now) {
+    public synchronized boolean rememberIfNew(StandinRequestClass requestClass, String zone, String key, long now) {
         expiriesByTtl.values().forEach(expiries -> removeExpired(expiries, now));
-        String scopedKey = requestClass.name() + '/' + (requestClass.perZone() ? zone : "") + '/' + key;
+        String scopedKey = requestClass.name() + '/' + (requestClass.keyPerZone() ? zone : "") + '/' + key;
         Long expiresAt = expiryByKey.get(scopedKey);
         if (expiresAt != null && expiresAt - now > 0) {
             return false;
         }
-        expiryByKey.put(scopedKey, now + requestClass.memory());
+        expiryByKey.put(scopedKey, now + requestClass.keyTtlNanos());
         expiriesByTtl
-                .computeIfAbsent(requestClass.memory(), ttl -> new ArrayDeque<>())
-                .add(new Expiry(scopedKey, now + requestClass.memory()));
+                .computeIfAbsent(requestClass.keyTtlNanos(), ttl -> new ArrayDeque<>())
+                .add(new Expiry(scopedKey, now + requestClass.keyTtlNanos()));
         return true;
     }
 
--- a/src/main/java/pondridge/standin/OpenLoad.java
+++ b/src/main/java/pondridge/standin/OpenLoopLoadGenerator.java
@@ -39,7 +39,7 @@
  * connection carries one request at a time. A request that is sent while its reused connection is being closed
  * is sent once more on a new one. Everything runs on one event loop.
  */
-public final class OpenLoad {
+public final class OpenLoopLoadGenerator {
     private static final int MAX_RESPONSE_BYTES = 2 << 20;
     /** How long a client waits beyond its timeout, so that a late response is recorded as late. */
     private static final long LATE_RESPONSE_WAIT_NANOS = 2_000_000_000;
@@ -54,23 +54,27 @@
      * The load to generate.
      *
      * @param requests the total number of requests
-     * @param perSecond mean rate; the gaps are drawn from an exponential distribution
-     * @param shares the fraction of requests of each class, by class name
-     * @param waits the client timeout of each class, by class name, in nanoseconds
+     * @param requestsPerSecond mean rate; the gaps are drawn from an exponential distribution
+     * @param classFractions the fraction of requests of each class, by class name
+     * @param timeoutNanosByClass the client timeout of each class, by class name, in nanoseconds
      * @param bodyBytes body size of requests that have a body
      */
     public record Plan(
-            int requests, double perSecond, Map<String, Double> shares, Map<String, Long> waits, int bodyBytes) {}
+            int requests,
+            double requestsPerSecond,
+            Map<String, Double> classFractions,
+            Map<String, Long> timeoutNanosByClass,
+            int bodyBytes) {}
 
     private final EventLoop loop;
     private final List<InetSocketAddress> endpoints;
-    private final EffectLedger ledger;
+    private final ExecutionLedger ledger;
     private final Random random;
     private final String idPrefix;
     private final Map<String, Histogram> latencies = new HashMap<>();
     private final CompletableFuture<Void> done = new CompletableFuture<>();
     private final Map<InetSocketAddress, ArrayDeque<Channel>> idle = new HashMap<>();
-    private final Doors endpointFaults;
+    private final EndpointFaults endpointFaults;
     private final int maxRetries;
     private Plan plan;
     private int startedRequests;
@@ -78,9 +82,9 @@
     private int lostRequests;
 
     /** Sends to these endpoints in turn, without retries; {@code idPrefix} keeps the ids of several loads apart. */
-    public OpenLoad(
-            EventLoop loop, List<InetSocketAddress> endpoints, EffectLedger ledger, long seed, String idPrefix) {
-        this(loop, List.copyOf(endpoints), ledger, seed, idPrefix, new Doors(), 0);
+    public OpenLoopLoadGenerator(
+            EventLoop loop, List<InetSocketAddress> endpoints, ExecutionLedger ledger, long seed, String idPrefix) {
+        this(loop, List.copyOf(endpoints), ledger, seed, idPrefix, new EndpointFaults(), 0);
     }
 
     /**
@@ -92,13 +96,13 @@
      * @param endpointFaults the faults injected into the endpoints
      * @param maxRetries after a refusal, each after some tens of milliseconds at the next endpoint
      */
-    public OpenLoad(
+    public OpenLoopLoadGenerator(
             EventLoop loop,
             List<InetSocketAddress> endpoints,
-            EffectLedger ledger,
+            ExecutionLedger ledger,
             long seed,
             String idPrefix,
-            Doors endpointFaults,
+            EndpointFaults endpointFaults,
             int maxRetries) {
         this.endpointFaults = endpointFaults;
         this.maxRetries = maxRetries;
@@ -131,18 +135,18 @@
             LockSupport.parkNanos(PAUSE_PROBE_NANOS);
             long pause = System.nanoTime() - before - PAUSE_PROBE_NANOS;
             if (pause > MIN_PAUSE_NANOS) {
-                ledger.paused(pause);
+                ledger.machinePaused(pause);
             }
         }
     }
 
     /** The latencies of served requests by class name, in nanoseconds. Read it after the load has ended. */
-    public Map<String, Histogram> served() {
+    public Map<String, Histogram> latencies() {
         return latencies;
     }
 
     /** How many requests got no response because their connection failed or the client gave up. */
-    public int broken() {
+    public int lostRequests() {
         return lostRequests;
     }
 
@@ -151,8 +155,8 @@
             return;
         }
         int number = startedRequests++;
-        long gap = (long) (-Math.log(1 - random.nextDouble()) / plan.perSecond * 1e9);
-        OrderClass requestClass = drawClass();
+        long gap = (long) (-Math.log(1 - random.nextDouble()) / plan.requestsPerSecond * 1e9);
+        StandinRequestClass requestClass = drawClass();
         loop.schedule(
                 () -> {
                     send(number, requestClass, previousAt + gap);
@@ -162,11 +166,11 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private OrderClass drawClass() {
+    private StandinRequestClass drawClass() {
         double remaining = random.nextDouble();
-        OrderClass requestClass = null;
-        for (Map.Entry<String, Double> each : plan.shares.entrySet()) {
-            requestClass = OrderClass.named(each.getKey());
+        StandinRequestClass requestClass = null;
+        for (Map.Entry<String, Double> each : plan.classFractions.entrySet()) {
+            requestClass = StandinRequestClass.named(each.getKey());
             remaining -= each.getValue();
             if (remaining < 0) {
                 break;
@@ -175,8 +179,8 @@
         return requestClass;
     }
 
-    private void send(int number, OrderClass requestClass, long intendedAt) {
-        long timeoutNanos = plan.waits.get(requestClass.name());
+    private void send(int number, StandinRequestClass requestClass, long intendedAt) {
+        long timeoutNanos = plan.timeoutNanosByClass.get(requestClass.name());
         new Attempt(idPrefix + "-" + number, 0, requestClass, timeoutNanos, intendedAt, number).start();
     }
 
@@ -206,7 +210,7 @@
         private final String requestId;
         private final int retryNumber;
         private final String id;
-        private final OrderClass requestClass;
+        private final StandinRequestClass requestClass;
         private final String key;
         private final long timeoutNanos;
         private final long intendedAt;
@@ -222,7 +226,7 @@
         Attempt(
                 String requestId,
                 int retryNumber,
-                OrderClass requestClass,
+                StandinRequestClass requestClass,
                 long timeoutNanos,
                 long intendedAt,
                 int endpointIndex) {
@@ -230,7 +234,7 @@
             this.retryNumber = retryNumber;
             this.id = retryNumber == 0 ? requestId : requestId + '~' + retryNumber;
             this.requestClass = requestClass;
-            this.key = requestClass.effect() == OrderClass.Effect.KEYED ? "k-" + requestId : "";
+            this.key = requestClass.effect() == StandinRequestClass.Effect.KEYED ? "k-" + requestId : "";
             this.timeoutNanos = timeoutNanos;
             this.intendedAt = intendedAt;
             this.endpointIndex = endpointIndex;
@@ -239,7 +243,7 @@
         void start() {
             endpointIndex = nextEndpoint(endpointIndex % endpoints.size(), true);
             endpoint = endpoints.get(endpointIndex % endpoints.size());
-            ledger.asked(id, requestClass, key, timeoutNanos);
+            ledger.requestSent(id, requestClass, key, timeoutNanos);
             giveUpTimer = loop.schedule(this::giveUp, timeoutNanos + LATE_RESPONSE_WAIT_NANOS, TimeUnit.NANOSECONDS);
             send(true);
         }
@@ -301,7 +305,7 @@
         }
 
         private FullHttpRequest request() {
-            boolean safe = requestClass.effect() == OrderClass.Effect.SAFE;
+            boolean safe = requestClass.effect() == StandinRequestClass.Effect.SAFE;
             byte[] body = new byte[safe ? 0 : plan.bodyBytes];
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -328,8 +332,8 @@
             String body = response.content().toString(StandardCharsets.US_ASCII).trim();
             // A keyed request may get the response to an earlier attempt of the same request.
             boolean sameRequest = body.equals(requestId) || body.startsWith(requestId + '~');
-            ledger.excused(id, endpointFaults.pausedNanos(endpoint, startedAt));
-            ledger.answered(id, response.status().code(), sameRequest ? id : body);
+            ledger.requestPaused(id, endpointFaults.pausedNanos(endpoint, startedAt));
+            ledger.responseReceived(id, response.status().code(), sameRequest ? id : body);
             if (response.status().code() == 200) {
                 latencies
                         .computeIfAbsent(requestClass.name(), each -> new Histogram(60_000_000_000L, 3))
@@ -359,10 +363,10 @@
             }
             ended = true;
             giveUpTimer.cancel(false);
-            ledger.orphaned(id);
+            ledger.requestOrphaned(id);
             boolean harmless = !received
-                    || requestClass.effect() == OrderClass.Effect.SAFE
-                    || requestClass.effect() == OrderClass.Effect.KEYED && !requestClass.perZone();
+                    || requestClass.effect() == StandinRequestClass.Effect.SAFE
+                    || requestClass.effect() == StandinRequestClass.Effect.KEYED && !requestClass.keyPerZone();
             if (!harmless || !retry(RETRY_DELAY_NANOS)) {
                 requestEnded();
             }
@@ -388,7 +392,7 @@
         private void giveUp() {
             if (!ended) {
                 if (endpointFaults.pausedNanos(endpoint, startedAt) > 0) {
-                    ledger.orphaned(id);
+                    ledger.requestOrphaned(id);
                 }
                 failed("waited in vain");
                 if (channel != null) {
@@ -400,7 +404,7 @@
         private void failed(String reason) {
             if (!ended) {
                 ended = true;
-                ledger.unanswered(id, reason);
+                ledger.responseMissing(id, reason);
                 lostRequests++;
                 giveUpTimer.cancel(false);
                 requestEnded();
--- a/src/main/java/pondridge/standin/RequestHandler.java
+++ b/src/main/java/pondridge/standin/RequestHandler.java
@@ -11,13 +11,13 @@
     private static final byte[] PADDING = " ".repeat(200).getBytes(StandardCharsets.US_ASCII);
 
     /** A complete request. */
-    record Request(String id, OrderClass requestClass, String key) {}
+    record Request(String id, StandinRequestClass requestClass, String key) {}
 
     private final String name;
     private final String zone;
     private final FaultScript script;
-    private final EffectLedger ledger;
-    private final KeyMemory keyMemory;
+    private final ExecutionLedger ledger;
+    private final IdempotencyKeyStore keyMemory;
     private final AtomicInteger connections = new AtomicInteger();
     private final AtomicInteger peakConnections = new AtomicInteger();
     private final AtomicInteger executions = new AtomicInteger();
@@ -25,7 +25,8 @@
     private volatile ThreadPoolModel threadPool;
     private volatile boolean declining;
 
-    RequestHandler(String name, String zone, FaultScript script, EffectLedger ledger, KeyMemory keyMemory) {
+    RequestHandler(
+            String name, String zone, FaultScript script, ExecutionLedger ledger, IdempotencyKeyStore keyMemory) {
         this.name = name;
         this.zone = zone;
         this.script = script;
@@ -35,15 +36,15 @@
 
     /** The request that these headers describe; the id is empty if it does not come from a client. */
     static Request request(CharSequence id, CharSequence className, CharSequence key) {
-        return new Request(text(id), OrderClass.named(text(className)), text(key));
+        return new Request(text(id), StandinRequestClass.named(text(className)), text(key));
     }
 
     /** The name of the request class that a gRPC path names: its method is the class name without dashes. */
     static CharSequence className(CharSequence path) {
         String method =
                 path == null ? "" : path.toString().substring(path.toString().lastIndexOf('/') + 1);
-        return OrderClass.USUAL.stream()
-                .map(OrderClass::name)
+        return StandinRequestClass.DEFAULTS.stream()
+                .map(StandinRequestClass::name)
                 .filter(name -> name.replace("-", "").equals(method))
                 .findFirst()
                 .orElse("");
@@ -74,7 +75,7 @@
     /** Records that the head of a request has arrived. */
     void arrived(Request request) {
         if (!request.id.isEmpty()) {
-            ledger.arrived(name, request.id);
+            ledger.requestArrived(name, request.id);
         }
     }
 
@@ -99,7 +100,7 @@
             return true;
         }
         coldStart = null;
-        ledger.pushedOver(name);
+        ledger.coldServerCrashed(name);
         return false;
     }
 
@@ -126,11 +127,11 @@
             return;
         }
         executions.incrementAndGet();
-        boolean keyed = request.requestClass.effect() == OrderClass.Effect.KEYED;
-        if (!keyed || keyMemory.first(request.requestClass, zone, request.key, System.nanoTime())) {
-            ledger.ran(name, request.id, request.key);
+        boolean keyed = request.requestClass.effect() == StandinRequestClass.Effect.KEYED;
+        if (!keyed || keyMemory.rememberIfNew(request.requestClass, zone, request.key, System.nanoTime())) {
+            ledger.requestExecuted(name, request.id, request.key);
         } else {
-            ledger.dropped();
+            ledger.repeatDropped();
         }
     }
 
--- a/src/main/java/pondridge/standin/StandinServer.java
+++ b/src/main/java/pondridge/standin/StandinServer.java
@@ -34,29 +34,29 @@
      *
      * @param name its name in the ledger
      * @param zone its zone; the servers of a zone share the keys that are remembered per zone
-     * @param streams HTTP/2: the limit of concurrent streams on a connection
-     * @param window HTTP/2: the initial window of each stream, in bytes
+     * @param maxConcurrentStreams HTTP/2: the limit of concurrent streams on a connection
+     * @param initialWindowBytes HTTP/2: the initial window of each stream, in bytes
      * @param script the faults and the work times
      * @param ledger where arrivals and executions are recorded
-     * @param memory the idempotency keys that it shares with other servers
+     * @param keyStore the idempotency keys that it shares with other servers
      */
     public record Setup(
             String name,
             String zone,
             Protocol protocol,
-            long streams,
-            int window,
+            long maxConcurrentStreams,
+            int initialWindowBytes,
             FaultScript script,
-            EffectLedger ledger,
-            KeyMemory memory) {
+            ExecutionLedger ledger,
+            IdempotencyKeyStore keyStore) {
         /** A server with the default limits: 100 streams and windows of 65,535 bytes. */
         public static Setup of(
                 String name,
                 String zone,
                 Protocol protocol,
                 FaultScript script,
-                EffectLedger ledger,
-                KeyMemory memory) {
+                ExecutionLedger ledger,
+                IdempotencyKeyStore memory) {
             return new Setup(name, zone, protocol, 100, 65_535, script, ledger, memory);
         }
     }
@@ -82,10 +82,10 @@
     public StandinServer(EventLoop loop, InetSocketAddress listen, Setup setup) {
         this.loop = loop;
         this.setup = setup;
-        this.handler = new RequestHandler(setup.name(), setup.zone(), setup.script(), setup.ledger(), setup.memory());
+        this.handler = new RequestHandler(setup.name(), setup.zone(), setup.script(), setup.ledger(), setup.keyStore());
         this.connections = new DefaultChannelGroup(loop, true);
         this.protocol = setup.protocol();
-        this.maxConcurrentStreams = setup.streams();
+        this.maxConcurrentStreams = setup.maxConcurrentStreams();
         this.address = bind(listen);
     }
 
@@ -129,7 +129,7 @@
                             this::crash,
                             new Http2Settings()
                                     .maxConcurrentStreams(maxConcurrentStreams)
-                                    .initialWindowSize(setup.window()),
+                                    .initialWindowSize(setup.initialWindowBytes()),
                             protocol == Protocol.GRPC));
         }
     }
@@ -153,22 +153,22 @@
     }
 
     /** The highest number of connections that were open at a time. */
-    public int mostConnections() {
+    public int peakConnections() {
         return handler.peakConnections();
     }
 
     /** The number of requests that it executed, dropped repeats included. */
-    public int runs() {
+    public int executions() {
         return handler.executions();
     }
 
     /** Replaces the fault fractions of the script from now on; null restores them. */
-    public void faults(Map<Fault, Double> fractions) {
-        setup.script().override(fractions);
+    public void overrideFaults(Map<Fault, Double> fractions) {
+        setup.script().overrideFractions(fractions);
     }
 
     /** HTTP/2: announces another limit of concurrent streams on all open and new connections. */
-    public void streams(long limit) {
+    public void setMaxConcurrentStreams(long limit) {
         maxConcurrentStreams = limit;
         loop.execute(() -> connections.forEach(each -> {
             Http2Standin http2 = each.pipeline().get(Http2Standin.class);
@@ -179,7 +179,7 @@
     }
 
     /** HTTP/2: announces another initial stream window, in bytes, on all open connections. */
-    public void window(int bytes) {
+    public void setInitialWindow(int bytes) {
         loop.execute(() -> connections.forEach(each -> {
             Http2Standin http2 = each.pipeline().get(Http2Standin.class);
             if (http2 != null) {
@@ -189,7 +189,7 @@
     }
 
     /** Sets whether it drains: it declines all requests, on HTTP/2 after the graceful pair of GOAWAYs. */
-    public void drain(boolean enabled) {
+    public void setDraining(boolean enabled) {
         handler.setDeclining(enabled);
         if (enabled) {
             loop.execute(() -> connections.forEach(each -> {
@@ -202,12 +202,12 @@
     }
 
     /** Makes the server cold from now on. */
-    public void cold(ColdStart start) {
+    public void setColdStart(ColdStart start) {
         handler.setColdStart(start);
     }
 
     /** Limits the requests that it processes at a time and those that wait; it declines the rest. */
-    public void threads(int count, int queueCapacity) {
+    public void setThreadPool(int count, int queueCapacity) {
         handler.setThreadPool(count, queueCapacity);
     }
 
--- a/src/main/java/pondridge/standin/redis/RedisStandin.java
+++ b/src/main/java/pondridge/standin/redis/RedisStandin.java
@@ -48,21 +48,27 @@
      *
      * @param user the user name that clients authenticate with; {@code default} if they send a password only
      * @param password empty for none
-     * @param memory limit for keys and values in each database in bytes, as the stand-in computes them
-     * @param evicts over the limit, evict the least recently used keys; otherwise reject writes
+     * @param maxMemoryBytes limit for keys and values in each database in bytes, as the stand-in computes them
+     * @param evictsWhenFull over the limit, evict the least recently used keys; otherwise reject writes
      * @param lagMs replication lag of the replica
-     * @param connections the maximum number of open connections
+     * @param maxConnections the maximum number of open connections
      * @param tls null for plain text
      */
     public record Setup(
-            String user, String password, long memory, boolean evicts, long lagMs, int connections, SslContext tls) {
+            String user,
+            String password,
+            long maxMemoryBytes,
+            boolean evictsWhenFull,
+            long lagMs,
+            int maxConnections,
+            SslContext tls) {
         /** A store without TLS. */
         public Setup(String user, String password, long memory, boolean evicts, long lagMs, int connections) {
             this(user, password, memory, evicts, lagMs, connections, null);
         }
 
         /** No password, 64 MiB with eviction, a replica with a lag of one second, 10,000 connections. */
-        public static Setup usual() {
+        public static Setup defaults() {
             return new Setup("default", "", 64 << 20, true, 1_000, 10_000);
         }
     }
@@ -100,7 +106,7 @@
     }
 
     private Commands emptyStore() {
-        return new Commands(setup.user, setup.password, setup.memory, setup.evicts, 1);
+        return new Commands(setup.user, setup.password, setup.maxMemoryBytes, setup.evictsWhenFull, 1);
     }
 
     private void resetReplica() {
@@ -138,7 +144,7 @@
     }
 
     private void accept(Channel connection) {
-        if (faults.refuseConnections || connections.size() > setup.connections) {
+        if (faults.refuseConnections || connections.size() > setup.maxConnections) {
             connection.config().setOption(ChannelOption.SO_LINGER, 0);
             connection.close();
             return;
@@ -161,12 +167,12 @@
     }
 
     /** The number of requests received, executed or rejected. */
-    public long commands() {
+    public long commandCount() {
         return commandCount;
     }
 
     /** The number of bytes received and sent. */
-    public long bytes() {
+    public long transferredBytes() {
         return transferredBytes;
     }
 
@@ -176,14 +182,14 @@
     }
 
     /** The bytes of keys and values in the first database, as the stand-in computes them. */
-    public long used() {
+    public long usedMemoryBytes() {
         return loop.submit(() -> primary.database(0).usedBytes())
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** Loses all keys, also those of the replica. */
-    public void loseAll() {
+    public void loseAllKeys() {
         loop.submit(() -> {
                     primary = emptyStore();
                     resetReplica();
@@ -205,7 +211,7 @@
     }
 
     /** Sets whether writes are rejected, as by a replica. */
-    public void readOnly(boolean enabled) {
+    public void setReadOnly(boolean enabled) {
         loop.submit(() -> primary.readOnly(enabled)).awaitUninterruptibly();
     }
 
--- a/src/main/java/pondridge/standin/redis/StoreFaults.java
+++ b/src/main/java/pondridge/standin/redis/StoreFaults.java
@@ -12,42 +12,42 @@
     volatile long clockOffsetMs;
 
     /** Delays each reply by this time. */
-    public void delay(long ms) {
+    public void setReplyDelayMillis(long ms) {
         replyDelayMs = ms;
     }
 
     /** Sets whether requests are read without a reply. Requests read in the meantime never get one. */
-    public void stall(boolean enabled) {
+    public void setStallReplies(boolean enabled) {
         stallReplies = enabled;
     }
 
     /** Sets whether new connections are reset at once. */
-    public void refuse(boolean enabled) {
+    public void setRefuseConnections(boolean enabled) {
         refuseConnections = enabled;
     }
 
     /** Sets whether only half of each reply is written before the connection is closed. */
-    public void halfReplies(boolean enabled) {
+    public void setTruncateReplies(boolean enabled) {
         truncateReplies = enabled;
     }
 
     /** Sets whether requests get the error that the data set is still being loaded. */
-    public void loading(boolean enabled) {
+    public void setLoadingErrors(boolean enabled) {
         loadingErrors = enabled;
     }
 
     /** Sets whether GET and MGET get the error that the key holds another type. */
-    public void wrongTypes(boolean enabled) {
+    public void setWrongTypeErrors(boolean enabled) {
         wrongTypeErrors = enabled;
     }
 
     /** Sets whether reads are served by the lagging replica. */
-    public void stale(boolean enabled) {
+    public void setStaleReads(boolean enabled) {
         staleReads = enabled;
     }
 
     /** Sets the offset of the server's clock. */
-    public void clock(long ms) {
+    public void setClockOffsetMillis(long ms) {
         clockOffsetMs = ms;
     }
 }
--- a/src/main/java/pondridge/store/ColdStartBudgets.java
+++ b/src/main/java/pondridge/store/ColdStartBudgets.java
@@ -13,24 +13,24 @@
  * fraction of a warm server's rate that a cold one can do, rising to all of it over the ramp. The ramp counts
  * from when this sidecar saw the start, which is never before the start itself.
  */
-final class ColdStartBudgets implements Budgets {
+final class ColdStartBudgets implements LeaseHolder {
     private static final String NAME_PREFIX = "cold:";
     private static final int MAX_NAME_LENGTH = 160;
 
     private final Engine engine;
     private final StoreSettings.LeaseSettings settings;
-    private final Balancer.Limits limits;
+    private final Balancer.SafetyLimits limits;
     private final Map<String, String> uidsByBudget = new HashMap<>();
 
-    ColdStartBudgets(Engine engine, StoreSettings.LeaseSettings settings, Balancer.Limits limits) {
+    ColdStartBudgets(Engine engine, StoreSettings.LeaseSettings settings, Balancer.SafetyLimits limits) {
         this.engine = engine;
         this.settings = settings;
         this.limits = limits;
     }
 
     @Override
-    public List<Budget> wanted(long slotNanos, long untilSlotNanos) {
-        Map<String, Engine.Start> started = engine.started(limits.rampTime());
+    public List<Budget> wantedBudgets(long slotNanos, long untilSlotNanos) {
+        Map<String, Engine.ServerStart> started = engine.recentlyStarted(limits.rampNanos());
         if (started.isEmpty()) {
             uidsByBudget.clear();
             return List.of();
@@ -38,8 +38,8 @@
         List<Budget> wanted = new ArrayList<>();
         uidsByBudget.clear();
         started.entrySet().stream()
-                .sorted(Comparator.comparingLong((Map.Entry<String, Engine.Start> each) ->
-                                each.getValue().age())
+                .sorted(Comparator.comparingLong((Map.Entry<String, Engine.ServerStart> each) ->
+                                each.getValue().ageNanos())
                         .thenComparing(Map.Entry::getKey))
                 .limit(settings.maxColdServers())
                 .forEach(each -> {
@@ -52,7 +52,7 @@
                                 capacity(
                                         limits,
                                         settings.warmServerPerSecond(),
-                                        each.getValue().age() + untilSlotNanos + slotNanos / 2,
+                                        each.getValue().ageNanos() + untilSlotNanos + slotNanos / 2,
                                         slotNanos)));
                     }
                 });
@@ -60,16 +60,19 @@
     }
 
     /** What all sidecars may send in one slot to a server that was seen to start {@code ageNanos} ago. */
-    static double capacity(Balancer.Limits limits, double warmPerSecond, long ageNanos, long slotNanos) {
-        double rampProgress = Math.min(1, ageNanos / (double) limits.rampTime());
-        return (limits.coldShare() + (1 - limits.coldShare()) * rampProgress) * warmPerSecond * slotNanos / 1e9;
+    static double capacity(Balancer.SafetyLimits limits, double warmPerSecond, long ageNanos, long slotNanos) {
+        double rampProgress = Math.min(1, ageNanos / (double) limits.rampNanos());
+        return (limits.coldCapacityFraction() + (1 - limits.coldCapacityFraction()) * rampProgress)
+                * warmPerSecond
+                * slotNanos
+                / 1e9;
     }
 
     @Override
-    public void granted(String name, long count, long validNanos) {
+    public void leaseGranted(String name, long count, long validNanos) {
         String uid = uidsByBudget.get(name);
         if (uid != null) {
-            engine.leased(Map.of(uid, new Engine.Lease(count, (int) (validNanos / 1_000_000))));
+            engine.applyLeases(Map.of(uid, new Engine.Lease(count, (int) (validNanos / 1_000_000))));
         }
     }
 }
--- a/src/main/java/pondridge/store/Members.java
+++ b/src/main/java/pondridge/store/FleetMembership.java
@@ -9,7 +9,7 @@
  * so that a store that loses members, or shows only some of them, makes no member's share larger. No I/O;
  * times in nanoseconds of this sidecar's clock.
  */
-final class Members {
+final class FleetMembership {
     private record MemberCount(long atNanos, long count) {}
 
     private final long retentionNanos;
@@ -26,7 +26,7 @@
      * @param settleNanos how long counts must have been received before they are used: while a whole fleet
      *     starts, the count is still growing
      */
-    Members(long retentionNanos, long settleNanos) {
+    FleetMembership(long retentionNanos, long settleNanos) {
         this.retentionNanos = retentionNanos;
         this.settleNanos = settleNanos;
     }
--- a/src/main/java/pondridge/store/Budgets.java
+++ b/src/main/java/pondridge/store/LeaseHolder.java
@@ -6,7 +6,7 @@
  * Holds leases of budgets that are shared with other members of the fleet: names the budgets and obeys the
  * leases granted. Called by {@link SharedStore} on its event loop.
  */
-public interface Budgets {
+public interface LeaseHolder {
     /**
      * A shared budget.
      *
@@ -21,8 +21,8 @@
      * @param slotNanos the length of a slot
      * @param untilSlotNanos time until that slot begins
      */
-    List<Budget> wanted(long slotNanos, long untilSlotNanos);
+    List<Budget> wantedBudgets(long slotNanos, long untilSlotNanos);
 
     /** From now on, for {@code validNanos}, {@code count} uses of a wanted budget are allowed. */
-    void granted(String name, long count, long validNanos);
+    void leaseGranted(String name, long count, long validNanos);
 }
--- a/src/main/java/pondridge/store/Leases.java
+++ b/src/main/java/pondridge/store/Leases.java
@@ -59,12 +59,12 @@
      * @param weight this member's traffic relative to the mean of all
      * @param storeMillis the store's clock
      */
-    List<LeaseRequest> requests(Collection<Budgets.Budget> budgets, long members, double weight, long storeMillis) {
+    List<LeaseRequest> requests(Collection<LeaseHolder.Budget> budgets, long members, double weight, long storeMillis) {
         long nextSlot = storeMillis / slotMillis + 1;
         // Drops slots of long ago, and slots of a clock that has since been set back.
         lastRequestedSlots.values().removeIf(slot -> Math.abs(nextSlot - slot) > 2);
         List<LeaseRequest> requests = new ArrayList<>();
-        for (Budgets.Budget budget : budgets) {
+        for (LeaseHolder.Budget budget : budgets) {
             if (lastRequestedSlots.getOrDefault(budget.name(), Long.MIN_VALUE) >= nextSlot || budget.capacity() < 1) {
                 continue;
             }
--- a/src/main/java/pondridge/store/OwnSums.java
+++ b/src/main/java/pondridge/store/LocalAttemptStats.java
@@ -11,7 +11,7 @@
  * all servers, per class: a sidecar to which every server is slow finds none of them slower than the baseline.
  * Bounded in servers; no I/O; times in nanoseconds. Confined to one thread.
  */
-final class OwnSums {
+final class LocalAttemptStats {
     /** Cap on the slowdown that one attempt counts with. */
     static final double MAX_SLOWDOWN = 10_000;
 
@@ -46,7 +46,7 @@
      * @param windowNanos a report covers one to two windows
      * @param maxServers servers per window; attempts at further servers are not counted
      */
-    OwnSums(double badSlowdown, long windowNanos, int maxServers, long now) {
+    LocalAttemptStats(double badSlowdown, long windowNanos, int maxServers, long now) {
         this.badSlowdown = badSlowdown;
         this.windowNanos = windowNanos;
         this.maxServers = maxServers;
@@ -86,7 +86,7 @@
     }
 
     /** Statistics of the last one to two windows: the {@code limit} servers with the most attempts. */
-    List<ServerSum> recent(int limit, long now) {
+    List<ServerStats> recent(int limit, long now) {
         rotateWindows(now);
         Map<String, Totals> totalsByServer = new HashMap<>();
         for (Map<String, Totals> window : List.of(previousWindow, currentWindow)) {
@@ -97,10 +97,10 @@
                 both.badAttempts += totals.badAttempts;
             });
         }
-        List<ServerSum> stats = new ArrayList<>();
+        List<ServerStats> stats = new ArrayList<>();
         totalsByServer.forEach((uid, totals) ->
-                stats.add(new ServerSum(uid, totals.attempts, totals.slowdownSum, totals.badAttempts)));
-        stats.sort(Comparator.comparingInt(ServerSum::attempts).reversed().thenComparing(ServerSum::uid));
+                stats.add(new ServerStats(uid, totals.attempts, totals.slowdownSum, totals.badAttempts)));
+        stats.sort(Comparator.comparingInt(ServerStats::attempts).reversed().thenComparing(ServerStats::uid));
         return stats.size() > limit ? List.copyOf(stats.subList(0, limit)) : stats;
     }
 }
--- a/src/main/java/pondridge/store/Hearsay.java
+++ b/src/main/java/pondridge/store/PeerOutlierDetector.java
@@ -14,7 +14,7 @@
  * that finds most of its servers slow is ignored, because the cause is probably the sidecar itself. At most a
  * configured fraction of the endpoint list is suspected, the slowest first. No I/O; times are arguments.
  */
-final class Hearsay {
+final class PeerOutlierDetector {
     /**
      * Limits on the use of peer reports.
      *
@@ -27,7 +27,7 @@
     record Limits(long maxAgeMillis, int minAttempts, int quorum, double maxSuspectedFraction) {}
 
     /** A report read from the store, with its age by the store's clock. */
-    record ReceivedReport(String member, long ageMillis, Report report) {}
+    record ReceivedReport(String member, long ageMillis, PeerReport report) {}
 
     /** A sidecar finds a server slow if more than this fraction of its attempts there were bad. */
     private static final double SLOW_SERVER_BAD_FRACTION = 0.5;
@@ -41,7 +41,7 @@
     private final Limits limits;
     private long droppedReports;
 
-    Hearsay(Limits limits) {
+    PeerOutlierDetector(Limits limits) {
         this.limits = limits;
     }
 
@@ -50,23 +50,23 @@
         return droppedReports;
     }
 
-    private static boolean isSlow(ServerSum stats) {
+    private static boolean isSlow(ServerStats stats) {
         return stats.badAttempts() > SLOW_SERVER_BAD_FRACTION * stats.attempts();
     }
 
-    private List<ServerSum> usableStats(ReceivedReport received) {
+    private List<ServerStats> usableStats(ReceivedReport received) {
         if (received.ageMillis > limits.maxAgeMillis || received.ageMillis < -limits.maxAgeMillis) {
             return List.of();
         }
-        List<ServerSum> servers = received.report.servers();
-        long slowServers = servers.stream().filter(Hearsay::isSlow).count();
+        List<ServerStats> servers = received.report.servers();
+        long slowServers = servers.stream().filter(PeerOutlierDetector::isSlow).count();
         return servers.size() >= MIN_SERVERS_FOR_RELIABILITY_CHECK
                         && slowServers > UNRELIABLE_REPORT_SLOW_FRACTION * servers.size()
                 ? List.of()
                 : servers;
     }
 
-    private static int weight(List<ServerSum> reported) {
+    private static int weight(List<ServerStats> reported) {
         return reported.stream()
                 .mapToInt(stats -> Math.min(MAX_ATTEMPTS_PER_REPORT, stats.attempts()))
                 .sum();
@@ -81,9 +81,9 @@
     Map<String, Double> suspects(List<ReceivedReport> reports, Set<String> readyServers) {
         Map<String, ReceivedReport> latest = new HashMap<>();
         reports.forEach(each -> latest.merge(each.member, each, (a, b) -> a.ageMillis <= b.ageMillis ? a : b));
-        Map<String, List<ServerSum>> statsByServer = new HashMap<>();
+        Map<String, List<ServerStats>> statsByServer = new HashMap<>();
         for (ReceivedReport each : latest.values()) {
-            List<ServerSum> usable = usableStats(each);
+            List<ServerStats> usable = usableStats(each);
             droppedReports += usable.isEmpty() && !each.report.servers().isEmpty() ? 1 : 0;
             usable.stream().filter(stats -> readyServers.contains(stats.uid())).forEach(stats -> statsByServer
                     .computeIfAbsent(stats.uid(), uid -> new ArrayList<>())
@@ -91,14 +91,15 @@
         }
         Map<String, Double> slowdowns = new HashMap<>();
         statsByServer.forEach((uid, reported) -> {
-            List<ServerSum> slow = reported.stream().filter(Hearsay::isSlow).toList();
+            List<ServerStats> slow =
+                    reported.stream().filter(PeerOutlierDetector::isSlow).toList();
             int totalWeight = weight(reported);
             if (slow.size() >= limits.quorum && totalWeight >= limits.minAttempts && 2 * weight(slow) > totalWeight) {
                 // The median, so that one exaggerated report does not raise the slowdown.
                 slowdowns.put(
                         uid,
                         slow.stream()
-                                .map(ServerSum::meanSlowdown)
+                                .map(ServerStats::meanSlowdown)
                                 .sorted()
                                 .toList()
                                 .get((slow.size() - 1) / 2));
--- a/src/main/java/pondridge/store/Report.java
+++ b/src/main/java/pondridge/store/PeerReport.java
@@ -17,7 +17,7 @@
  *     versions
  * @param servers statistics of the servers that its writer used
  */
-record Report(long writtenAtMillis, double requestsPerSecond, List<ServerSum> servers) {
+record PeerReport(long writtenAtMillis, double requestsPerSecond, List<ServerStats> servers) {
     /** The version of the store's keys and values. */
     static final int VERSION = 1;
 
@@ -33,7 +33,7 @@
                 .put("at", writtenAtMillis)
                 .put("r", Math.round(requestsPerSecond * 1000) / 1000.0);
         ArrayNode serverArray = root.putArray("s");
-        for (ServerSum stats : servers) {
+        for (ServerStats stats : servers) {
             serverArray
                     .addArray()
                     .add(stats.uid())
@@ -49,14 +49,14 @@
      * two periods cannot have received so few requests.
      */
     double plausibleRate(long periodNanos) {
-        long attempts = servers.stream().mapToLong(ServerSum::attempts).sum();
+        long attempts = servers.stream().mapToLong(ServerStats::attempts).sum();
         return attempts <= MAX_ATTEMPTS_PER_REQUEST * 2 * periodNanos / 1e9 * requestsPerSecond + ATTEMPT_SLACK
                 ? requestsPerSecond
                 : 0;
     }
 
     /** Parses a report; null if it is malformed or contains an impossible value. */
-    static Report parse(String text, int maxServers) {
+    static PeerReport parse(String text, int maxServers) {
         if (text == null || text.length() > MAX_CHARS) {
             return null;
         }
@@ -73,7 +73,7 @@
             if (!(requestsPerSecond >= 0 && requestsPerSecond <= MAX_REQUESTS_PER_SECOND)) {
                 return null;
             }
-            List<ServerSum> servers = new ArrayList<>();
+            List<ServerStats> servers = new ArrayList<>();
             for (JsonNode each : root.path("s")) {
                 if (!each.path(0).isTextual()
                         || !each.path(1).isInt()
@@ -81,7 +81,7 @@
                         || !each.path(3).isInt()) {
                     return null;
                 }
-                ServerSum stats = new ServerSum(
+                ServerStats stats = new ServerStats(
                         each.path(0).asText(),
                         each.path(1).asInt(),
                         each.path(2).asDouble(),
@@ -91,7 +91,7 @@
                 }
                 servers.add(stats);
             }
-            return new Report(root.path("at").asLong(), requestsPerSecond, servers);
+            return new PeerReport(root.path("at").asLong(), requestsPerSecond, servers);
         } catch (JsonProcessingException e) {
             return null;
         }
--- a/src/main/java/pondridge/store/Demand.java
+++ b/src/main/java/pondridge/store/RequestRateEstimate.java
@@ -5,7 +5,7 @@
  * attempts sent: otherwise a sidecar that had to refuse requests would get smaller leases and refuse more. No
  * I/O; times in nanoseconds.
  */
-final class Demand {
+final class RequestRateEstimate {
     private static final double SMOOTHING_NANOS = 10e9;
     private double perSecond;
     private long lastTotal;
--- a/src/main/java/pondridge/store/ServerSum.java
+++ b/src/main/java/pondridge/store/ServerStats.java
@@ -6,11 +6,11 @@
  * @param uid the server's name in the endpoint list
  * @param attempts attempts that ended
  * @param slowdownSum the sum over these attempts of time taken divided by baseline time, each quotient capped
- *     at {@link OwnSums#MAX_SLOWDOWN}
+ *     at {@link LocalAttemptStats#MAX_SLOWDOWN}
  * @param badAttempts attempts that ended in an error or without a response, or took far longer than the
  *     baseline
  */
-record ServerSum(String uid, int attempts, double slowdownSum, int badAttempts) {
+record ServerStats(String uid, int attempts, double slowdownSum, int badAttempts) {
     private static final int MAX_ATTEMPTS = 10_000_000;
     private static final int MAX_UID_LENGTH = 128;
 
@@ -23,7 +23,7 @@
                 && badAttempts >= 0
                 && badAttempts <= attempts
                 && slowdownSum >= 0
-                && slowdownSum <= OwnSums.MAX_SLOWDOWN * attempts * 1.001;
+                && slowdownSum <= LocalAttemptStats.MAX_SLOWDOWN * attempts * 1.001;
     }
 
     /** How many times longer than the baseline an attempt took on average. */
--- a/src/main/java/pondridge/store/SharedStore.java
+++ b/src/main/java/pondridge/store/SharedStore.java
@@ -29,18 +29,18 @@
     private static final int REPLIES_BEFORE_LEASES = 8;
 
     /** A lease request and who wants the lease. */
-    private record PendingLease(Leases.LeaseRequest request, Budgets holder) {}
+    private record PendingLease(Leases.LeaseRequest request, LeaseHolder holder) {}
 
     private final EventLoop loop;
     private final StoreSettings settings;
-    private final OwnSums attemptStats;
-    private final Hearsay outlierDetector;
-    private final StoreCircuit circuitBreaker;
+    private final LocalAttemptStats attemptStats;
+    private final PeerOutlierDetector outlierDetector;
+    private final StoreCircuitBreaker circuitBreaker;
     private final StoreConnection connection;
-    private final Members members;
+    private final FleetMembership members;
     private final Leases leases;
-    private final List<Budgets> leaseHolders = new ArrayList<>();
-    private final Demand requestRate = new Demand();
+    private final List<LeaseHolder> leaseHolders = new ArrayList<>();
+    private final RequestRateEstimate requestRate = new RequestRateEstimate();
     private final LongSupplier requestCount;
     private final Supplier<Set<String>> readyServers;
     private final Consumer<Map<String, Double>> suspectsListener;
@@ -75,12 +75,13 @@
         this.readyServers = readyServers;
         this.suspectsListener = suspectsListener;
         this.random = new Random(seed);
-        this.attemptStats = new OwnSums(settings.badSlowdown(), settings.periodNanos(), 4 * settings.maxServers(), now);
-        this.outlierDetector = new Hearsay(settings.reportLimits());
-        this.circuitBreaker = new StoreCircuit(settings.circuitLimits(), random.nextLong());
+        this.attemptStats =
+                new LocalAttemptStats(settings.badSlowdown(), settings.periodNanos(), 4 * settings.maxServers(), now);
+        this.outlierDetector = new PeerOutlierDetector(settings.reportLimits());
+        this.circuitBreaker = new StoreCircuitBreaker(settings.circuitLimits(), random.nextLong());
         this.connection = new StoreConnection(loop, settings);
-        this.members =
-                new Members(MEMBER_COUNT_RETENTION_NANOS, settings.leases().settleNanos());
+        this.members = new FleetMembership(
+                MEMBER_COUNT_RETENTION_NANOS, settings.leases().settleNanos());
         this.leases = new Leases(settings.leases().slotNanos() / 1_000_000, random.nextLong());
         // A random delay within the period, so that sidecars that start together do not write together.
         this.timer =
@@ -88,7 +89,7 @@
     }
 
     /** From now on leases are also requested for the budgets of this holder. */
-    public void share(Budgets leaseHolder) {
+    public void addLeaseHolder(LeaseHolder leaseHolder) {
         leaseHolders.add(leaseHolder);
     }
 
@@ -144,9 +145,9 @@
         List<PendingLease> pendingLeases = new ArrayList<>();
         if (members.isSettled(now)) {
             double weight = members.trafficWeight(requestRate.perSecond());
-            for (Budgets each : leaseHolders) {
+            for (LeaseHolder each : leaseHolders) {
                 leases.requests(
-                                each.wanted(
+                                each.wantedBudgets(
                                         settings.leases().slotNanos(), leases.nanosUntilNextSlot(storeMillisAt(now))),
                                 members.size(now),
                                 weight,
@@ -181,7 +182,7 @@
                     () -> {
                         long validNanos = grant.untilNanos() - System.nanoTime();
                         if (validNanos > 0) {
-                            pending.holder.granted(grant.name(), grant.count(), validNanos);
+                            pending.holder.leaseGranted(grant.name(), grant.count(), validNanos);
                         }
                     },
                     Math.max(0, grant.fromNanos() - now),
@@ -190,7 +191,7 @@
     }
 
     private String key(String kind, String name) {
-        return settings.keyPrefix() + ':' + Report.VERSION + ':' + kind + ':' + name;
+        return settings.keyPrefix() + ':' + PeerReport.VERSION + ':' + kind + ':' + name;
     }
 
     /** The estimated time of the store's clock. It is compared only with other times of that clock. */
@@ -208,7 +209,7 @@
                 List.of(
                         "SET",
                         key("report", settings.member()),
-                        new Report(
+                        new PeerReport(
                                         writtenAtMillis,
                                         requestRate.perSecond(),
                                         attemptStats.recent(settings.maxServers(), now))
@@ -278,14 +279,14 @@
             exchangeFailed(now);
             return;
         }
-        List<Hearsay.ReceivedReport> received = new ArrayList<>();
+        List<PeerOutlierDetector.ReceivedReport> received = new ArrayList<>();
         for (int i = 0; i < chosen.size(); i++) {
             if (texts.get(i) instanceof String text) {
-                Report report = Report.parse(text, settings.maxServers());
+                PeerReport report = PeerReport.parse(text, settings.maxServers());
                 if (report == null) {
                     count("unreadable");
                 } else {
-                    received.add(new Hearsay.ReceivedReport(
+                    received.add(new PeerOutlierDetector.ReceivedReport(
                             chosen.get(i), storeMillisAt(now) - report.writtenAtMillis(), report));
                 }
             }
--- a/src/main/java/pondridge/store/Sharing.java
+++ b/src/main/java/pondridge/store/SharedStoreBinding.java
@@ -9,19 +9,20 @@
  * Connects a shared store to an engine: the results of its attempts are reported to peers, and the reports of
  * peers are passed to it as hints.
  */
-public final class Sharing {
-    private Sharing() {}
+public final class SharedStoreBinding {
+    private SharedStoreBinding() {}
 
     /**
      * Starts the exchanges. To be called on the event loop, before the engine starts.
      *
      * @param limits the safety limits of the decision module
      */
-    public static SharedStore begin(
-            EventLoop loop, Engine engine, StoreSettings settings, Balancer.Limits limits, long seed) {
-        SharedStore store = new SharedStore(loop, settings, engine::asked, engine::ready, engine::heard, seed);
+    public static SharedStore start(
+            EventLoop loop, Engine engine, StoreSettings settings, Balancer.SafetyLimits limits, long seed) {
+        SharedStore store = new SharedStore(
+                loop, settings, engine::requestCount, engine::readyServers, engine::applySlowdownReports, seed);
         if (settings.leases().warmServerPerSecond() > 0) {
-            store.share(new ColdStartBudgets(engine, settings.leases(), limits));
+            store.addLeaseHolder(new ColdStartBudgets(engine, settings.leases(), limits));
         }
         engine.observe((uid, requestClass, outcome, tookNanos) -> {
             boolean successful = outcome == Outcome.OK;
--- a/src/main/java/pondridge/store/StoreCircuit.java
+++ b/src/main/java/pondridge/store/StoreCircuitBreaker.java
@@ -7,7 +7,7 @@
  * is tried at intervals that double up to a limit. Each interval is randomized, so that many sidecars that lost
  * the store together do not return to it together. Times in nanoseconds; no I/O.
  */
-final class StoreCircuit {
+final class StoreCircuitBreaker {
     /**
      * Thresholds and pauses.
      *
@@ -25,7 +25,7 @@
     private long openUntilNanos;
     private boolean open;
 
-    StoreCircuit(Limits limits, long seed) {
+    StoreCircuitBreaker(Limits limits, long seed) {
         this.limits = limits;
         this.random = new Random(seed);
     }
--- a/src/main/java/pondridge/store/StoreSettings.java
+++ b/src/main/java/pondridge/store/StoreSettings.java
@@ -48,8 +48,8 @@
         int maxServers,
         int maxReplyBytes,
         double badSlowdown,
-        Hearsay.Limits reportLimits,
-        StoreCircuit.Limits circuitLimits,
+        PeerOutlierDetector.Limits reportLimits,
+        StoreCircuitBreaker.Limits circuitLimits,
         LeaseSettings leases) {
     /**
      * Credentials for the store.
@@ -97,18 +97,18 @@
                                 Locale.ROOT,
                                 "%016x",
                                 ThreadLocalRandom.current().nextLong())));
-        long periodNanos = section.time("period", "1s", "20ms", "1min");
-        long timeoutNanos = section.time("within", "250ms", "1ms", "10s");
+        long periodNanos = section.durationNanos("period", "1s", "20ms", "1min");
+        long timeoutNanos = section.durationNanos("within", "250ms", "1ms", "10s");
         if (timeoutNanos > periodNanos) {
-            throw section.contradiction("within", "longer than period: exchanges would overlap");
+            throw section.invalid("within", "longer than period: exchanges would overlap");
         }
         LeaseSettings leases = new LeaseSettings(
-                section.fraction("cold_per_second", 0, 0, 1e6),
-                section.time("slot", "1500ms", "20ms", "1min"),
+                section.decimal("cold_per_second", 0, 0, 1e6),
+                section.durationNanos("slot", "1500ms", "20ms", "1min"),
                 section.number("cold_servers", 16, 1, 256),
-                section.time("settle", "10s", "10ms", "10min"));
+                section.durationNanos("settle", "10s", "10ms", "10min"));
         if (leases.slotNanos < periodNanos + periodNanos / 4) {
-            throw section.contradiction("slot", "less than 5/4 of period: no lease would be requested for some slots");
+            throw section.invalid("slot", "less than 5/4 of period: no lease would be requested for some slots");
         }
         StoreSettings settings = new StoreSettings(
                 address,
@@ -121,33 +121,33 @@
                 timeoutNanos,
                 section.number("read", 16, 1, 256),
                 section.number("servers", 256, 1, 4096),
-                section.size("reply_bytes", "1MiB", "16KiB", "64MiB"),
-                section.fraction("slow", 2.5, 1.1, 100),
-                new Hearsay.Limits(
-                        section.time("oldest", "4s", "20ms", "10min") / 1_000_000,
+                section.sizeBytes("reply_bytes", "1MiB", "16KiB", "64MiB"),
+                section.decimal("slow", 2.5, 1.1, 100),
+                new PeerOutlierDetector.Limits(
+                        section.durationNanos("oldest", "4s", "20ms", "10min") / 1_000_000,
                         section.number("least_answers", 6, 1, 10_000),
                         section.number("quorum", 2, 2, 1000),
-                        section.fraction("most_doubted", 0.25, 0, 0.5)),
-                new StoreCircuit.Limits(
-                        section.time("slow_answer", "100ms", "1ms", "10s"),
+                        section.decimal("most_doubted", 0.25, 0, 0.5)),
+                new StoreCircuitBreaker.Limits(
+                        section.durationNanos("slow_answer", "100ms", "1ms", "10s"),
                         section.number("misses", 2, 1, 1000),
-                        section.time("pause", "500ms", "10ms", "10min"),
-                        section.time("longest_pause", "30s", "10ms", "60min")),
+                        section.durationNanos("pause", "500ms", "10ms", "10min"),
+                        section.durationNanos("longest_pause", "30s", "10ms", "60min")),
                 leases);
         return address == null ? null : settings;
     }
 
     private static String name(Section section, String key, String text) {
         if (!text.matches(NAME_PATTERN)) {
-            throw section.contradiction(key, "expected 1 to 64 letters, digits, dots, dashes, found " + text);
+            throw section.invalid(key, "expected 1 to 64 letters, digits, dots, dashes, found " + text);
         }
         return text;
     }
 
     private static SslContext tls(Section section, Path folder, String authorities) {
-        boolean enabled = "tls".equals(section.word("security", "plain", List.of("plain", "tls")));
+        boolean enabled = "tls".equals(section.choice("security", "plain", List.of("plain", "tls")));
         if (!enabled && !authorities.equals("none")) {
-            throw section.contradiction("authorities", "has no effect without security = \"tls\"");
+            throw section.invalid("authorities", "has no effect without security = \"tls\"");
         }
         try {
             SslContextBuilder builder = SslContextBuilder.forClient().sslProvider(SslProvider.JDK);
@@ -158,7 +158,7 @@
                             : builder.trustManager(folder.resolve(authorities).toFile())
                                     .build();
         } catch (SSLException | IllegalArgumentException e) {
-            throw section.contradiction(
+            throw section.invalid(
                     "authorities", "can't be used: " + folder.resolve(authorities) + ": " + e.getMessage());
         }
     }
@@ -170,7 +170,7 @@
         try {
             return Files.readString(folder.resolve(file)).strip();
         } catch (IOException e) {
-            throw section.contradiction("password_file", "cannot be read: " + folder.resolve(file));
+            throw section.invalid("password_file", "cannot be read: " + folder.resolve(file));
         }
     }
 
@@ -188,6 +188,6 @@
         } catch (NumberFormatException e) {
             // Reported below.
         }
-        throw section.contradiction("address", "expected an address and a port, found \"" + text + '"');
+        throw section.invalid("address", "expected an address and a port, found \"" + text + '"');
     }
 }
