--- a/src/main/java/pondridge/transport/MixedUpstreams.java
+++ b/src/main/java/pondridge/transport/MixedProtocolTransport.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.core.Job;
 import pondridge.core.LoadReports;
 import pondridge.core.Transport;
-import pondridge.grpc.GrpcWording;
+import pondridge.grpc.GrpcUpstreamCodec;
 import pondridge.http1.Upstreams;
 import pondridge.http2.Http2Upstreams;
-import pondridge.http2.Learned;
+import pondridge.http2.ProtocolProbeResult;
 import pondridge.transport.TransportSettings.Protocol;
 
 /**
@@ -25,7 +25,7 @@
  * being detected, a limited number of attempts to it wait, each until its deadline. No request is sent twice to
  * detect a protocol. Must be used on the event loop only.
  */
-public final class MixedUpstreams implements Transport {
+public final class MixedProtocolTransport implements Transport {
     private final EventLoop loop;
     private final Upstreams http1;
     private final Http2Upstreams http2;
@@ -33,19 +33,19 @@
     private final Map<Long, ServerState> servers = new HashMap<>();
 
     private static final class ServerState {
-        private final ProtocolChoice protocol = new ProtocolChoice();
+        private final ProtocolDetector protocol = new ProtocolDetector();
         private final Set<PendingAttempt> waiting = new LinkedHashSet<>();
         private InetSocketAddress address;
         private long startedMs;
         private boolean ready;
     }
 
-    MixedUpstreams(EventLoop loop, Upstreams http1, Http2Upstreams http2, int maxWaiting) {
+    MixedProtocolTransport(EventLoop loop, Upstreams http1, Http2Upstreams http2, int maxWaiting) {
         this.loop = loop;
         this.http1 = http1;
         this.http2 = http2;
         this.maxWaiting = maxWaiting;
-        http2.onHttp1Wanted(upstream -> {
+        http2.onHttp1Required(upstream -> {
             ServerState server = servers.get(upstream);
             if (server != null) {
                 server.protocol.http1Required(System.nanoTime());
@@ -58,28 +58,29 @@
      *
      * @param maxConnections total limit of connections; the limit for HTTP/2 is deducted from that for HTTP/1.1
      */
-    public static Transport of(EventLoop loop, Options options, TransportSettings settings, int maxConnections) {
+    public static Transport of(
+            EventLoop loop, BalancerOptions options, TransportSettings settings, int maxConnections) {
         if (settings.protocol() == Protocol.HTTP1) {
             return new Upstreams(loop, options, maxConnections);
         }
         if (settings.protocol() == Protocol.GRPC) {
-            return new Http2Upstreams(loop, options, settings.http2(), new GrpcWording(settings.grpc(), options));
+            return new Http2Upstreams(loop, options, settings.http2(), new GrpcUpstreamCodec(settings.grpc(), options));
         }
         Http2Upstreams http2 = new Http2Upstreams(loop, options, settings.http2());
         if (settings.protocol() == Protocol.HTTP2) {
             return http2;
         }
         int http1Connections =
-                Math.max(maxConnections / 4, maxConnections - settings.http2().connections());
-        return new MixedUpstreams(
+                Math.max(maxConnections / 4, maxConnections - settings.http2().maxConnections());
+        return new MixedProtocolTransport(
                 loop,
                 new Upstreams(loop, options, http1Connections),
                 http2,
-                settings.http2().waiting());
+                settings.http2().maxWaiting());
     }
 
     @Override
-    public void listed(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
+    public void updateEndpoint(long upstream, InetSocketAddress address, long startedMs, boolean ready) {
         ServerState server = servers.computeIfAbsent(upstream, id -> new ServerState());
         if (!address.equals(server.address) || startedMs > server.startedMs) {
             server.address = address;
@@ -87,8 +88,8 @@
             server.protocol.restarted();
         }
         server.ready = ready;
-        http1.listed(upstream, address, startedMs, ready);
-        http2.listed(upstream, address, startedMs, ready);
+        http1.updateEndpoint(upstream, address, startedMs, ready);
+        http2.updateEndpoint(upstream, address, startedMs, ready);
         if (!ready) {
             endWaiting(server, Outcome.CONNECT_FAILED);
         } else if (!server.waiting.isEmpty()) {
@@ -97,14 +98,14 @@
     }
 
     @Override
-    public void gone(long upstream) {
+    public void removeEndpoint(long upstream) {
         ServerState server = servers.remove(upstream);
         if (server != null) {
             server.ready = false;
             endWaiting(server, Outcome.CONNECT_FAILED);
         }
-        http1.gone(upstream);
-        http2.gone(upstream);
+        http1.removeEndpoint(upstream);
+        http2.removeEndpoint(upstream);
     }
 
     private static void endWaiting(ServerState server, Outcome outcome) {
@@ -134,9 +135,9 @@
         switch (server.protocol.step()) {
             case HTTP1 -> forward(upstream, server, http1);
             case HTTP2 -> forward(upstream, server, http2);
-            case DETECT -> http2.learn(upstream, result -> {
+            case DETECT -> http2.probeProtocol(upstream, result -> {
                 server.protocol.detected(result, System.nanoTime());
-                if (result == Learned.NOBODY) {
+                if (result == ProtocolProbeResult.UNREACHABLE) {
                     endWaiting(server, Outcome.CONNECT_FAILED);
                 } else if (!server.waiting.isEmpty()) {
                     dispatch(upstream, server);
@@ -155,14 +156,14 @@
     @Override
     public void probe(long upstream, Listener listener) {
         ServerState server = servers.get(upstream);
-        ProtocolChoice.Step step = server == null ? ProtocolChoice.Step.HTTP1 : server.protocol.step();
+        ProtocolDetector.Step step = server == null ? ProtocolDetector.Step.HTTP1 : server.protocol.step();
         switch (step) {
             case HTTP2 -> http2.probe(upstream, listener);
             case HTTP1 -> http1.probe(upstream, listener);
-            default -> http2.learn(upstream, result -> {
+            default -> http2.probeProtocol(upstream, result -> {
                 // If a detection is already running, its result is reported here as well.
                 server.protocol.detected(result, System.nanoTime());
-                (result == Learned.HTTP2 ? http2 : http1).probe(upstream, listener);
+                (result == ProtocolProbeResult.HTTP2 ? http2 : http1).probe(upstream, listener);
                 if (!server.waiting.isEmpty()) {
                     dispatch(upstream, server);
                 }
@@ -205,7 +206,7 @@
                     upstream,
                     job,
                     timeLeftNanos,
-                    listener.after(outcome -> server.protocol.attemptEnded(outcome, System.nanoTime())));
+                    listener.withCallback(outcome -> server.protocol.attemptEnded(outcome, System.nanoTime())));
         }
 
         /** Ends the attempt without sending it. */
--- a/src/main/java/pondridge/transport/ProtocolChoice.java
+++ b/src/main/java/pondridge/transport/ProtocolDetector.java
@@ -1,14 +1,14 @@
 package pondridge.transport;
 
 import pondridge.Balancer.Outcome;
-import pondridge.http2.Learned;
+import pondridge.http2.ProtocolProbeResult;
 
 /**
  * Tracks which protocol one server speaks. The protocol is detected once for each start of the server, with a
  * connection preface that carries no request, and again after a connection failure, since the server may have
  * been replaced by another program. No I/O; times in nanoseconds on one clock.
  */
-final class ProtocolChoice {
+final class ProtocolDetector {
     /** Minimum interval between detections, so that a server that keeps failing is not probed on each failure. */
     static final long MIN_DETECTION_INTERVAL_NANOS = 1_000_000_000;
 
@@ -44,13 +44,13 @@
     }
 
     /** Records the result of a detection; it is ignored if the server was restarted or became known meanwhile. */
-    void detected(Learned result, long nowNanos) {
+    void detected(ProtocolProbeResult result, long nowNanos) {
         if (state == State.DETECTING) {
             detectedAtNanos = nowNanos;
             state = switch (result) {
                 case HTTP2 -> State.HTTP2;
-                case OTHER -> State.HTTP1;
-                case NOBODY -> State.UNKNOWN;
+                case NOT_HTTP2 -> State.HTTP1;
+                case UNREACHABLE -> State.UNKNOWN;
             };
         }
     }
--- a/src/main/java/pondridge/transport/TransportSettings.java
+++ b/src/main/java/pondridge/transport/TransportSettings.java
@@ -27,7 +27,7 @@
     public static TransportSettings of(SettingsFile file, Path directory) {
         Section section = file.section("upstreams");
         Protocol protocol =
-                switch (section.word("protocol", "http1", List.of("http1", "http2", "auto", "grpc"))) {
+                switch (section.choice("protocol", "http1", List.of("http1", "http2", "auto", "grpc"))) {
                     case "http2" -> Protocol.HTTP2;
                     case "auto" -> Protocol.AUTO;
                     case "grpc" -> Protocol.GRPC;
@@ -35,7 +35,7 @@
                 };
         GrpcSettings grpc = GrpcSettings.of(file, directory);
         if (protocol == Protocol.GRPC && (grpc == null || grpc.methods().isEmpty())) {
-            throw section.contradiction("protocol", "grpc needs [grpc] and methods under [grpc_methods]");
+            throw section.invalid("protocol", "grpc needs [grpc] and methods under [grpc_methods]");
         }
         return new TransportSettings(protocol, Http2Options.of(file.section("http2")), grpc);
     }
@@ -44,7 +44,7 @@
     public static TransportSettings read(Path path) {
         SettingsFile file = SettingsFile.read(path);
         TransportSettings settings = of(file, path.toAbsolutePath().getParent());
-        file.finish();
+        file.rejectUnknownKeys();
         return settings;
     }
 }
--- a/src/test/java/pondridge/ArchitectureTest.java
+++ b/src/test/java/pondridge/ArchitectureTest.java
@@ -127,16 +127,16 @@
 
     /** Classes with decision logic in all packages; new ones are added here. */
     private static final String DECISION_CLASSES =
-            ".*\\.(StreamTable|Proof|Liveness|ResetBudget|FloodGuard|ProtocolChoice|ColdStart|Router|Trail"
-                    + "|LinkTimes|Pool|SharedRoom|CrossingBudget|StartTimes|OwnSite|Pressure|Views"
-                    + "|Stamps|AnswerMemory|CreditControl|Log.LineBudget|HeldBytes|Threads|Keyspace|Commands"
-                    + "|RequestParser|StoreCircuit|OwnSums|Members|Leases|Demand|Hearsay|ServerSum"
-                    + "|Report|Topology|LossPlan|LossPlanner|RefusalOrder|Split"
-                    + "|ScalePlan.Step|Schedule|Knowledge|Slope"
-                    + "|Version|Digest|Resource|Holdings|Pace|Sums|Hello|FollowerState|Serving|SourceState|Spread"
-                    + "|RelayChoice|Names"
-                    + "|GrpcCode|GrpcTimeout|MessageReader|FinalCode|MethodTable"
-                    + "|lab\\.(Bed|ColdBudget|Queue|Scene|Tally|Upstreams))";
+            ".*\\.(StreamTable|StreamOutcomeRules|Liveness|ResetBudget|FloodGuard|ProtocolDetector|ColdStart|Router|AttemptHistory"
+                    + "|LinkRttEstimator|ConnectionPool|SharedConnectionLimit|CrossSiteBudget|ServerStartTimes|LocalSiteHealth|LocalSloMonitor|SiteStateReports"
+                    + "|EchoedTimestamps|IdempotencyCache|CreditControl|Log.LineRateLimiter|BufferBudget|ThreadPoolModel|Keyspace|Commands"
+                    + "|RequestParser|StoreCircuitBreaker|LocalAttemptStats|FleetMembership|Leases|RequestRateEstimate|PeerOutlierDetector|ServerStats"
+                    + "|PeerReport|Topology|SiteLossPlan|SiteLossPlanner|RequestAdmission|SiteFailoverRouting"
+                    + "|ScalePlan.Step|Schedule|PropagationTracker|Slope"
+                    + "|Version|Digest|Resource|ResourceStore|TokenBucket|PropagationStatus|Hello|FollowerState|UpdateScheduler|SourceState|PropagationLatency"
+                    + "|RelaySelector|NameRanges"
+                    + "|GrpcCode|GrpcTimeout|MessageReader|LocalStatus|MethodTable"
+                    + "|lab\\.(Simulation|ColdStartBudget|EventQueue|SimulationScenario|SimulationResult|SimulatedServers))";
 
     @ArchTest
     static final ArchRule DECISION_CLASSES_HAVE_NO_IO = noClasses()
--- a/src/test/java/pondridge/ColdServerLoadTest.java
+++ b/src/test/java/pondridge/ColdServerLoadTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.MS;
+import static pondridge.RecordingHost.MS;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,29 +12,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.HostCapabilities;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.Balancer.SafetyLimits;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
-import pondridge.Balancer.Weights;
-import pondridge.lab.Bed;
-import pondridge.lab.ColdBudget;
-import pondridge.lab.Scene;
-import pondridge.lab.Scene.Change;
-import pondridge.lab.Scene.Event;
-import pondridge.lab.Tally;
+import pondridge.Balancer.UpstreamState;
+import pondridge.Balancer.WeightKind;
+import pondridge.lab.ColdStartBudget;
+import pondridge.lab.Simulation;
+import pondridge.lab.SimulationResult;
+import pondridge.lab.SimulationScenario;
+import pondridge.lab.SimulationScenario.EventType;
+import pondridge.lab.SimulationScenario.TimedEvent;
 
 /**
  * Guards against overload of cold servers by the sum of all sidecars, which do not communicate here. Real
  * balancers run over six simulated servers; a request takes a warm thread 20 ms +-40 %. In every window of
  * {@code tipAfter} a cold server may get N + 2 x sqrt(N) + 2 requests of mean work, rejected ones included, where
- * N is the overload factor x its capacity at the end of the window x the window ({@link ColdBudget}). Its
+ * N is the overload factor x its capacity at the end of the window x the window ({@link ColdStartBudget}). Its
  * capacity grows evenly from the cold share to the full value over the ramp time. A server that gets more crashes
  * and stays down, and the test fails. The test also requires that cold servers are used: the reference is their
  * capacity over the five observed seconds, or the offered load if that is less.
@@ -72,20 +72,20 @@
             this.returnedCount = returnedCount;
         }
 
-        List<Change> changes(int sidecars) {
-            List<Change> changes = new ArrayList<>();
+        List<TimedEvent> changes(int sidecars) {
+            List<TimedEvent> changes = new ArrayList<>();
             for (int i = 0; i < removedCount; i++) {
-                changes.add(new Change((RETURN_SECOND - 1) * SECOND, Event.GONE, i));
+                changes.add(new TimedEvent((RETURN_SECOND - 1) * SECOND, EventType.SERVER_REMOVED, i));
             }
             for (int i = 0; i < returnedCount; i++) {
-                changes.add(new Change(RETURN_SECOND * SECOND, Event.COLD, i));
+                changes.add(new TimedEvent(RETURN_SECOND * SECOND, EventType.SERVER_RESTARTED, i));
             }
             for (long delay = 700 * MS; this == REPEATED_RESTARTS && delay < 4 * SECOND; delay += 700 * MS) {
-                changes.add(new Change(RETURN_SECOND * SECOND + delay, Event.COLD, 0));
+                changes.add(new TimedEvent(RETURN_SECOND * SECOND + delay, EventType.SERVER_RESTARTED, 0));
             }
             int newSidecars = this == ONE_NEW_SIDECAR ? 1 : this == ALL_NEW_SIDECARS || this == ALL_NEW ? sidecars : 0;
             for (int i = 0; i < newSidecars; i++) {
-                changes.add(new Change(RETURN_SECOND * SECOND, Event.SIDECAR, i));
+                changes.add(new TimedEvent(RETURN_SECOND * SECOND, EventType.SIDECAR_RESTARTED, i));
             }
             return changes;
         }
@@ -97,15 +97,15 @@
                 replicas,
                 0,
                 MS,
-                Discovery.AUTOMATIC,
-                Weights.SILENT,
-                List.of(new RequestClass(200 * MS, 0, SECOND, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, false)),
+                DiscoveryMode.AUTOMATIC,
+                WeightKind.SILENT,
+                List.of(new RequestClass(200 * MS, 0, SECOND, 1, 0, RetrySemantics.REPEATABLE, KeyScope.ALL, 0, false)),
                 List.of(),
-                new Allowed(true, false, false, false, false, 3, 0, 250 * MS),
-                new Limits(
+                new HostCapabilities(true, false, false, false, false, 3, 0, 250 * MS),
+                new SafetyLimits(
                         20 * MS, 10 * SECOND, 250 * MS, COLD_CAPACITY_FRACTION, RAMP_NANOS, overloadFactor, 1_500 * MS),
                 List.of(),
-                Balancer.Charges.NONE,
+                Balancer.OverheadCosts.NONE,
                 false,
                 1);
     }
@@ -171,25 +171,27 @@
                     / 1_000;
         }
         for (long seed = 1; seed <= 2; seed++) {
-            Tally tally = Bed.play(new Scene(
+            SimulationResult tally = Simulation.run(new SimulationScenario(
                     seed,
                     settings(configuredReplicas, overloadFactor),
                     sidecars,
-                    Collections.nCopies(SERVERS, new Scene.Machine(threads, queueSlots, true)),
-                    new Scene.Arrivals(loadPerSecond, evenArrivals, List.of(1.0), 20 * MS, 0.4, costHints, 100 * MS),
+                    Collections.nCopies(SERVERS, new SimulationScenario.ServerModel(threads, queueSlots, true)),
+                    new SimulationScenario.Arrivals(
+                            loadPerSecond, evenArrivals, List.of(1.0), 20 * MS, 0.4, costHints, 100 * MS),
                     scenario.changes(sidecars),
                     0,
                     travelMillis * MS,
                     (RETURN_SECOND + OBSERVED_SECONDS + 1) * SECOND));
             double worstSum = 0;
             double worstBound = 1;
-            for (ColdBudget budget : tally.budgets()) {
-                if (budget.worstSum() * worstBound > worstSum * budget.worstBound()) {
-                    worstSum = budget.worstSum();
-                    worstBound = budget.worstBound();
+            for (ColdStartBudget budget : tally.budgets()) {
+                if (budget.worstWindowRequests() * worstBound > worstSum * budget.worstWindowLimit()) {
+                    worstSum = budget.worstWindowRequests();
+                    worstBound = budget.worstWindowLimit();
                 }
             }
-            double usedFraction = tally.done(0, RETURN_SECOND, RETURN_SECOND + OBSERVED_SECONDS) / possibleRequests;
+            double usedFraction =
+                    tally.completedRequests(0, RETURN_SECOND, RETURN_SECOND + OBSERVED_SECONDS) / possibleRequests;
             String summary = String.format(
                     Locale.ROOT,
                     "%s, %d sidecars, factor %.0f, seed %d: %.0f of %.0f" + " in the worst window (%.2f), %.2f used",
@@ -204,7 +206,7 @@
             if (Boolean.getBoolean("lab.print")) {
                 System.out.println(summary);
             }
-            assertEquals(0, tally.overfilled(), summary);
+            assertEquals(0, tally.budgetExceeded(), summary);
             assertTrue(usedFraction >= minUsedFraction, summary);
         }
     }
@@ -212,14 +214,14 @@
     /** With warm servers only, the cold budget has no effect: runs with different budgets are equal. */
     @Test
     void coldBudgetDoesNotAffectWarmServers() {
-        Tally[] runs = new Tally[2];
+        SimulationResult[] runs = new SimulationResult[2];
         for (int i = 0; i < 2; i++) {
-            runs[i] = Bed.play(new Scene(
+            runs[i] = Simulation.run(new SimulationScenario(
                     3,
                     settings(10, i == 0 ? 4 : 1),
                     10,
-                    Collections.nCopies(SERVERS, new Scene.Machine(4, 12, true)),
-                    new Scene.Arrivals(800, false, List.of(1.0), 20 * MS, 0.4, false, 100 * MS),
+                    Collections.nCopies(SERVERS, new SimulationScenario.ServerModel(4, 12, true)),
+                    new SimulationScenario.Arrivals(800, false, List.of(1.0), 20 * MS, 0.4, false, 100 * MS),
                     List.of(),
                     0,
                     MS,
@@ -227,28 +229,29 @@
         }
         for (int second = 0; second < 10; second++) {
             assertEquals(
-                    List.of(runs[0].second(second).reached[0], runs[0].second(second).inTime),
-                    List.of(runs[1].second(second).reached[0], runs[1].second(second).inTime));
+                    List.of(runs[0].second(second).arrivedRequests[0], runs[0].second(second).answeredInTime),
+                    List.of(runs[1].second(second).arrivedRequests[0], runs[1].second(second).answeredInTime));
         }
-        assertTrue(runs[0].second(8).inTime > 0.95 * runs[0].second(8).offered);
+        assertTrue(runs[0].second(8).answeredInTime > 0.95 * runs[0].second(8).offered);
     }
 
     /** Sends to a single cold server in 0.4 s, out of 40 requests, after three warm servers were removed. */
     private static long sentToCold(long idleNanos, Outcome outcome) {
-        Recorder host = new Recorder(settings(30, 4), 7).withUpstreams(3);
+        RecordingHost host = new RecordingHost(settings(30, 4), 7).withUpstreams(3);
         host.serve(0, 1_000, 0, 10 * MS);
         host.advance(idleNanos);
-        host.rules.listChanged(host.now, ListKind.FULL, List.of(Recorder.upstream(9, State.READY, host.now)));
+        host.policy.endpointListChanged(
+                host.now, EndpointListKind.FULL, List.of(RecordingHost.upstream(9, UpstreamState.READY, host.now)));
         int sentBefore = host.sends.size();
         for (long id = 2_000; id < 2_040; id++) {
             int sentSoFar = host.sends.size();
             host.request(id, 0);
             host.advance(10 * MS);
             if (host.sends.size() > sentSoFar) {
-                host.outcome(host.last(), outcome);
+                host.outcome(host.lastSend(), outcome);
             }
         }
-        return host.sentTo(9, sentBefore);
+        return host.countSendsTo(9, sentBefore);
     }
 
     @Test
--- a/src/test/java/pondridge/DiscoverySubscriptionTest.java
+++ b/src/test/java/pondridge/DiscoverySubscriptionTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.MS;
+import static pondridge.RecordingHost.MS;
 
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -11,9 +11,9 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.SafetyLimits;
 import pondridge.Balancer.Settings;
 
 /**
@@ -42,35 +42,35 @@
     }
 
     private static Settings settings(long askWithin, long drainGrace, int replicas) {
-        Settings base = Recorder.settings(Discovery.SUBSCRIBE, Recorder.REPEATABLE);
-        Limits old = base.limits();
+        Settings base = RecordingHost.settings(DiscoveryMode.SUBSCRIBE, RecordingHost.REPEATABLE);
+        SafetyLimits old = base.safetyLimits();
         return new Settings(
                 0,
                 replicas,
                 0,
                 5 * MS,
-                base.discovery(),
-                base.weights(),
+                base.discoveryMode(),
+                base.weightKind(),
                 base.classes(),
                 base.tenants(),
-                base.allowed(),
-                new Limits(
-                        old.answerSlack(),
+                base.capabilities(),
+                new SafetyLimits(
+                        old.responseSlackNanos(),
                         askWithin,
                         drainGrace,
-                        old.coldShare(),
-                        old.rampTime(),
+                        old.coldCapacityFraction(),
+                        old.rampNanos(),
                         old.overloadFactor(),
-                        old.tipAfter()),
+                        old.overloadWindowNanos()),
                 List.of(),
-                base.charges(),
+                base.overheadCosts(),
                 false,
                 1);
     }
 
     /** One sidecar and its calls, at most one outstanding. */
     private static final class Sidecar {
-        final Recorder host;
+        final RecordingHost host;
         final Random random;
         final boolean manySidecars;
         long lastCall;
@@ -91,18 +91,18 @@
         }
 
         Sidecar(Settings settings, long seed) {
-            manySidecars = settings.replicas() > 8;
-            host = new Recorder(settings, seed);
+            manySidecars = settings.replicaCount() > 8;
+            host = new RecordingHost(settings, seed);
             random = new Random(~seed);
             lastCall = host.now;
         }
 
         void onResponse() {
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of());
+            host.policy.endpointListChanged(host.now, EndpointListKind.DELTA, List.of());
         }
 
         void onFailure() {
-            host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+            host.policy.endpointListChanged(host.now, EndpointListKind.FAILED, List.of());
         }
 
         private void failCall(Fault fault) {
@@ -158,7 +158,7 @@
         private void handleEvent() {
             if (fetchAt <= host.now) {
                 fetchAt = NEVER;
-                host.rules.listChanged(host.now, ListKind.FULL, List.of());
+                host.policy.endpointListChanged(host.now, EndpointListKind.FULL, List.of());
                 return;
             }
             endsAt = NEVER;
@@ -280,12 +280,12 @@
         long longest = 0;
         long calls = 0;
         for (int seed = 0; seed < 3; seed++) {
-            Recorder[] hosts = new Recorder[sidecars];
+            RecordingHost[] hosts = new RecordingHost[sidecars];
             long[] brokenAt = new long[sidecars];
             ArrayDeque<Integer> queue = new ArrayDeque<>();
             PriorityQueue<long[]> breakTimes = new PriorityQueue<>(Comparator.comparingLong(each -> each[0]));
             for (int i = 0; i < sidecars; i++) {
-                hosts[i] = new Recorder(settings(10 * SECOND, SECOND, sidecars), seed * 1_000L + i);
+                hosts[i] = new RecordingHost(settings(10 * SECOND, SECOND, sidecars), seed * 1_000L + i);
                 breakTimes.add(new long[] {0, i});
                 brokenAt[i] = NEVER;
             }
@@ -294,7 +294,7 @@
                 while (!breakTimes.isEmpty() && breakTimes.peek()[0] <= now) {
                     int next = (int) breakTimes.poll()[1];
                     brokenAt[next] = now;
-                    hosts[next].rules.listChanged(hosts[next].now, ListKind.FAILED, List.of());
+                    hosts[next].policy.endpointListChanged(hosts[next].now, EndpointListKind.FAILED, List.of());
                 }
                 for (int i = 0; i < sidecars; i++) {
                     int before = hosts[i].subscribeCalls;
@@ -307,7 +307,7 @@
                         queue.add(i);
                     } else {
                         freeAt += REJECTION_COST;
-                        hosts[i].rules.listChanged(hosts[i].now, ListKind.FAILED, List.of());
+                        hosts[i].policy.endpointListChanged(hosts[i].now, EndpointListKind.FAILED, List.of());
                     }
                 }
                 freeAt = Math.max(freeAt, now);
@@ -316,7 +316,7 @@
                     int served = queue.poll();
                     longest = Math.max(longest, now - brokenAt[served]);
                     brokenAt[served] = NEVER;
-                    hosts[served].rules.listChanged(hosts[served].now, ListKind.DELTA, List.of());
+                    hosts[served].policy.endpointListChanged(hosts[served].now, EndpointListKind.DELTA, List.of());
                     breakTimes.add(new long[] {now + SECOND, served});
                 }
             }
@@ -332,12 +332,12 @@
     @Test
     void openWatchCausesNoCallsAndAnUnansweredOneIsRenewed() {
         for (long askWithin : ASK_WITHIN) {
-            Recorder host = new Recorder(settings(askWithin), 7);
+            RecordingHost host = new RecordingHost(settings(askWithin), 7);
             host.advance(3_999 * MS);
             assertEquals(1, host.subscribeCalls, "the call may still wait");
             host.advance(MS);
             assertEquals(2, host.subscribeCalls, "2 s are left for the wait of the next call");
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of());
+            host.policy.endpointListChanged(host.now, EndpointListKind.DELTA, List.of());
             host.advance(3_600 * SECOND);
             assertEquals(2, host.subscribeCalls);
         }
--- a/src/test/java/pondridge/FleetGoodputTest.java
+++ b/src/test/java/pondridge/FleetGoodputTest.java
@@ -1,7 +1,7 @@
 package pondridge;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.MS;
+import static pondridge.RecordingHost.MS;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.Limits;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.HostCapabilities;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.Balancer.SafetyLimits;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.Weights;
-import pondridge.lab.Bed;
-import pondridge.lab.Scene;
-import pondridge.lab.Scene.Change;
-import pondridge.lab.Scene.Event;
-import pondridge.lab.Tally;
+import pondridge.Balancer.WeightKind;
+import pondridge.lab.Simulation;
+import pondridge.lab.SimulationResult;
+import pondridge.lab.SimulationScenario;
+import pondridge.lab.SimulationScenario.EventType;
+import pondridge.lab.SimulationScenario.TimedEvent;
 
 /**
  * A fleet refuses only the requests that its servers cannot serve, and only for as long as they cannot. Real
@@ -53,8 +53,8 @@
         /** All servers are paused from the start of the run. */
         SERVERS_PAUSED_AT_START;
 
-        List<Change> changes(int sidecarCount, long durationNanos) {
-            List<Change> changes = new ArrayList<>();
+        List<TimedEvent> changes(int sidecarCount, long durationNanos) {
+            List<TimedEvent> changes = new ArrayList<>();
             long startNanos = this == SERVERS_PAUSED_AT_START ? 0 : DISTURBANCE_SECOND * SECOND;
             int pausedServers = this == ONE_SERVER_PAUSED
                     ? 1
@@ -62,17 +62,17 @@
             int pausedSidecars =
                     this == ONE_SIDECAR_PAUSED ? 1 : this == SIDECARS_PAUSED || this == ALL_PAUSED ? sidecarCount : 0;
             if (this == ALL_PAUSED) {
-                changes.add(new Change(startNanos, Event.STILL_CLIENTS, 0, durationNanos));
+                changes.add(new TimedEvent(startNanos, EventType.CLIENTS_PAUSED, 0, durationNanos));
             }
             for (int i = 0; i < pausedServers; i++) {
-                changes.add(new Change(startNanos, Event.STILL_SERVER, i, durationNanos));
+                changes.add(new TimedEvent(startNanos, EventType.SERVER_PAUSED, i, durationNanos));
             }
             for (int i = 0; i < pausedSidecars; i++) {
-                changes.add(new Change(startNanos, Event.STILL_SIDECAR, i, durationNanos));
+                changes.add(new TimedEvent(startNanos, EventType.SIDECAR_PAUSED, i, durationNanos));
             }
             for (int i = 0; this == SERVERS_SLOW && i < SERVERS; i++) {
                 for (long offset = 0; offset < durationNanos; offset += 10 * MS) {
-                    changes.add(new Change(startNanos + offset, Event.STILL_SERVER, i, 10 * MS * 3 / 4));
+                    changes.add(new TimedEvent(startNanos + offset, EventType.SERVER_PAUSED, i, 10 * MS * 3 / 4));
                 }
             }
             return changes;
@@ -81,34 +81,35 @@
 
     private static Settings settings(int replicas) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Semantics semantics : Semantics.values()) {
-            classes.add(new RequestClass(200 * MS, 0, SECOND, 1, 0, semantics, Scope.ALL, 7_500 * MS, false));
+        for (RetrySemantics semantics : RetrySemantics.values()) {
+            classes.add(new RequestClass(200 * MS, 0, SECOND, 1, 0, semantics, KeyScope.ALL, 7_500 * MS, false));
         }
         return new Settings(
                 0,
                 replicas,
                 0,
                 MS,
-                Discovery.AUTOMATIC,
-                Weights.SILENT,
+                DiscoveryMode.AUTOMATIC,
+                WeightKind.SILENT,
                 classes,
                 List.of(),
-                new Allowed(true, false, false, false, true, 6, 750 * MS, 500 * MS),
-                new Limits(20 * MS, 10 * SECOND, 250 * MS, 0.39, 7_400 * MS, 4, 1_500 * MS),
+                new HostCapabilities(true, false, false, false, true, 6, 750 * MS, 500 * MS),
+                new SafetyLimits(20 * MS, 10 * SECOND, 250 * MS, 0.39, 7_400 * MS, 4, 1_500 * MS),
                 List.of(),
-                Balancer.Charges.NONE,
+                Balancer.OverheadCosts.NONE,
                 false,
                 1);
     }
 
     /** Runs the simulation; {@code load} is a fraction of the servers' capacity. */
-    private static Tally simulate(long seed, int sidecars, double load, int queueSlots, List<Change> changes) {
-        Tally tally = Bed.play(new Scene(
+    private static SimulationResult simulate(
+            long seed, int sidecars, double load, int queueSlots, List<TimedEvent> changes) {
+        SimulationResult tally = Simulation.run(new SimulationScenario(
                 seed,
                 settings(sidecars),
                 sidecars,
-                Collections.nCopies(SERVERS, new Scene.Machine(4, queueSlots, false)),
-                new Scene.Arrivals(
+                Collections.nCopies(SERVERS, new SimulationScenario.ServerModel(4, queueSlots, false)),
+                new SimulationScenario.Arrivals(
                         load * CAPACITY_PER_SECOND,
                         true,
                         Collections.nCopies(3, 1 / 3.0),
@@ -129,24 +130,24 @@
                 queueSlots,
                 seed));
         for (int i = 0; i < RUN_SECONDS; i++) {
-            Tally.Second second = tally.second(i);
+            SimulationResult.SecondCounts second = tally.second(i);
             summary.append(String.format(
                     Locale.ROOT,
                     " %d(%d,%d,%d;%d)",
-                    second.inTime,
-                    second.refusedAtOnce,
-                    second.refusedAfterWait,
+                    second.answeredInTime,
+                    second.refusedImmediately,
+                    second.refusedAfterQueueing,
                     second.refusedAfterAttempts,
-                    second.rejected));
+                    second.rejectedByServers));
         }
         System.out.println(summary);
         return tally;
     }
 
-    private static void assertInTime(Tally tally, int second, double requests, double minFraction) {
+    private static void assertInTime(SimulationResult tally, int second, double requests, double minFraction) {
         assertTrue(
-                tally.second(second).inTime >= minFraction * requests,
-                "second " + second + ": " + tally.second(second).inTime + " in time of " + requests);
+                tally.second(second).answeredInTime >= minFraction * requests,
+                "second " + second + ": " + tally.second(second).answeredInTime + " in time of " + requests);
     }
 
     /** Without disturbance nothing is refused, whatever the phase of the arrivals at the sidecars. */
@@ -162,7 +163,7 @@
         "30, 0.8, 40"
     })
     void healthyFleetRefusesNothing(int sidecars, double load, int queueSlots) {
-        Tally tally = simulate(1, sidecars, load, queueSlots, List.of());
+        SimulationResult tally = simulate(1, sidecars, load, queueSlots, List.of());
         for (int i = 0; i < RUN_SECONDS; i++) {
             assertInTime(tally, i, load * CAPACITY_PER_SECOND, 0.95);
         }
@@ -194,7 +195,8 @@
             Disturbance disturbance, long durationMillis, int sidecars, int queueSlots, int recoveredSecond) {
         for (long seed = 1; seed <= 2; seed++) {
             System.out.print(disturbance + " for " + durationMillis + " ms, ");
-            Tally tally = simulate(seed, sidecars, 0.8, queueSlots, disturbance.changes(sidecars, durationMillis * MS));
+            SimulationResult tally =
+                    simulate(seed, sidecars, 0.8, queueSlots, disturbance.changes(sidecars, durationMillis * MS));
             for (int i = recoveredSecond; i < RUN_SECONDS; i++) {
                 assertInTime(tally, i, 0.8 * CAPACITY_PER_SECOND, i < recoveredSecond + 2 ? 0.8 : 0.95);
             }
@@ -219,19 +221,19 @@
         "30, 3, 40, 0.8"
     })
     void overloadRefusesOnlyTheExcess(int sidecars, double load, int queueSlots, double minFraction) {
-        Tally tally = simulate(1, sidecars, load, queueSlots, List.of());
+        SimulationResult tally = simulate(1, sidecars, load, queueSlots, List.of());
         for (int i = 2; i < RUN_SECONDS; i++) {
             assertInTime(tally, i, CAPACITY_PER_SECOND, minFraction);
             assertTrue(
-                    tally.second(i).rejected <= 2 * CAPACITY_PER_SECOND,
-                    tally.second(i).rejected + " rejected by servers");
+                    tally.second(i).rejectedByServers <= 2 * CAPACITY_PER_SECOND,
+                    tally.second(i).rejectedByServers + " rejected by servers");
         }
     }
 
     /** After a minute of 0.9 s responses and 10 s without requests, the old estimate must not block the class. */
     @Test
     void slowClassIsTriedAgainAfterIdleTime() {
-        Recorder host = new Recorder(settings(1), 7).withUpstreams(SERVERS);
+        RecordingHost host = new RecordingHost(settings(1), 7).withUpstreams(SERVERS);
         host.serve(0, 60, 0, 900 * MS);
         host.advance(10 * SECOND);
         int sentBefore = host.sends.size();
--- a/src/test/java/pondridge/LoadBalancingPolicyTest.java
+++ b/src/test/java/pondridge/LoadBalancingPolicyTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.BY_KEY_ANYWHERE;
-import static pondridge.Recorder.BY_KEY_IN_CELL;
-import static pondridge.Recorder.MS;
-import static pondridge.Recorder.ONCE;
-import static pondridge.Recorder.REPEATABLE;
-import static pondridge.Recorder.settings;
-import static pondridge.Recorder.upstream;
+import static pondridge.RecordingHost.BY_KEY_ANYWHERE;
+import static pondridge.RecordingHost.BY_KEY_IN_CELL;
+import static pondridge.RecordingHost.MS;
+import static pondridge.RecordingHost.ONCE;
+import static pondridge.RecordingHost.REPEATABLE;
+import static pondridge.RecordingHost.settings;
+import static pondridge.RecordingHost.upstream;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -25,25 +25,25 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 
 class LoadBalancingPolicyTest {
 
-    private static Recorder host(Balancer.RequestClass... classes) {
-        return new Recorder(settings(classes), 7);
+    private static RecordingHost host(Balancer.RequestClass... classes) {
+        return new RecordingHost(settings(classes), 7);
     }
 
     /** Upstreams of one rotation, with requests served one at a time, so that in-flight counts always tie. */
-    private static List<Long> oneRotation(Recorder host, int length, long firstId) {
+    private static List<Long> oneRotation(RecordingHost host, int length, long firstId) {
         List<Long> order = new ArrayList<>();
         for (int i = 0; i < length; i++) {
             host.request(firstId + i, 0);
-            order.add(host.last().upstream());
+            order.add(host.lastSend().upstream());
             host.advance(MS);
-            host.outcome(host.last(), Outcome.OK);
+            host.outcome(host.lastSend(), Outcome.OK);
         }
         return order;
     }
@@ -52,7 +52,7 @@
 
     @Test
     void rotationIsCyclicAndEvenWhileCountsTie() {
-        Recorder host = host(REPEATABLE).withUpstreams(5);
+        RecordingHost host = host(REPEATABLE).withUpstreams(5);
         List<Long> first = oneRotation(host, 5, 0);
         assertEquals(5, new HashSet<>(first).size());
         assertEquals(first, oneRotation(host, 5, 5));
@@ -63,7 +63,7 @@
     void everyPermutationIsAboutEquallyLikely() {
         Map<List<Long>, Integer> seen = new HashMap<>();
         for (int seed = 0; seed < 6_000; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(3);
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(3);
             seen.merge(oneRotation(host, 3, 0), 1, Integer::sum);
         }
         assertEquals(6, seen.size());
@@ -73,25 +73,25 @@
 
     @Test
     void lessBusyOfCurrentAndNextIsPicked() {
-        Recorder host = host(REPEATABLE).withUpstreams(3);
+        RecordingHost host = host(REPEATABLE).withUpstreams(3);
         List<Long> order = oneRotation(host, 3, 0);
         host.request(10, 0);
-        assertEquals(order.get(0), host.last().upstream());
+        assertEquals(order.get(0), host.lastSend().upstream());
         host.request(11, 0);
         host.request(12, 0);
-        assertEquals(order.get(2), host.last().upstream());
+        assertEquals(order.get(2), host.lastSend().upstream());
         host.outcome(host.sendsOf(11).get(0), Outcome.OK);
         host.request(13, 0);
-        assertEquals(order.get(1), host.last().upstream(), "the current entry has one in flight, the next none");
+        assertEquals(order.get(1), host.lastSend().upstream(), "the current entry has one in flight, the next none");
     }
 
     @Test
     void reshufflesOnlyWhenTheReadySetChanges() {
-        Recorder host = host(REPEATABLE).withUpstreams(8);
+        RecordingHost host = host(REPEATABLE).withUpstreams(8);
         List<Long> before = oneRotation(host, 8, 0);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(3)));
+        host.policy.endpointListChanged(host.now, EndpointListKind.DELTA, List.of(upstream(3)));
         assertEquals(before, oneRotation(host, 8, 20));
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(3, State.GONE, 0)));
+        host.policy.endpointListChanged(host.now, EndpointListKind.DELTA, List.of(upstream(3, UpstreamState.GONE, 0)));
         List<Long> after = oneRotation(host, 7, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
@@ -100,7 +100,7 @@
 
     @Test
     void requestIsRefusedAtOnceWithoutReadyUpstreams() {
-        Recorder host = host(ONCE).withUpstreams(0);
+        RecordingHost host = host(ONCE).withUpstreams(0);
         host.request(1, 0);
         assertEquals(List.of("refuse 1"), host.finalResponses);
     }
@@ -109,7 +109,7 @@
     void sameEventsProduceSameActions() {
         List<List<String>> logs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Recorder host = host(REPEATABLE, ONCE).withUpstreams(6);
+            RecordingHost host = host(REPEATABLE, ONCE).withUpstreams(6);
             host.serve(0, 60, 0, 3 * MS);
             for (int i = 100; i < 160; i++) {
                 host.request(i, i % 2);
@@ -123,19 +123,19 @@
 
     /** Requests sent to a fast and a slow upstream of two kinds, given their response times. */
     private static List<Long> turnsOfTwoKinds(long fast, long slow) {
-        Recorder host = host(REPEATABLE);
-        host.rules.listChanged(
+        RecordingHost host = host(REPEATABLE);
+        host.policy.endpointListChanged(
                 host.now,
-                ListKind.CACHED,
+                EndpointListKind.CACHED,
                 List.of(
-                        new Balancer.Upstream(0, 0, 0, 0, State.READY, 1, 0),
-                        new Balancer.Upstream(1, 0, 1, 0, State.READY, 1, 0)));
+                        new Balancer.Upstream(0, 0, 0, 0, UpstreamState.READY, 1, 0),
+                        new Balancer.Upstream(1, 0, 1, 0, UpstreamState.READY, 1, 0)));
         for (int i = 0; i < 200; i++) {
             host.request(i, 0);
-            host.advance(host.last().upstream() == 0 ? fast : slow);
-            host.outcome(host.last(), Outcome.OK);
+            host.advance(host.lastSend().upstream() == 0 ? fast : slow);
+            host.outcome(host.lastSend(), Outcome.OK);
         }
-        return List.of(host.sentTo(0, 100), host.sentTo(1, 100));
+        return List.of(host.countSendsTo(0, 100), host.countSendsTo(1, 100));
     }
 
     @Test
@@ -149,18 +149,18 @@
 
     @Test
     void earlyTimerDoesNotLoseRequests() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.request(1, 0);
-        Recorder.Timer timer = host.timers.poll();
+        RecordingHost.Timer timer = host.timers.poll();
         host.now = timer.at() - 30;
-        host.rules.timer(host.now, timer.token());
+        host.policy.timerFired(host.now, timer.token());
         host.advance(2_000 * MS);
         assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
     @Test
     void queuedRequestsGetResponsesBeforeTheirDeadline() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 50, 0);
         host.advance(1_000 * MS);
         assertEquals(50, new HashSet<>(host.finalResponses).size());
@@ -169,7 +169,7 @@
 
     @Test
     void requestWithoutTimeLeftIsRefusedAtOnce() {
-        Recorder host = host(ONCE).withUpstreams(3);
+        RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0, 0);
         assertEquals(List.of("refuse 1"), host.finalResponses);
         assertTrue(host.sends.isEmpty());
@@ -177,9 +177,9 @@
 
     @Test
     void timeoutAtTheDeadlineFailsOnce() {
-        Recorder host = host(ONCE).withUpstreams(3);
+        RecordingHost host = host(ONCE).withUpstreams(3);
         host.request(1, 0);
-        Recorder.SentAttempt sent = host.last();
+        RecordingHost.SentAttempt sent = host.lastSend();
         host.now += 1_000 * MS;
         host.outcome(sent, Outcome.TIMEOUT);
         host.advance(100 * MS);
@@ -194,11 +194,11 @@
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Recorder host = host(ONCE).withUpstreams(4);
+            RecordingHost host = host(ONCE).withUpstreams(4);
             host.request(1, 0);
-            host.outcome(host.last(), outcome);
-            assertEquals(outcome.provesNeverRan() ? 2 : 1, host.sends.size(), outcome.toString());
-            if (!outcome.provesNeverRan()) {
+            host.outcome(host.lastSend(), outcome);
+            assertEquals(outcome.provesNotExecuted() ? 2 : 1, host.sends.size(), outcome.toString());
+            if (!outcome.provesNotExecuted()) {
                 assertEquals(List.of("fail 1"), host.finalResponses);
             }
         }
@@ -206,33 +206,33 @@
 
     @Test
     void keyedRetryStaysInItsCellAndWithinTheKeyTtl() {
-        Recorder host = host(BY_KEY_IN_CELL).withUpstreams(9);
+        RecordingHost host = host(BY_KEY_IN_CELL).withUpstreams(9);
         host.request(1, 0);
-        long cell = host.last().upstream() / 3;
-        host.outcome(host.last(), Outcome.ERROR);
+        long cell = host.lastSend().upstream() / 3;
+        host.outcome(host.lastSend(), Outcome.ERROR);
         assertEquals(2, host.sends.size());
-        assertEquals(cell, host.last().upstream() / 3);
+        assertEquals(cell, host.lastSend().upstream() / 3);
         host.now += 699 * MS;
-        host.outcome(host.last(), Outcome.ERROR);
+        host.outcome(host.lastSend(), Outcome.ERROR);
         assertEquals(2, host.sends.size(), "the key is about to expire");
         assertEquals(List.of("fail 1"), host.finalResponses);
     }
 
     @Test
     void keyedWithScopeAllMayBeRefusedAfterPossibleExecution() {
-        Recorder host = host(BY_KEY_ANYWHERE).withUpstreams(1);
+        RecordingHost host = host(BY_KEY_ANYWHERE).withUpstreams(1);
         host.request(1, 0);
-        host.outcome(host.last(), Outcome.RESET);
+        host.outcome(host.lastSend(), Outcome.RESET);
         host.advance(1_000 * MS);
         assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
     @Test
     void tryLimitIsKept() {
-        Recorder host = host(REPEATABLE).withUpstreams(9);
+        RecordingHost host = host(REPEATABLE).withUpstreams(9);
         host.request(1, 0);
         for (int i = 0; i < 5 && host.finalResponses.isEmpty(); i++) {
-            host.outcome(host.last(), Outcome.REJECTED);
+            host.outcome(host.lastSend(), Outcome.REJECTED);
         }
         assertEquals(3, host.sends.size());
         assertEquals(List.of("refuse 1"), host.finalResponses);
@@ -242,24 +242,25 @@
 
     @Test
     void drainingAndMissingUpstreamsGetNoNewRequests() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(2, State.DRAINING, 0)));
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
+        host.policy.endpointListChanged(
+                host.now, EndpointListKind.DELTA, List.of(upstream(2, UpstreamState.DRAINING, 0)));
         assertFalse(oneRotation(host, 12, 0).contains(2L));
-        host.rules.listChanged(host.now, ListKind.FULL, List.of(upstream(0), upstream(1)));
+        host.policy.endpointListChanged(host.now, EndpointListKind.FULL, List.of(upstream(0), upstream(1)));
         assertEquals(Set.of(0L, 1L), new HashSet<>(oneRotation(host, 12, 20)));
     }
 
     @Test
     void failedSubscriptionKeepsTheListAndIsRetriedAtTheCallInterval() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        RecordingHost host = new RecordingHost(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
         assertEquals(1, host.subscribeCalls);
         for (int i = 0; i < 8; i++) {
             long failedAt = host.now;
-            host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+            host.policy.endpointListChanged(host.now, EndpointListKind.FAILED, List.of());
             host.advance(599 * MS);
             assertEquals(i + 1, host.subscribeCalls, "at least 0.6 s after the previous call");
             while (host.subscribeCalls == i + 1) {
-                host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+                host.policy.endpointListChanged(host.now, EndpointListKind.FAILED, List.of());
                 host.advance(MS);
             }
             assertTrue(host.now - failedAt <= 1_200 * MS, "also after eight failures and repeated failure events");
@@ -270,7 +271,7 @@
 
     @Test
     void subscriptionWithoutResponseIsRepeated() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        RecordingHost host = new RecordingHost(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
         host.advance(6_000 * MS);
         assertEquals(2, host.subscribeCalls);
     }
@@ -279,12 +280,13 @@
 
     @Test
     void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 2_000, 0, 5 * MS);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+        host.policy.endpointListChanged(
+                host.now, EndpointListKind.DELTA, List.of(upstream(9, UpstreamState.READY, host.now)));
         int before = host.sends.size();
         host.serve(5_000, 5_300, 0, 5 * MS);
-        long cold = host.sentTo(9, before);
+        long cold = host.countSendsTo(9, before);
         // 1.5 s at 200 requests per second over 4 warm servers: 75 each; the cold share is 0.3 and has hardly grown.
         assertTrue(cold > 5 && cold < 40, "requests sent to the cold upstream: " + cold);
     }
@@ -294,13 +296,14 @@
         int cold = 0;
         int warm = 0;
         for (int seed = 0; seed < 100; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(4);
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(4);
             host.serve(0, 20, 0, 500 * MS);
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+            host.policy.endpointListChanged(
+                    host.now, EndpointListKind.DELTA, List.of(upstream(9, UpstreamState.READY, host.now)));
             int before = host.sends.size();
             host.serve(100, 105, 0, 300 * MS);
-            cold += (int) host.sentTo(9, before);
-            warm += 5 - (int) host.sentTo(9, before);
+            cold += (int) host.countSendsTo(9, before);
+            warm += 5 - (int) host.countSendsTo(9, before);
         }
         // A warm upstream gets about 120; the cold share of 0.3 grows to 0.4 in these 1.5 s.
         assertTrue(cold > 5 && cold < 0.5 * warm / 4, "cold upstream: " + cold + ", warm ones: " + warm);
@@ -309,10 +312,11 @@
     @Test
     void sidecarWithoutObservationsSendsNothingToColdUpstreams() {
         for (int seed = 0; seed < 20; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(2);
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(2);
+            host.policy.endpointListChanged(
+                    host.now, EndpointListKind.DELTA, List.of(upstream(9, UpstreamState.READY, host.now)));
             host.burst(0, 3, 0);
-            assertEquals(0, host.sentTo(9, 0));
+            assertEquals(0, host.countSendsTo(9, 0));
         }
     }
 
@@ -320,39 +324,39 @@
 
     @Test
     void unresponsiveUpstreamLosesItsTurns() {
-        Recorder host = host(ONCE, REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
         host.serve(0, 40, 0, 20 * MS);
         int before = host.sends.size();
         for (int i = 100; i < 160; i++) {
             host.request(i, 0);
-            Recorder.SentAttempt sent = host.last();
+            RecordingHost.SentAttempt sent = host.lastSend();
             host.advance(20 * MS);
             if (sent.upstream() != 2) {
                 host.outcome(sent, Outcome.OK);
             }
         }
-        long wasted = host.sentTo(2, before);
+        long wasted = host.countSendsTo(2, before);
         assertTrue(wasted <= 4, "unresponsive upstream got " + wasted + " of 60");
     }
 
     @Test
     void fastErrorsDoNotAttractRequests() {
-        Recorder host = host(ONCE, REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(ONCE, REPEATABLE).withUpstreams(4);
         host.serve(0, 40, 0, 20 * MS);
         int before = host.sends.size();
         for (int i = 100; i < 200; i++) {
             host.request(i, 0);
-            Recorder.SentAttempt sent = host.last();
+            RecordingHost.SentAttempt sent = host.lastSend();
             host.advance(sent.upstream() == 2 ? MS : 20 * MS);
             host.outcome(sent, sent.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
         }
-        long wasted = host.sentTo(2, before);
+        long wasted = host.countSendsTo(2, before);
         assertTrue(wasted <= 8, "failing upstream got " + wasted + " of 100, a third of an equal share");
     }
 
     @Test
     void commonSlownessExcludesNoUpstream() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 200, 0, 20 * MS);
         host.serve(1_000, 1_100, 0, 80 * MS);
         int before = host.sends.size();
@@ -365,10 +369,10 @@
 
     @Test
     void unreachableUpstreamsAreTriedIfAllAreUnreachable() {
-        Recorder host = host(REPEATABLE).withUpstreams(2);
+        RecordingHost host = host(REPEATABLE).withUpstreams(2);
         for (int i = 0; i < 4; i++) {
             host.request(i, 0);
-            host.outcome(host.last(), Outcome.CONNECT_FAILED);
+            host.outcome(host.lastSend(), Outcome.CONNECT_FAILED);
         }
         int before = host.sends.size();
         host.request(10, 0);
@@ -377,7 +381,7 @@
 
     @Test
     void missingResponseCausesNoSecondAttempt() {
-        Recorder host = host(REPEATABLE).withUpstreams(4);
+        RecordingHost host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 80, 0, 20 * MS);
         host.request(100, 0);
         host.advance(300 * MS);
@@ -386,15 +390,15 @@
 
     // ---------------------------------------------------------------- probes before a send
 
-    private static Recorder probingHost(int replicas) {
-        return new Recorder(Recorder.probingSettings(replicas, REPEATABLE), 7).withUpstreams(10);
+    private static RecordingHost probingHost(int replicas) {
+        return new RecordingHost(RecordingHost.probingSettings(replicas, REPEATABLE), 7).withUpstreams(10);
     }
 
     /**
      * Responds to every probe so far. Each upstream reports {@code inFlight} requests; the probe at index
      * {@code idle} reports none.
      */
-    private static void respondToProbes(Recorder host, float inFlight, int idle) {
+    private static void respondToProbes(RecordingHost host, float inFlight, int idle) {
         List<Long> probed = host.actions.stream()
                 .filter(line -> line.startsWith("probe "))
                 .map(line -> Long.parseLong(line.substring(6)))
@@ -402,25 +406,25 @@
         host.actions.clear();
         host.now += MS;
         for (int i = 0; i < probed.size(); i++) {
-            host.rules.probeResult(host.now, probed.get(i), Outcome.OK, MS, new float[] {0, i == idle ? 0 : inFlight});
+            host.policy.probeEnded(host.now, probed.get(i), Outcome.OK, MS, new float[] {0, i == idle ? 0 : inFlight});
         }
     }
 
     @Test
     void busyUpstreamsAreSkippedWhereProbesAreCheap() {
-        Recorder host = probingHost(100);
+        RecordingHost host = probingHost(100);
         host.request(1, 0);
         assertTrue(host.sends.isEmpty(), "it probes first");
         List<String> probed =
                 host.actions.stream().filter(line -> line.startsWith("probe ")).toList();
         assertEquals(5, probed.size());
         respondToProbes(host, 3, 2);
-        assertEquals(probed.get(2), "probe " + host.last().upstream());
+        assertEquals(probed.get(2), "probe " + host.lastSend().upstream());
     }
 
     @Test
     void requestProceedsIfNoProbeIsAnswered() {
-        Recorder host = probingHost(100);
+        RecordingHost host = probingHost(100);
         host.request(1, 0);
         host.advance(30 * MS);
         assertEquals(1, host.sends.size());
@@ -428,12 +432,12 @@
 
     @Test
     void requestIsRefusedAtOnceIfAllProbedUpstreamsAreFull() {
-        Recorder host = probingHost(100);
+        RecordingHost host = probingHost(100);
         for (int i = 0; i < 40; i++) {
             host.request(i, 0);
             respondToProbes(host, 0, 0);
             host.advance(100 * MS);
-            host.outcome(host.last(), Outcome.OK);
+            host.outcome(host.lastSend(), Outcome.OK);
         }
         host.request(100, 0);
         respondToProbes(host, 9, -1);
@@ -442,20 +446,20 @@
 
     @Test
     void attemptTimesOutAtItsSloOnlyWhereUpstreamsAreProbed() {
-        Recorder host = probingHost(100);
+        RecordingHost host = probingHost(100);
         host.request(1, 0);
         respondToProbes(host, 0, 0);
         assertEquals(
-                List.of("send 1 " + host.last().upstream() + " " + 499 * MS),
+                List.of("send 1 " + host.lastSend().upstream() + " " + 499 * MS),
                 host.actions.stream().filter(line -> line.startsWith("send")).toList());
         host = probingHost(3);
         host.request(1, 0);
-        assertTrue(host.actions.contains("send 1 " + host.last().upstream() + " 0"));
+        assertTrue(host.actions.contains("send 1 " + host.lastSend().upstream() + " 0"));
     }
 
     @Test
     void fewSidecarsDoNotProbe() {
-        Recorder host = probingHost(3);
+        RecordingHost host = probingHost(3);
         host.request(1, 0);
         assertEquals(1, host.sends.size());
         assertFalse(host.actions.stream().anyMatch(line -> line.startsWith("probe ")));
@@ -467,7 +471,7 @@
      * Runs rounds of 200 ms with one request of each class and returns the refused fraction of each class in
      * rounds from..to. Responses carry the given load report and take {@code responseTime}.
      */
-    private static double[] refusedFractions(Recorder host, int from, int to, long responseTime, float... load) {
+    private static double[] refusedFractions(RecordingHost host, int from, int to, long responseTime, float... load) {
         int[] sent = new int[2];
         for (int round = from; round < to; round++) {
             for (int requestClass = 0; requestClass < 2; requestClass++) {
@@ -475,7 +479,7 @@
                 host.advance(responseTime);
                 if (!host.sendsOf(2L * round + requestClass).isEmpty()) {
                     sent[requestClass]++;
-                    host.outcome(host.last(), Outcome.OK, load);
+                    host.outcome(host.lastSend(), Outcome.OK, load);
                 }
                 host.advance(100 * MS - responseTime);
             }
@@ -486,7 +490,7 @@
     /** Reported queues cause low-value requests to be shed before responses are late, and only while queues last. */
     @Test
     void manySidecarsShedByWorthWhileAllServersHaveQueues() {
-        Recorder host = new Recorder(Recorder.queueReportingSettings(100), 7).withUpstreams(20);
+        RecordingHost host = new RecordingHost(RecordingHost.queueReportingSettings(100), 7).withUpstreams(20);
         assertEquals(0, refusedFractions(host, 0, 50, 20 * MS, 5, 0)[0], "idle");
         double[] full = refusedFractions(host, 50, 250, 20 * MS, 5, 3);
         assertTrue(full[0] > 0.8, "low-worth class: " + full[0]);
@@ -495,14 +499,14 @@
         double[] after = refusedFractions(host, 265, 300, 20 * MS, 5, 0);
         assertEquals(0, after[0] + after[1], "six SLOs later");
         assertEquals(0, refusedFractions(host, 300, 320, 20 * MS, 5, Float.NaN)[0], "an invalid report is ignored");
-        Recorder few = new Recorder(Recorder.queueReportingSettings(15), 7).withUpstreams(20);
+        RecordingHost few = new RecordingHost(RecordingHost.queueReportingSettings(15), 7).withUpstreams(20);
         assertEquals(0, refusedFractions(few, 0, 200, 20 * MS, 5, 3)[0], "few sidecars use lateness only");
     }
 
     /** If reports stop during an overload, the last one must not cause shedding forever. */
     @Test
     void fleetLoadExpiresWhenReportsStop() {
-        Recorder host = new Recorder(Recorder.queueReportingSettings(100), 7).withUpstreams(20);
+        RecordingHost host = new RecordingHost(RecordingHost.queueReportingSettings(100), 7).withUpstreams(20);
         assertTrue(refusedFractions(host, 0, 100, 20 * MS, 5, 3)[0] > 0.7, "all have queues");
         refusedFractions(host, 100, 140, 20 * MS);
         double[] after = refusedFractions(host, 140, 170, 20 * MS);
@@ -518,7 +522,7 @@
     @Test
     void sheddingSidecarSendsTrialRequests() {
         for (int seed = 0; seed < 20; seed++) {
-            Recorder host = new Recorder(Recorder.queueReportingSettings(100), seed).withUpstreams(20);
+            RecordingHost host = new RecordingHost(RecordingHost.queueReportingSettings(100), seed).withUpstreams(20);
             refusedFractions(host, 0, 200, 20 * MS, 5, 3);
             int before = host.sends.size();
             for (int i = 0; i < 8; i++) {
@@ -532,12 +536,13 @@
     /** Where queues are reported, late responses alone cause no shedding: they show a past overload. */
     @Test
     void pastOverloadShedsNothing() {
-        Recorder host = new Recorder(Recorder.queueReportingSettings(100), 7).withUpstreams(20);
+        RecordingHost host = new RecordingHost(RecordingHost.queueReportingSettings(100), 7).withUpstreams(20);
         assertEquals(0, refusedFractions(host, 0, 60, 99 * MS, 5, 0)[0]);
         for (int i = 0; i < 40; i++) {
             host.request(1_000 + i, 1);
         }
-        List<Recorder.SentAttempt> out = List.copyOf(host.sends.subList(host.sends.size() - 40, host.sends.size()));
+        List<RecordingHost.SentAttempt> out =
+                List.copyOf(host.sends.subList(host.sends.size() - 40, host.sends.size()));
         host.advance(900 * MS);
         out.forEach(sent -> host.outcome(sent, Outcome.OK, 5, 0));
         double[] after = refusedFractions(host, 1_000, 1_020, 20 * MS, 5, 0);
@@ -550,12 +555,12 @@
      */
     @Test
     void neverSentAttemptsCauseNoShedding() {
-        Recorder host = new Recorder(settings(REPEATABLE), 7).withUpstreams(40);
+        RecordingHost host = new RecordingHost(settings(REPEATABLE), 7).withUpstreams(40);
         for (int i = 0; i < 20; i++) {
             host.request(i, 0);
-            Recorder.SentAttempt sent = host.last();
-            host.rules.hangup(host.now, i);
-            host.rules.outcome(
+            RecordingHost.SentAttempt sent = host.lastSend();
+            host.policy.clientDisconnected(host.now, i);
+            host.policy.attemptEnded(
                     host.now, i, sent.attempt(), sent.upstream(), Outcome.NEVER_SENT, 10 * MS, true, new float[0]);
         }
         host.finalResponses.clear();
@@ -569,15 +574,16 @@
     void markedRetriesAreShedMoreReadilyThanFirstTries() {
         int[] sent = new int[2];
         for (int seed = 0; seed < 100; seed++) {
-            Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(40);
+            RecordingHost host = new RecordingHost(settings(REPEATABLE), seed).withUpstreams(40);
             for (int i = 0; i < 8; i++) {
                 host.request(i, 0);
-                Recorder.SentAttempt last = host.last();
+                RecordingHost.SentAttempt last = host.lastSend();
                 host.advance(i % 2 == 0 ? 10 * MS : 600 * MS);
                 host.outcome(last, Outcome.OK);
             }
             int before = host.sends.size();
-            host.rules.request(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, seed % 2 == 1, false));
+            host.policy.requestArrived(
+                    host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, seed % 2 == 1, false));
             sent[seed % 2] += host.sends.size() - before;
         }
         assertTrue(sent[0] > 15 && sent[1] < sent[0] / 2, "first tries " + sent[0] + ", retries " + sent[1]);
@@ -585,7 +591,7 @@
 
     @Test
     void lateResponsesCauseSheddingAndAFewOnTimeEndIt() {
-        Recorder host = host(REPEATABLE).withUpstreams(40);
+        RecordingHost host = host(REPEATABLE).withUpstreams(40);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0);
             host.advance(100 * MS);
@@ -603,7 +609,7 @@
 
     @Test
     void queuedRequestsAreSentNewestFirst() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
         int sent = host.sends.size();
         assertTrue(sent < 6, "some are queued");
@@ -618,7 +624,7 @@
      */
     @Test
     void firstTriesAreRecognizedAgainAmongLaterOnes() {
-        Recorder host = host(REPEATABLE).withUpstreams(5);
+        RecordingHost host = host(REPEATABLE).withUpstreams(5);
         long id = 0;
         for (int i = 0; i < 10; i++) {
             sendAndRespond(host, id++, 950 * MS);
@@ -634,22 +640,22 @@
     }
 
     /** Sends one request, responds after 1 ms if it was sent on, and returns whether it was. */
-    private static boolean sendAndRespond(Recorder host, long id, long timeLeft) {
+    private static boolean sendAndRespond(RecordingHost host, long id, long timeLeft) {
         host.request(id, 0, timeLeft);
         boolean sent = !host.sendsOf(id).isEmpty();
         host.advance(MS);
         if (sent) {
-            host.outcome(host.last(), Outcome.OK);
+            host.outcome(host.lastSend(), Outcome.OK);
         }
         return sent;
     }
 
     @Test
     void hopelessLaterTriesAreRefusedAtOnceUnderLoad() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         host.burst(0, 6, 0);
         int sent = host.sends.size();
-        host.rules.hangup(host.now, 5);
+        host.policy.clientDisconnected(host.now, 5);
         host.advance(600 * MS);
         int answered = host.finalResponses.size();
         host.request(50, 0, 400 * MS);
@@ -663,7 +669,7 @@
     /** Little time left and no earlier try here: a first try, started only if most such requests are on time. */
     @Test
     void firstTryWithShortTimeoutIsServedIfItCanBeOnTime() {
-        Recorder host = host(REPEATABLE).withUpstreams(10);
+        RecordingHost host = host(REPEATABLE).withUpstreams(10);
         host.serve(0, 100, 0, 60 * MS);
         host.request(200, 0, 80 * MS);
         assertEquals("refuse 200", host.finalResponses.get(host.finalResponses.size() - 1), "60 ms are expected");
@@ -671,13 +677,13 @@
         host.request(201, 0, 150 * MS);
         assertEquals(sent + 1, host.sends.size(), "it can be on time");
         host.advance(145 * MS);
-        host.rules.hangup(host.now, 201);
+        host.policy.clientDisconnected(host.now, 201);
         host.advance(5 * MS);
         host.request(202, 0, 850 * MS);
         assertEquals(sent + 2, host.sends.size(), "a later try of it, with 350 ms of its SLO left");
         host.request(203, 0, 150 * MS);
         host.advance(840 * MS);
-        host.rules.hangup(host.now, 203);
+        host.policy.clientDisconnected(host.now, 203);
         host.advance(10 * MS);
         host.request(204, 0, 150 * MS);
         assertEquals(
@@ -689,7 +695,7 @@
     /** If all client timeouts are short, past slowness or missing observations must not exclude requests for good. */
     @Test
     void pastSlownessIsForgottenWhereAllTimeoutsAreShort() {
-        Recorder host = host(REPEATABLE).withUpstreams(10);
+        RecordingHost host = host(REPEATABLE).withUpstreams(10);
         int[] sent = new int[3];
         for (int i = 0; i < 900; i++) {
             int phase = i / 300;
@@ -699,7 +705,7 @@
             if (host.sends.size() > before) {
                 sent[phase]++;
                 host.advance(responseTime);
-                host.outcome(host.last(), Outcome.OK);
+                host.outcome(host.lastSend(), Outcome.OK);
             } else {
                 host.advance(20 * MS);
             }
@@ -711,7 +717,7 @@
 
     @Test
     void firstTriesWithLessTimeThanLaterOnesCountAsFirst() {
-        Recorder host = host(ONCE).withUpstreams(1);
+        RecordingHost host = host(ONCE).withUpstreams(1);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
         }
@@ -723,29 +729,29 @@
     @Test
     void tenantWithLowestQuotaUsageGoesFirst() {
         Balancer.Settings base = settings(ONCE);
-        Recorder host = new Recorder(
+        RecordingHost host = new RecordingHost(
                         new Balancer.Settings(
                                 0,
                                 1,
                                 0,
                                 5 * MS,
-                                Discovery.AUTOMATIC,
-                                Balancer.Weights.SILENT,
+                                DiscoveryMode.AUTOMATIC,
+                                Balancer.WeightKind.SILENT,
                                 base.classes(),
                                 List.of(new Balancer.Tenant(0.5, 10), new Balancer.Tenant(0.5, 10)),
-                                base.allowed(),
-                                base.limits(),
+                                base.capabilities(),
+                                base.safetyLimits(),
                                 List.of(),
-                                Balancer.Charges.NONE,
+                                Balancer.OverheadCosts.NONE,
                                 false,
                                 0.1),
                         7)
                 .withUpstreams(1);
         for (int i = 0; i < 4; i++) {
-            host.rules.request(host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
+            host.policy.requestArrived(host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
         }
-        host.rules.request(host.now, new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
-        host.rules.request(host.now, new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
+        host.policy.requestArrived(host.now, new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
+        host.policy.requestArrived(host.now, new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
         int out = host.sends.size();
         host.advance(10 * MS);
         host.outcome(host.sends.get(0), Outcome.OK);
@@ -757,11 +763,11 @@
 
     @Test
     void unhealthyUpstreamIsTriedAgainWithOnceRequestsOnly() {
-        Recorder host = host(ONCE).withUpstreams(2);
+        RecordingHost host = host(ONCE).withUpstreams(2);
         host.serve(0, 40, 0, 20 * MS);
         for (int i = 100; i < 1_200; i++) {
             host.request(i, 0);
-            Recorder.SentAttempt sent = host.last();
+            RecordingHost.SentAttempt sent = host.lastSend();
             host.advance(20 * MS);
             host.outcome(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
         }
@@ -776,20 +782,20 @@
     @Test
     void invalidSettingsAreNamed() {
         IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
+                assertThrows(IllegalArgumentException.class, () -> new Balancer.SafetyLimits(0, 0, 0, 1.5, 0, 3, 0));
         assertTrue(e.getMessage().contains("cold share"));
         assertThrows(IllegalArgumentException.class, () -> settings());
     }
 
     @Test
     void eventsAboutUnknownRequestsAreIgnored() {
-        Recorder host = host(REPEATABLE).withUpstreams(2);
+        RecordingHost host = host(REPEATABLE).withUpstreams(2);
         int before = host.actions.size();
-        host.rules.hangup(host.now, 99);
-        host.rules.outcome(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
-        host.rules.firstByte(host.now, 99, 0, 1, 0);
-        host.rules.timer(host.now, 12345);
-        host.rules.peerMessage(host.now, 1, new byte[] {1});
+        host.policy.clientDisconnected(host.now, 99);
+        host.policy.attemptEnded(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
+        host.policy.firstByteReceived(host.now, 99, 0, 1, 0);
+        host.policy.timerFired(host.now, 12345);
+        host.policy.peerMessageReceived(host.now, 1, new byte[] {1});
         assertEquals(before, host.actions.size());
     }
 
@@ -803,34 +809,34 @@
      */
     @Test
     void peerReportsApplyOnlyWithoutRecentOwnResponses() {
-        Recorder host = host(REPEATABLE).withUpstreams(3);
-        host.rules.peerMessage(host.now, 0, peerReport(1, 500));
-        host.serve(0, 20, 0, 5 * Recorder.MS);
-        assertEquals(0, host.sentTo(1, 0), "reported slow, with no own response yet");
-        host.advance(4_500 * Recorder.MS);
+        RecordingHost host = host(REPEATABLE).withUpstreams(3);
+        host.policy.peerMessageReceived(host.now, 0, peerReport(1, 500));
+        host.serve(0, 20, 0, 5 * RecordingHost.MS);
+        assertEquals(0, host.countSendsTo(1, 0), "reported slow, with no own response yet");
+        host.advance(4_500 * RecordingHost.MS);
         int before = host.sends.size();
-        host.serve(20, 40, 0, 5 * Recorder.MS);
-        assertTrue(host.sentTo(1, before) > 0, "tried, and found healthy");
-        host.rules.peerMessage(host.now, 0, peerReport(1, 500));
+        host.serve(20, 40, 0, 5 * RecordingHost.MS);
+        assertTrue(host.countSendsTo(1, before) > 0, "tried, and found healthy");
+        host.policy.peerMessageReceived(host.now, 0, peerReport(1, 500));
         before = host.sends.size();
-        host.serve(40, 60, 0, 5 * Recorder.MS);
-        assertTrue(host.sentTo(1, before) > 3, "just observed as healthy: " + host.sentTo(1, before));
+        host.serve(40, 60, 0, 5 * RecordingHost.MS);
+        assertTrue(host.countSendsTo(1, before) > 3, "just observed as healthy: " + host.countSendsTo(1, before));
     }
 
     /** Reports with invalid values or unknown servers, and truncated ones, change nothing. */
     @Test
     void invalidPeerReportsAreIgnored() {
-        Recorder host = host(REPEATABLE).withUpstreams(3);
+        RecordingHost host = host(REPEATABLE).withUpstreams(3);
         for (double invalid : new double[] {Double.NaN, -5, 0, 1, 1e30, Double.POSITIVE_INFINITY}) {
             for (long upstream = 0; upstream < 3; upstream++) {
-                host.rules.peerMessage(host.now, 0, peerReport(upstream, invalid));
+                host.policy.peerMessageReceived(host.now, 0, peerReport(upstream, invalid));
             }
         }
-        host.rules.peerMessage(host.now, 0, peerReport(99, 500));
-        host.rules.peerMessage(host.now, 0, new byte[] {0, 0, 0, 0, 0, 0, 0, 1, 0x44});
-        host.serve(0, 30, 0, 5 * Recorder.MS);
+        host.policy.peerMessageReceived(host.now, 0, peerReport(99, 500));
+        host.policy.peerMessageReceived(host.now, 0, new byte[] {0, 0, 0, 0, 0, 0, 0, 1, 0x44});
+        host.serve(0, 30, 0, 5 * RecordingHost.MS);
         for (long upstream = 0; upstream < 3; upstream++) {
-            assertEquals(10, host.sentTo(upstream, 0), "equal turns for each, upstream " + upstream);
+            assertEquals(10, host.countSendsTo(upstream, 0), "equal turns for each, upstream " + upstream);
         }
     }
 
@@ -838,21 +844,22 @@
      * Sends one request per 10 ms to three warm upstreams and a cold one, and returns how many the cold one gets
      * within the time.
      */
-    private static long countSendsToColdUpstream(Recorder host, long millis) {
+    private static long countSendsToColdUpstream(RecordingHost host, long millis) {
         int before = host.sends.size();
         for (long id = host.now; millis > 0; millis -= 10, id++) {
             host.request(id, 0);
-            Recorder.SentAttempt sent = host.last();
-            host.advance(10 * Recorder.MS);
+            RecordingHost.SentAttempt sent = host.lastSend();
+            host.advance(10 * RecordingHost.MS);
             host.outcome(sent, Outcome.OK);
         }
-        return host.sentTo(9, before);
+        return host.countSendsTo(9, before);
     }
 
-    private static Recorder hostWithColdUpstream() {
-        Recorder host = host(REPEATABLE).withUpstreams(3);
-        host.serve(0, 300, 0, 10 * Recorder.MS);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(Recorder.upstream(9, State.READY, host.now)));
+    private static RecordingHost hostWithColdUpstream() {
+        RecordingHost host = host(REPEATABLE).withUpstreams(3);
+        host.serve(0, 300, 0, 10 * RecordingHost.MS);
+        host.policy.endpointListChanged(
+                host.now, EndpointListKind.DELTA, List.of(RecordingHost.upstream(9, UpstreamState.READY, host.now)));
         return host;
     }
 
@@ -868,29 +875,29 @@
     @Test
     void coldUpstreamGetsItsLeasedPermitsAndNoneAfterExpiry() {
         long own = countSendsToColdUpstream(hostWithColdUpstream(), 1_000);
-        Recorder host = hostWithColdUpstream();
-        host.rules.peerMessage(host.now, Balancer.LEASES, lease(9, 0, 1_000));
+        RecordingHost host = hostWithColdUpstream();
+        host.policy.peerMessageReceived(host.now, Balancer.COLD_START_LEASES, lease(9, 0, 1_000));
         assertEquals(0, countSendsToColdUpstream(host, 1_000), "a lease of no permits");
         assertTrue(countSendsToColdUpstream(host, 1_000) > 0, "its own budget again");
         host = hostWithColdUpstream();
-        host.rules.peerMessage(host.now, Balancer.LEASES, lease(9, 20, 1_000));
+        host.policy.peerMessageReceived(host.now, Balancer.COLD_START_LEASES, lease(9, 20, 1_000));
         long leased = countSendsToColdUpstream(host, 1_000);
         assertTrue(
                 leased > own && leased >= 15 && leased <= 20, own + " of its own budget, " + leased + " of 20 leased");
         // A pause of 3 s right after a lease of 1,000 permits for one second: as without the lease.
         host = hostWithColdUpstream();
-        Recorder other = hostWithColdUpstream();
-        host.rules.peerMessage(host.now, Balancer.LEASES, lease(9, 1_000, 1_000));
-        host.advance(3_000 * Recorder.MS);
-        other.advance(3_000 * Recorder.MS);
+        RecordingHost other = hostWithColdUpstream();
+        host.policy.peerMessageReceived(host.now, Balancer.COLD_START_LEASES, lease(9, 1_000, 1_000));
+        host.advance(3_000 * RecordingHost.MS);
+        other.advance(3_000 * RecordingHost.MS);
         assertEquals(countSendsToColdUpstream(other, 1_000), countSendsToColdUpstream(host, 1_000));
         host = hostWithColdUpstream();
         for (double invalid : new double[] {Double.NaN, -1, 1e30, Double.POSITIVE_INFINITY}) {
-            host.rules.peerMessage(host.now, Balancer.LEASES, lease(9, invalid, 1_000));
+            host.policy.peerMessageReceived(host.now, Balancer.COLD_START_LEASES, lease(9, invalid, 1_000));
         }
-        host.rules.peerMessage(host.now, Balancer.LEASES, lease(9, 100, -5));
-        host.rules.peerMessage(host.now, Balancer.LEASES, lease(9, 100, Integer.MAX_VALUE));
-        host.rules.peerMessage(host.now, Balancer.LEASES, lease(99, 100, 1_000));
+        host.policy.peerMessageReceived(host.now, Balancer.COLD_START_LEASES, lease(9, 100, -5));
+        host.policy.peerMessageReceived(host.now, Balancer.COLD_START_LEASES, lease(9, 100, Integer.MAX_VALUE));
+        host.policy.peerMessageReceived(host.now, Balancer.COLD_START_LEASES, lease(99, 100, 1_000));
         assertEquals(own, countSendsToColdUpstream(host, 1_000));
     }
 
--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.MS;
+import static pondridge.RecordingHost.MS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,29 +13,29 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
-import pondridge.Balancer.State;
+import pondridge.Balancer.RetrySemantics;
 import pondridge.Balancer.Upstream;
+import pondridge.Balancer.UpstreamState;
 
 /** Checks the actions on long random sequences of valid events against an independent record of each request. */
 class RandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
     private static final List<RequestClass> CLASSES = List.of(
-            Recorder.REPEATABLE,
-            Recorder.ONCE,
-            Recorder.BY_KEY_IN_CELL,
-            Recorder.BY_KEY_ANYWHERE,
-            Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
+            RecordingHost.REPEATABLE,
+            RecordingHost.ONCE,
+            RecordingHost.BY_KEY_IN_CELL,
+            RecordingHost.BY_KEY_ANYWHERE,
+            RecordingHost.requestClass(RetrySemantics.BY_KEY, KeyScope.ZONE));
 
     private static final class RequestRecord {
         final RequestClass requestClass;
         final long deadline;
-        final List<Recorder.SentAttempt> attempts = new ArrayList<>();
+        final List<RecordingHost.SentAttempt> attempts = new ArrayList<>();
         final Map<Integer, Outcome> outcomes = new HashMap<>();
         int finalResponses;
 
@@ -46,17 +46,17 @@
 
         boolean mayHaveRun(int attempt) {
             Outcome outcome = outcomes.get(attempt);
-            return outcome == null || !outcome.provesNeverRan();
+            return outcome == null || !outcome.provesNotExecuted();
         }
     }
 
     private final Map<Long, RequestRecord> requestRecords = new HashMap<>();
-    private final Map<Long, State> states = new HashMap<>();
+    private final Map<Long, UpstreamState> states = new HashMap<>();
     private final Set<Integer> checkedSends = new HashSet<>();
     private final List<Long> pendingProbes = new ArrayList<>();
     private int probeCount;
     private int actionsChecked;
-    private Recorder host;
+    private RecordingHost host;
 
     /** Checks each action since the last event. */
     private void checkActions() {
@@ -65,7 +65,7 @@
             String[] action = host.actions.get(actionsChecked).split(" ");
             switch (action[0]) {
                 case "send" -> {
-                    Recorder.SentAttempt sent = host.sends.get(sendsSeen);
+                    RecordingHost.SentAttempt sent = host.sends.get(sendsSeen);
                     checkedSends.add(sendsSeen++);
                     checkSend(sent);
                 }
@@ -79,24 +79,24 @@
         }
     }
 
-    private void checkSend(Recorder.SentAttempt sent) {
+    private void checkSend(RecordingHost.SentAttempt sent) {
         RequestRecord record = requestRecords.get(sent.request());
         assertEquals(0, record.finalResponses, "sent after its final response: " + sent);
-        assertEquals(State.READY, states.get(sent.upstream()), "upstream not ready: " + sent);
+        assertEquals(UpstreamState.READY, states.get(sent.upstream()), "upstream not ready: " + sent);
         assertTrue(record.attempts.size() < 3, "try limit: " + sent);
-        Recorder.SentAttempt uncertain = null;
-        for (Recorder.SentAttempt earlier : record.attempts) {
+        RecordingHost.SentAttempt uncertain = null;
+        for (RecordingHost.SentAttempt earlier : record.attempts) {
             if (uncertain == null && record.mayHaveRun(earlier.attempt())) {
                 uncertain = earlier;
             }
         }
         if (uncertain != null) {
-            assertTrue(record.requestClass.semantics() != Semantics.ONCE, "once sent twice: " + sent);
-            if (record.requestClass.semantics() == Semantics.BY_KEY) {
-                assertTrue(sent.at() < uncertain.at() + record.requestClass.keyTtl(), "key expired: " + sent);
+            assertTrue(record.requestClass.retrySemantics() != RetrySemantics.ONCE, "once sent twice: " + sent);
+            if (record.requestClass.retrySemantics() == RetrySemantics.BY_KEY) {
+                assertTrue(sent.at() < uncertain.at() + record.requestClass.keyTtlNanos(), "key expired: " + sent);
                 long a = uncertain.upstream();
                 long b = sent.upstream();
-                switch (record.requestClass.scope()) {
+                switch (record.requestClass.keyScope()) {
                     case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
                     case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
                     default -> {}
@@ -112,15 +112,16 @@
         assertTrue(host.now <= record.deadline + SLACK, "late final response: " + id);
         boolean mayHaveRun = record.attempts.stream().anyMatch(s -> record.mayHaveRun(s.attempt()));
         boolean retrySafe = !mayHaveRun
-                || record.requestClass.semantics() == Semantics.REPEATABLE
-                || record.requestClass.semantics() == Semantics.BY_KEY && record.requestClass.scope() == Scope.ALL;
+                || record.requestClass.retrySemantics() == RetrySemantics.REPEATABLE
+                || record.requestClass.retrySemantics() == RetrySemantics.BY_KEY
+                        && record.requestClass.keyScope() == KeyScope.ALL;
         assertTrue(response.equals("fail") || retrySafe, "refused, but it may have run: " + id);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void invariantsHold(long seed) {
-        run(seed, Recorder.settings(CLASSES.toArray(new RequestClass[0])));
+        run(seed, RecordingHost.settings(CLASSES.toArray(new RequestClass[0])));
         assertTrue(pendingProbes.isEmpty(), "no probe is allowed");
     }
 
@@ -128,7 +129,7 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18})
     void invariantsHoldWithProbesBeforeASend(long seed) {
-        run(seed, Recorder.probingSettings(500, CLASSES.toArray(new RequestClass[0])));
+        run(seed, RecordingHost.probingSettings(500, CLASSES.toArray(new RequestClass[0])));
         assertTrue(probeCount > 100, "too few probes: " + probeCount);
     }
 
@@ -138,7 +139,7 @@
             if (random.nextInt(20) > 0) {
                 Outcome outcome = random.nextInt(10) > 0 ? Outcome.OK : Outcome.TIMEOUT;
                 float[] load = random.nextInt(20) == 0 ? new float[0] : new float[] {0, random.nextInt(4)};
-                host.rules.probeResult(host.now, upstream, outcome, MS, load);
+                host.policy.probeEnded(host.now, upstream, outcome, MS, load);
                 checkActions();
             }
         }
@@ -146,15 +147,15 @@
 
     private void run(long seed, Balancer.Settings settings) {
         Random random = new Random(seed);
-        host = new Recorder(settings, seed);
+        host = new RecordingHost(settings, seed);
         int upstreams = 1 + random.nextInt(12);
         List<Upstream> first = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
-            first.add(Recorder.upstream(i));
-            states.put((long) i, State.READY);
+            first.add(RecordingHost.upstream(i));
+            states.put((long) i, UpstreamState.READY);
         }
-        host.rules.listChanged(host.now, ListKind.CACHED, first);
-        List<Recorder.SentAttempt> outstanding = new ArrayList<>();
+        host.policy.endpointListChanged(host.now, EndpointListKind.CACHED, first);
+        List<RecordingHost.SentAttempt> outstanding = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
         for (int step = 0; step < 10_000; step++) {
@@ -172,7 +173,7 @@
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
                 if (requestRecords.get(id).finalResponses == 0) {
                     requestRecords.get(id).finalResponses++;
-                    host.rules.hangup(host.now, id);
+                    host.policy.clientDisconnected(host.now, id);
                 }
             } else {
                 tick(random.nextInt(8));
@@ -184,7 +185,7 @@
             }
             for (int i = outstanding.size() - 1; i >= 0; i--) {
                 if (host.now >= requestRecords.get(outstanding.get(i).request()).deadline) {
-                    Recorder.SentAttempt sent = outstanding.remove(i);
+                    RecordingHost.SentAttempt sent = outstanding.remove(i);
                     finish(sent, Outcome.TIMEOUT);
                 }
             }
@@ -205,19 +206,19 @@
         }
     }
 
-    private void end(Recorder.SentAttempt sent, Random random) {
+    private void end(RecordingHost.SentAttempt sent, Random random) {
         int draw = random.nextInt(10);
         finish(sent, draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
     }
 
-    private void finish(Recorder.SentAttempt sent, Outcome outcome) {
+    private void finish(RecordingHost.SentAttempt sent, Outcome outcome) {
         RequestRecord record = requestRecords.get(sent.request());
         boolean alreadyEnded = record.finalResponses > 0;
         record.outcomes.put(sent.attempt(), outcome);
         if (outcome == Outcome.OK && !alreadyEnded) {
             record.finalResponses++;
         }
-        host.rules.outcome(
+        host.policy.attemptEnded(
                 host.now,
                 sent.request(),
                 sent.attempt(),
@@ -231,10 +232,11 @@
 
     private void change(Random random, int upstreams) {
         long id = random.nextInt(upstreams);
-        State state = State.values()[random.nextInt(3)];
-        long startedAt = state == State.READY && states.get(id) == State.GONE ? host.now - 100 * MS : 0;
+        UpstreamState state = UpstreamState.values()[random.nextInt(3)];
+        long startedAt = state == UpstreamState.READY && states.get(id) == UpstreamState.GONE ? host.now - 100 * MS : 0;
         states.put(id, state);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
+        host.policy.endpointListChanged(
+                host.now, EndpointListKind.DELTA, List.of(RecordingHost.upstream(id, state, startedAt)));
         checkActions();
     }
 }
--- a/src/test/java/pondridge/Recorder.java
+++ b/src/test/java/pondridge/RecordingHost.java
@@ -4,28 +4,28 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import pondridge.Balancer.Actions;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.HostCapabilities;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.Balancer.SafetyLimits;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Tenant;
 import pondridge.Balancer.Upstream;
-import pondridge.Balancer.Weights;
+import pondridge.Balancer.UpstreamState;
+import pondridge.Balancer.WeightKind;
 
 /** A host for tests: keeps the clock, fires timers and records the actions of the balancer. */
-final class Recorder implements Actions {
+final class RecordingHost implements Actions {
     static final long MS = 1_000_000;
-    static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, Scope.ALL);
-    static final RequestClass ONCE = requestClass(Semantics.ONCE, Scope.ALL);
-    static final RequestClass BY_KEY_IN_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
-    static final RequestClass BY_KEY_ANYWHERE = requestClass(Semantics.BY_KEY, Scope.ALL);
+    static final RequestClass REPEATABLE = requestClass(RetrySemantics.REPEATABLE, KeyScope.ALL);
+    static final RequestClass ONCE = requestClass(RetrySemantics.ONCE, KeyScope.ALL);
+    static final RequestClass BY_KEY_IN_CELL = requestClass(RetrySemantics.BY_KEY, KeyScope.CELL);
+    static final RequestClass BY_KEY_ANYWHERE = requestClass(RetrySemantics.BY_KEY, KeyScope.ALL);
 
     record SentAttempt(long request, int attempt, long upstream, long at) {}
 
@@ -35,37 +35,37 @@
     final List<SentAttempt> sends = new ArrayList<>();
     final List<String> finalResponses = new ArrayList<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    final Rules rules;
+    final LoadBalancingPolicy policy;
     long now = 1_000 * MS;
     int subscribeCalls;
 
-    Recorder(Settings settings, long seed) {
-        rules = new Rules(settings, seed, this);
-        rules.start(now);
+    RecordingHost(Settings settings, long seed) {
+        policy = new LoadBalancingPolicy(settings, seed, this);
+        policy.start(now);
     }
 
-    static RequestClass requestClass(Semantics semantics, Scope scope) {
+    static RequestClass requestClass(RetrySemantics semantics, KeyScope scope) {
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
     }
 
     static Settings settings(RequestClass... classes) {
-        return settings(Discovery.AUTOMATIC, classes);
+        return settings(DiscoveryMode.AUTOMATIC, classes);
     }
 
-    static Settings settings(Discovery discovery, RequestClass... classes) {
+    static Settings settings(DiscoveryMode discovery, RequestClass... classes) {
         return new Settings(
                 0,
                 3,
                 0,
                 5 * MS,
                 discovery,
-                Weights.SILENT,
+                WeightKind.SILENT,
                 List.of(classes),
                 List.<Tenant>of(),
-                new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
-                new Limits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
+                new HostCapabilities(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
+                new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
                 List.of(),
-                Balancer.Charges.NONE,
+                Balancer.OverheadCosts.NONE,
                 false,
                 1);
     }
@@ -78,14 +78,14 @@
                 replicas,
                 0,
                 MS,
-                Discovery.AUTOMATIC,
-                Weights.SILENT,
+                DiscoveryMode.AUTOMATIC,
+                WeightKind.SILENT,
                 base.classes(),
                 List.of(),
-                new Allowed(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
-                base.limits(),
+                new HostCapabilities(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
+                base.safetyLimits(),
                 List.of("q", "rif"),
-                new Balancer.Charges(0.002, 0),
+                new Balancer.OverheadCosts(0.002, 0),
                 false,
                 1);
     }
@@ -98,37 +98,37 @@
                 replicas,
                 0,
                 MS,
-                Discovery.AUTOMATIC,
-                Weights.SILENT,
+                DiscoveryMode.AUTOMATIC,
+                WeightKind.SILENT,
                 base.classes(),
                 List.of(),
-                base.allowed(),
-                base.limits(),
+                base.capabilities(),
+                base.safetyLimits(),
                 List.of("rate", "q"),
-                Balancer.Charges.NONE,
+                Balancer.OverheadCosts.NONE,
                 false,
                 1);
     }
 
     private static RequestClass classWithWorth(double worth) {
-        return new RequestClass(500 * MS, 0, 1_000 * MS, worth, 0, Semantics.REPEATABLE, Scope.ALL, 0, false);
+        return new RequestClass(500 * MS, 0, 1_000 * MS, worth, 0, RetrySemantics.REPEATABLE, KeyScope.ALL, 0, false);
     }
 
     static Upstream upstream(long id) {
-        return upstream(id, State.READY, 0);
+        return upstream(id, UpstreamState.READY, 0);
     }
 
-    static Upstream upstream(long id, State state, long startedAt) {
+    static Upstream upstream(long id, UpstreamState state, long startedAt) {
         return new Upstream(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
     /** Lists upstreams 0 to count - 1 as ready and started long ago. */
-    Recorder withUpstreams(int count) {
+    RecordingHost withUpstreams(int count) {
         List<Upstream> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(upstream(i));
         }
-        rules.listChanged(now, ListKind.CACHED, list);
+        policy.endpointListChanged(now, EndpointListKind.CACHED, list);
         return this;
     }
 
@@ -137,11 +137,11 @@
     }
 
     void request(long id, int requestClass, long timeLeft) {
-        rules.request(now, new Request(id, requestClass, 0, 0, timeLeft, 0, false, false));
+        policy.requestArrived(now, new Request(id, requestClass, 0, 0, timeLeft, 0, false, false));
     }
 
     void outcome(SentAttempt sent, Outcome outcome, float... load) {
-        rules.outcome(
+        policy.attemptEnded(
                 now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at, outcome == Outcome.OK, load);
     }
 
@@ -151,7 +151,7 @@
         while (!timers.isEmpty() && timers.peek().at <= end) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
-            rules.timer(now, timer.token);
+            policy.timerFired(now, timer.token);
         }
         now = end;
     }
@@ -160,7 +160,7 @@
     void serve(long from, long to, int requestClass, long responseTime) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
-            SentAttempt sent = last();
+            SentAttempt sent = lastSend();
             advance(responseTime);
             outcome(sent, Outcome.OK);
         }
@@ -174,11 +174,11 @@
     }
 
     /** Number of attempts sent to an upstream, without the first {@code since} sends. */
-    long sentTo(long upstream, int since) {
+    long countSendsTo(long upstream, int since) {
         return sends.stream().skip(since).filter(s -> s.upstream == upstream).count();
     }
 
-    SentAttempt last() {
+    SentAttempt lastSend() {
         return sends.get(sends.size() - 1);
     }
 
@@ -205,12 +205,12 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void timer(long token, long at) {
+    public void setTimer(long token, long at) {
         actions.add("timer " + token + " " + at);
         timers.add(new Timer(at, token));
     }
@@ -221,12 +221,12 @@
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         actions.add("close " + upstream);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         actions.add("tell " + peer);
     }
 
@@ -236,13 +236,13 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void setSubscription(boolean on) {
         actions.add("subscribe " + on);
         subscribeCalls++;
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         actions.add("fetch");
     }
 }
--- a/src/test/java/pondridge/UnusualSettingsTest.java
+++ b/src/test/java/pondridge/UnusualSettingsTest.java
@@ -2,43 +2,43 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pondridge.Recorder.MS;
+import static pondridge.RecordingHost.MS;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.HostCapabilities;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Outcome;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.Balancer.SafetyLimits;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
-import pondridge.Balancer.Weights;
+import pondridge.Balancer.UpstreamState;
+import pondridge.Balancer.WeightKind;
 
 /** Settings that differ from the three deployments: minimal hosts, single servers, large and emptied lists. */
 class UnusualSettingsTest {
 
     /** A host that allows nothing but sending, with the given try limit. */
-    private static Recorder minimalHost(int tryLimit, RequestClass... classes) {
-        Allowed allowed = new Allowed(false, false, false, false, false, tryLimit, 0, 0);
-        Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
-        return new Recorder(
+    private static RecordingHost minimalHost(int tryLimit, RequestClass... classes) {
+        HostCapabilities allowed = new HostCapabilities(false, false, false, false, false, tryLimit, 0, 0);
+        SafetyLimits limits = new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
+        return new RecordingHost(
                 new Settings(
                         0,
                         1,
                         0,
                         0,
-                        Discovery.AUTOMATIC,
-                        Weights.SILENT,
+                        DiscoveryMode.AUTOMATIC,
+                        WeightKind.SILENT,
                         List.of(classes),
                         List.of(),
                         allowed,
                         limits,
                         List.of(),
-                        Balancer.Charges.NONE,
+                        Balancer.OverheadCosts.NONE,
                         true,
                         0),
                 5);
@@ -46,45 +46,46 @@
 
     @Test
     void singleServerTakesAllRequestsAndIsTriedAgainAfterFailure() {
-        Recorder host = minimalHost(3, Recorder.ONCE).withUpstreams(1);
+        RecordingHost host = minimalHost(3, RecordingHost.ONCE).withUpstreams(1);
         host.serve(0, 50, 0, 10 * MS);
         assertEquals(50, host.sends.size());
         host.request(100, 0);
-        host.outcome(host.last(), Outcome.CONNECT_FAILED);
+        host.outcome(host.lastSend(), Outcome.CONNECT_FAILED);
         assertEquals(List.of("refuse 100"), host.finalResponses, "no other server, and it never ran");
         host.advance(2_000 * MS);
         host.request(101, 0);
-        assertEquals(101, host.last().request());
+        assertEquals(101, host.lastSend().request());
     }
 
     @Test
     void everyOneOfManyServersGetsItsTurn() {
-        Recorder host = minimalHost(3, Recorder.REPEATABLE).withUpstreams(500);
+        RecordingHost host = minimalHost(3, RecordingHost.REPEATABLE).withUpstreams(500);
         host.serve(0, 500, 0, MS);
         assertEquals(
                 500,
                 host.sends.stream()
-                        .mapToLong(Recorder.SentAttempt::upstream)
+                        .mapToLong(RecordingHost.SentAttempt::upstream)
                         .distinct()
                         .count());
     }
 
     @Test
     void tryLimitOfOneAllowsNoRetry() {
-        Recorder host = minimalHost(1, Recorder.REPEATABLE).withUpstreams(3);
+        RecordingHost host = minimalHost(1, RecordingHost.REPEATABLE).withUpstreams(3);
         host.request(1, 0);
-        host.outcome(host.last(), Outcome.REJECTED);
+        host.outcome(host.lastSend(), Outcome.REJECTED);
         assertEquals(1, host.sends.size());
         assertEquals(List.of("refuse 1"), host.finalResponses);
     }
 
     @Test
     void disallowedActionsAreNeverRequested() {
-        Recorder host = minimalHost(3, Recorder.REPEATABLE, Recorder.ONCE).withUpstreams(2);
+        RecordingHost host =
+                minimalHost(3, RecordingHost.REPEATABLE, RecordingHost.ONCE).withUpstreams(2);
         for (int i = 0; i < 40; i++) {
             host.request(i, i % 2);
         }
-        host.rules.hangup(host.now, host.last().request());
+        host.policy.clientDisconnected(host.now, host.lastSend().request());
         host.advance(3_000 * MS);
         assertTrue(host.actions.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")), "disallowed action");
         assertTrue(host.actions.stream().anyMatch(l -> l.startsWith("refuse")));
@@ -93,41 +94,42 @@
 
     @Test
     void emptiedListCanBeRefilled() {
-        Recorder host = minimalHost(3, Recorder.REPEATABLE).withUpstreams(4);
+        RecordingHost host = minimalHost(3, RecordingHost.REPEATABLE).withUpstreams(4);
         host.serve(0, 20, 0, 10 * MS);
-        host.rules.listChanged(host.now, ListKind.FULL, List.of());
+        host.policy.endpointListChanged(host.now, EndpointListKind.FULL, List.of());
         host.request(100, 0);
         assertEquals(List.of("refuse 100"), host.finalResponses, "no ready upstream");
         host.withUpstreams(4);
         host.request(101, 0);
-        assertEquals(101, host.last().request());
+        assertEquals(101, host.lastSend().request());
     }
 
     @Test
     void loadReportsDoNotAffectThePick() {
-        Recorder one = minimalHost(3, Recorder.REPEATABLE).withUpstreams(5);
-        Recorder other = minimalHost(3, Recorder.REPEATABLE).withUpstreams(5);
+        RecordingHost one = minimalHost(3, RecordingHost.REPEATABLE).withUpstreams(5);
+        RecordingHost other = minimalHost(3, RecordingHost.REPEATABLE).withUpstreams(5);
         for (int i = 0; i < 30; i++) {
             one.request(i, 0);
             other.request(i, 0);
             one.advance(MS);
             other.advance(MS);
-            Recorder.SentAttempt sent = one.last();
-            one.rules.outcome(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
+            RecordingHost.SentAttempt sent = one.lastSend();
+            one.policy.attemptEnded(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
             float[] report = {9, -1, 7e9f};
-            other.rules.outcome(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
+            other.policy.attemptEnded(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
         }
         assertEquals(one.actions, other.actions);
     }
 
     @Test
     void startedStreamIsNeitherResentNorEndedAtTheDeadline() {
-        RequestClass stream = new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
-        Recorder host = new Recorder(Recorder.settings(stream), 3).withUpstreams(3);
+        RequestClass stream =
+                new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, RetrySemantics.REPEATABLE, KeyScope.ALL, 0, true);
+        RecordingHost host = new RecordingHost(RecordingHost.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
-        Recorder.SentAttempt sent = host.last();
+        RecordingHost.SentAttempt sent = host.lastSend();
         host.advance(100 * MS);
-        host.rules.firstByte(host.now, 1, 0, sent.upstream(), 100 * MS);
+        host.policy.firstByteReceived(host.now, 1, 0, sent.upstream(), 100 * MS);
         host.advance(2_000 * MS);
         assertEquals(List.of(), host.finalResponses);
         host.outcome(sent, Outcome.RESET);
@@ -138,20 +140,22 @@
     @Test
     void onceIsNeverResentAfterPossibleExecution() {
         for (Outcome outcome : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
-            Recorder host = minimalHost(3, Recorder.ONCE).withUpstreams(6);
+            RecordingHost host = minimalHost(3, RecordingHost.ONCE).withUpstreams(6);
             host.request(outcome.ordinal(), 0);
-            host.outcome(host.last(), outcome);
+            host.outcome(host.lastSend(), outcome);
             assertEquals(1, host.sendsOf(outcome.ordinal()).size(), outcome.name());
         }
     }
 
     @Test
     void noRequestIsSentIfAllServersDrain() {
-        Recorder host = minimalHost(3, Recorder.REPEATABLE).withUpstreams(2);
-        host.rules.listChanged(
+        RecordingHost host = minimalHost(3, RecordingHost.REPEATABLE).withUpstreams(2);
+        host.policy.endpointListChanged(
                 host.now,
-                ListKind.DELTA,
-                List.of(Recorder.upstream(0, State.DRAINING, 0), Recorder.upstream(1, State.DRAINING, 0)));
+                EndpointListKind.DELTA,
+                List.of(
+                        RecordingHost.upstream(0, UpstreamState.DRAINING, 0),
+                        RecordingHost.upstream(1, UpstreamState.DRAINING, 0)));
         host.request(1, 0);
         assertEquals(0, host.sends.size());
         assertEquals(List.of("refuse 1"), host.finalResponses);
--- a/src/test/java/pondridge/adapter/AdapterProtocolTest.java
+++ b/src/test/java/pondridge/adapter/AdapterProtocolTest.java
@@ -13,9 +13,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Actions;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
 import pondridge.Balancer.Settings;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 
 /** Frame layouts, error messages and settings of the adapter, run in process. */
 class AdapterProtocolTest {
@@ -218,10 +218,10 @@
 
     @Test
     void settingsAreReadAndErrorsNameTheSetting() {
-        Settings settings = new Options(OPTIONS).settings();
-        assertEquals(Semantics.ONCE, settings.classes().get(0).semantics());
-        assertEquals(2.5, settings.classes().get(0).worth());
-        assertEquals(2, settings.reportFields().size());
+        Settings settings = new BalancerOptions(OPTIONS).settings();
+        assertEquals(RetrySemantics.ONCE, settings.classes().get(0).retrySemantics());
+        assertEquals(2.5, settings.classes().get(0).utility());
+        assertEquals(2, settings.loadReportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
         assertFails(
                 "setting missing: rules.rampTime",
@@ -246,12 +246,12 @@
         Actions actions = replyWriter.actionsOf(2);
         actions.refuse(1, 5);
         actions.fail(1);
-        actions.cancel(1, 3);
+        actions.cancelAttempt(1, 3);
         actions.probe(0x0000_0001_0050L);
-        actions.closeIdle(1);
-        actions.tell(Actions.ALL_PEERS, new byte[] {9});
+        actions.closeIdleConnections(1);
+        actions.sendToPeer(Actions.ALL_PEERS, new byte[] {9});
         actions.log("hi");
-        actions.fetchList();
+        actions.fetchEndpointList();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         replyWriter.writeTo(out);
         ByteBuffer in = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
--- a/src/test/java/pondridge/bench/GatewayBench.java
+++ b/src/test/java/pondridge/bench/GatewayBench.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import pondridge.Balancer.State;
-import pondridge.demo.Sites;
-import pondridge.demo.Usual;
-import pondridge.gateway.AnswerTable;
+import pondridge.Balancer.UpstreamState;
+import pondridge.demo.SiteTestbed;
+import pondridge.demo.StandinOptions;
+import pondridge.gateway.IdempotencyCacheFootprint;
 import pondridge.rig.Fleet;
-import pondridge.standin.EffectLedger.Tally;
-import pondridge.standin.EffectLedger.Verdict;
-import pondridge.standin.OpenLoad;
+import pondridge.standin.ExecutionLedger.Tally;
+import pondridge.standin.ExecutionLedger.Verdict;
+import pondridge.standin.OpenLoopLoadGenerator;
 
 /**
  * Cuts a site off from its servers for some seconds: with a gateway to another site, without one, and with all
@@ -32,20 +32,20 @@
     private static final Map<String, Double> WORTH =
             Map.of("stock-check", 1.0, "stock-hold", 3.0, "order-confirm", 10.0, "order-book", 10.0);
 
-    private static Sites sites(int servers, long delay, String... names) throws Exception {
-        return new Sites(
-                new Sites.Shape(List.of(names), servers, 1, 5 * MS, delay, delay / 4, ""),
-                Usual.options(CLIENT_TIMEOUT_MS),
+    private static SiteTestbed sites(int servers, long delay, String... names) throws Exception {
+        return new SiteTestbed(
+                new SiteTestbed.TestbedConfig(List.of(names), servers, 1, 5 * MS, delay, delay / 4, ""),
+                StandinOptions.withDeadline(CLIENT_TIMEOUT_MS),
                 1,
                 site -> "security = \"plain\"\n");
     }
 
     /** The worth requested and the worth served so far. */
-    private static double[] worth(Sites sites) {
+    private static double[] worth(SiteTestbed sites) {
         double[] sum = new double[2];
         WORTH.forEach((kind, worth) -> {
             Tally tally = sites.ledger().tally(kind);
-            sum[0] += worth * tally.asked();
+            sum[0] += worth * tally.requests();
             sum[1] += worth * tally.served();
         });
         return sum;
@@ -56,17 +56,17 @@
     }
 
     /** Measures the share of the requested worth that is served while half of the servers of both sites are cut off. */
-    private static double measureCut(String variant, Sites sites, double rate, int cutServers) throws Exception {
+    private static double measureCut(String variant, SiteTestbed sites, double rate, int cutServers) throws Exception {
         try (sites) {
-            OpenLoad load = sites.load("a", 1);
+            OpenLoopLoadGenerator load = sites.load("a", 1);
             int requests = (int) (rate * (BEFORE_CUT_MS + CUT_MS + AFTER_CUT_MS) / 1_000);
             CompletableFuture<Void> done = load.start(Fleet.plan(requests, rate, CLIENT_TIMEOUT_MS, CLASS_SHARES));
             awaitAtMost(done, BEFORE_CUT_MS);
             double[] before = worth(sites);
-            sites.site("a").cut(true, cutServers);
+            sites.site("a").cutServers(true, cutServers);
             awaitAtMost(done, CUT_MS);
             double[] after = worth(sites);
-            sites.site("a").cut(false, cutServers);
+            sites.site("a").cutServers(false, cutServers);
             long healed = System.nanoTime();
             long crossed = sites.site("a").count("crossed");
             long recovered = 0;
@@ -88,32 +88,32 @@
                     verdict.failed(),
                     crossed,
                     recovered / MS,
-                    verdict.doubled(),
+                    verdict.duplicateEffects(),
                     verdict.late(),
-                    verdict.clean());
+                    verdict.passed());
             return share;
         }
     }
 
     /** Measures the latency that the link adds beyond its own delay, and the CPU time of both gateways. */
     private static void measureCrossSite(long delayMs) throws Exception {
-        try (Sites sites = sites(SERVERS, delayMs * MS, "a", "b")) {
+        try (SiteTestbed sites = sites(SERVERS, delayMs * MS, "a", "b")) {
             Histogram[] latency = new Histogram[2];
             double[] cpu = new double[4];
             for (int i = 0; i < 2; i++) {
                 if (i == 1) {
-                    sites.site("a").list(State.DRAINING);
+                    sites.site("a").publishState(UpstreamState.DRAINING);
                 }
                 // Warm-up load, not counted.
                 sites.load("a", 10 + i)
                         .start(Fleet.plan(3 * RATE, RATE, CLIENT_TIMEOUT_MS, CLASS_SHARES))
                         .join();
                 double[] before = {sites.site("a").cpuNanos(), sites.site("b").cpuNanos()};
-                OpenLoad load = sites.load("a", 20 + i);
+                OpenLoopLoadGenerator load = sites.load("a", 20 + i);
                 load.start(Fleet.plan(8 * RATE, RATE, CLIENT_TIMEOUT_MS, CLASS_SHARES))
                         .join();
                 latency[i] = new Histogram(60_000_000_000L, 3);
-                load.served().values().forEach(latency[i]::add);
+                load.latencies().values().forEach(latency[i]::add);
                 cpu[2 * i] = (sites.site("a").cpuNanos() - before[0]) / (8e3 * RATE);
                 cpu[2 * i + 1] = (sites.site("b").cpuNanos() - before[1]) / (8e3 * RATE);
             }
@@ -140,7 +140,7 @@
         double without = measureCut("without", sites(SERVERS, 0, "a"), RATE, SERVERS);
         double with = measureCut("with", sites(SERVERS, 20 * MS, "a", "b"), RATE, SERVERS);
         System.out.printf("bench gateway: with_to_ideal=%.3f without_to_ideal=%.3f%n", with / ideal, without / ideal);
-        long full = AnswerTable.heap(20_000, 800);
+        long full = IdempotencyCacheFootprint.measureHeapBytes(20_000, 800);
         System.out.printf(
                 "bench gateway: way=answers answers=20000 answer_bytes=16000000 heap_mb=%.1f "
                         + "heap_to_answer_bytes=%.2f%n",
--- a/src/test/java/pondridge/bench/GatewaySoak.java
+++ b/src/test/java/pondridge/bench/GatewaySoak.java
@@ -4,14 +4,14 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import pondridge.Balancer.State;
-import pondridge.demo.Sites;
-import pondridge.demo.Usual;
+import pondridge.Balancer.UpstreamState;
+import pondridge.demo.SiteTestbed;
+import pondridge.demo.StandinOptions;
 import pondridge.rig.Fleet;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger.Verdict;
 import pondridge.standin.FaultyLink;
 import pondridge.standin.FaultyLink.Condition;
-import pondridge.standin.FaultyLink.Way;
+import pondridge.standin.FaultyLink.Direction;
 
 /**
  * Runs two sites under load and injects random faults one after the other: links stall, lose one direction or
@@ -34,16 +34,16 @@
                     "bench gateway-soak: seed=%d asked=%d served=%d refused=%d failed=%d "
                             + "dropped=%d doubled=%d late=%d unanswered=%d clean=%s%n",
                     seed,
-                    verdict.asked(),
+                    verdict.requests(),
                     verdict.served(),
                     verdict.refused(),
                     verdict.failed(),
-                    verdict.dropped(),
-                    verdict.doubled(),
+                    verdict.droppedRepeats(),
+                    verdict.duplicateEffects(),
                     verdict.late(),
                     verdict.unanswered(),
-                    verdict.clean());
-            if (!verdict.clean()) {
+                    verdict.passed());
+            if (!verdict.passed()) {
                 throw new IllegalStateException("seed " + seed + ": " + verdict);
             }
         }
@@ -51,18 +51,18 @@
 
     private static Verdict runRound(Random random, long seed) throws Exception {
         long delay = (5 + random.nextInt(75)) * MS;
-        try (Sites sites = new Sites(
-                new Sites.Shape(List.of("a", "b"), 4, 2, 10 * MS, delay, delay / 4, ""),
-                Usual.options(CLIENT_TIMEOUT_MS),
+        try (SiteTestbed sites = new SiteTestbed(
+                new SiteTestbed.TestbedConfig(List.of("a", "b"), 4, 2, 10 * MS, delay, delay / 4, ""),
+                StandinOptions.withDeadline(CLIENT_TIMEOUT_MS),
                 seed,
                 site -> "security = \"plain\"\n")) {
             CompletableFuture<Void> load = CompletableFuture.allOf(
-                    sites.load("a", seed).start(Fleet.mixed(REQUESTS, RATE, CLIENT_TIMEOUT_MS)),
-                    sites.load("b", seed).start(Fleet.mixed(REQUESTS, RATE, CLIENT_TIMEOUT_MS)));
+                    sites.load("a", seed).start(Fleet.mixedPlan(REQUESTS, RATE, CLIENT_TIMEOUT_MS)),
+                    sites.load("b", seed).start(Fleet.mixedPlan(REQUESTS, RATE, CLIENT_TIMEOUT_MS)));
             while (!load.isDone()) {
                 injectFault(sites, random, Condition.delayed(delay, delay / 4), load);
             }
-            if (!sites.quiet(DRAIN_TIMEOUT_MS)) {
+            if (!sites.awaitIdle(DRAIN_TIMEOUT_MS)) {
                 throw new IllegalStateException(
                         "seed " + seed + ": requests still open after " + DRAIN_TIMEOUT_MS + " ms");
             }
@@ -75,25 +75,25 @@
     }
 
     /** Injects one fault, waits, removes it and waits again. */
-    private static void injectFault(Sites sites, Random random, Condition normal, CompletableFuture<Void> load) {
-        Sites.Site site = sites.site(random.nextBoolean() ? "a" : "b");
+    private static void injectFault(SiteTestbed sites, Random random, Condition normal, CompletableFuture<Void> load) {
+        SiteTestbed.Site site = sites.site(random.nextBoolean() ? "a" : "b");
         FaultyLink link = site.links().get(random.nextInt(site.links().size()));
-        Way direction = Way.values()[random.nextInt(2)];
+        Direction direction = Direction.values()[random.nextInt(2)];
         long length = 200 + random.nextInt(3_000);
         switch (random.nextInt(6)) {
-            case 0 -> site.links().forEach(each -> each.set(normal.stalled(true)));
-            case 1 -> link.set(direction, normal.lost(true));
+            case 0 -> site.links().forEach(each -> each.setCondition(normal.withStalled(true)));
+            case 1 -> link.setCondition(direction, normal.withDiscarding(true));
             case 2 -> link.reset();
-            case 3 -> site.cut(true);
-            case 4 -> site.stall(true);
-            default -> site.list(State.DRAINING);
+            case 3 -> site.cutServers(true);
+            case 4 -> site.stallServers(true);
+            default -> site.publishState(UpstreamState.DRAINING);
         }
         awaitAtMost(load, length);
-        site.links().forEach(each -> each.set(normal));
+        site.links().forEach(each -> each.setCondition(normal));
         link.reset();
-        site.cut(false);
-        site.stall(false);
-        site.list(State.READY);
+        site.cutServers(false);
+        site.stallServers(false);
+        site.publishState(UpstreamState.READY);
         awaitAtMost(load, 300 + random.nextInt(1_500));
     }
 }
--- a/src/test/java/pondridge/bench/GrpcBench.java
+++ b/src/test/java/pondridge/bench/GrpcBench.java
@@ -22,10 +22,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import pondridge.grpc.GrpcProbe;
-import pondridge.standin.EffectLedger;
+import pondridge.grpc.GrpcFrontendFixture;
+import pondridge.standin.ExecutionLedger;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
+import pondridge.standin.IdempotencyKeyStore;
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
@@ -99,8 +99,8 @@
     }
 
     private Result measure(Route route, int clients) throws Exception {
-        EffectLedger ledger = new EffectLedger(0, 0);
-        KeyMemory keyMemory = new KeyMemory();
+        ExecutionLedger ledger = new ExecutionLedger(0, 0);
+        IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
         List<StandinServer> servers = new ArrayList<>();
         EventLoop serverLoop = group.next();
         EventLoop sidecarLoop = group.next();
@@ -109,23 +109,24 @@
             servers.add(new StandinServer(
                     serverLoop,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    StandinServer.Setup.of("s" + i, "a", route.servers, FaultScript.none(0), ledger, keyMemory)));
+                    StandinServer.Setup.of(
+                            "s" + i, "a", route.servers, FaultScript.withoutFaults(0), ledger, keyMemory)));
         }
-        try (GrpcProbe probe = GrpcProbe.over(
+        try (GrpcFrontendFixture probe = GrpcFrontendFixture.start(
                 sidecarLoop,
                 route.servers,
                 servers.stream().map(StandinServer::address).toList())) {
             if (!route.grpcClient) {
-                try (ClosedLoopLoad warmUp = new ClosedLoopLoad(clientLoop, List.of(probe.door()), clients)) {
+                try (ClosedLoopLoad warmUp = new ClosedLoopLoad(clientLoop, List.of(probe.httpAddress()), clients)) {
                     warmUp.run(WARM_UP_MS / 2, WARM_UP_MS / 2);
                 }
                 long before = cpuNanos(sidecarLoop);
-                try (ClosedLoopLoad load = new ClosedLoopLoad(clientLoop, List.of(probe.door()), clients)) {
+                try (ClosedLoopLoad load = new ClosedLoopLoad(clientLoop, List.of(probe.httpAddress()), clients)) {
                     load.run(0, MEASURED_MS);
                     return result(load.latency(), load.succeeded(), load.failed(), cpuNanos(sidecarLoop) - before);
                 }
             }
-            int port = route == Route.DIRECT_GRPC ? servers.get(0).address().getPort() : probe.port();
+            int port = route == Route.DIRECT_GRPC ? servers.get(0).address().getPort() : probe.grpcPort();
             ManagedChannel channel = NettyChannelBuilder.forAddress("127.0.0.1", port)
                     .usePlaintext()
                     .disableRetry()
@@ -164,7 +165,7 @@
     private static final class ClosedLoopCalls {
         private final Channel channel;
         private final int clients;
-        private final MethodDescriptor<byte[], byte[]> method = GrpcProbe.confirm();
+        private final MethodDescriptor<byte[], byte[]> method = GrpcFrontendFixture.orderConfirmMethod();
         private final Histogram latency = new ConcurrentHistogram(10_000_000_000L, 3);
         private final LongAdder succeeded = new LongAdder();
         private final LongAdder failed = new LongAdder();
--- a/src/test/java/pondridge/bench/Http2Bench.java
+++ b/src/test/java/pondridge/bench/Http2Bench.java
@@ -17,9 +17,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
-import pondridge.standin.EffectLedger;
+import pondridge.standin.ExecutionLedger;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
+import pondridge.standin.IdempotencyKeyStore;
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
@@ -93,8 +93,8 @@
     }
 
     private Result measure(String variant, Protocol protocol, int clients) throws Exception {
-        EffectLedger ledger = new EffectLedger(0, 0);
-        KeyMemory keyMemory = new KeyMemory();
+        ExecutionLedger ledger = new ExecutionLedger(0, 0);
+        IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
         List<StandinServer> servers = new ArrayList<>();
         EventLoop[] loops = {group.next(), group.next(), group.next()};
         Process sidecar = null;
@@ -103,7 +103,8 @@
                 servers.add(new StandinServer(
                         loops[i % 2],
                         local(0),
-                        StandinServer.Setup.of("s" + i, "a", protocol, FaultScript.none(0), ledger, keyMemory)));
+                        StandinServer.Setup.of(
+                                "s" + i, "a", protocol, FaultScript.withoutFaults(0), ledger, keyMemory)));
             }
             List<InetSocketAddress> addresses =
                     servers.stream().map(StandinServer::address).toList();
--- a/src/test/java/pondridge/bench/ScaleBench.java
+++ b/src/test/java/pondridge/bench/ScaleBench.java
@@ -10,7 +10,7 @@
     void run() throws Exception {
         ScalePlan plan = ScalePlan.read(Path.of(System.getenv().getOrDefault("SCALE_PLAN", "scale/steps.toml")));
         System.out.println("bench scale: seed=" + plan.seed());
-        ScaleReport report = new ScaleRun(plan, ScaleRun.Source.DISCOVERY, System.out::println).play();
+        ScaleReport report = new ScaleRun(plan, ScaleRun.DistributionFactory.DISCOVERY, System.out::println).run();
         report.lines().forEach(line -> System.out.println("bench " + line));
         if (!report.clean()) {
             throw new IllegalStateException("a rule was broken or a change arrived late; see the report above");
--- a/src/test/java/pondridge/bench/StoreBench.java
+++ b/src/test/java/pondridge/bench/StoreBench.java
@@ -16,9 +16,9 @@
 import pondridge.store.StoreModel;
 import pondridge.store.StoreModel.Plan;
 import pondridge.store.StoreModel.Result;
-import pondridge.store.StoreModel.Store;
-import pondridge.store.StoreProbe;
+import pondridge.store.StoreModel.StoreCondition;
 import pondridge.store.StoreSettings;
+import pondridge.store.SyntheticMember;
 
 /**
  * Measures, in virtual time and by number of sidecars, the benefit of a shared store, the cost of its failures and
@@ -43,9 +43,11 @@
     private static void peerReports() {
         for (int[] fleet : FLEETS) {
             Result without = null;
-            for (Store store : fleet[0] > 64 ? new Store[] {Store.NONE, Store.GOOD, Store.POISON} : Store.values()) {
-                Result result =
-                        StoreModel.play(new Plan(fleet[0], fleet[1], store, false, false, false, VIRTUAL_SECONDS, 1));
+            for (StoreCondition store : fleet[0] > 64
+                    ? new StoreCondition[] {StoreCondition.NONE, StoreCondition.GOOD, StoreCondition.POISON}
+                    : StoreCondition.values()) {
+                Result result = StoreModel.simulate(
+                        new Plan(fleet[0], fleet[1], store, false, false, false, VIRTUAL_SECONDS, 1));
                 without = without == null ? result : without;
                 System.out.printf(
                         "bench store: sidecars=%d servers=%d store=%s %s worth_to_without=%.4f "
@@ -54,9 +56,9 @@
                         fleet[1],
                         store,
                         result,
-                        result.inTime() / without.inTime(),
-                        result.slowSends() / without.slowSends(),
-                        result.avoidedMs() / (double) without.avoidedMs());
+                        result.inTimeFraction() / without.inTimeFraction(),
+                        result.slowSendsPerSidecar() / without.slowSendsPerSidecar(),
+                        result.avoidanceDelayMillis() / (double) without.avoidanceDelayMillis());
             }
         }
     }
@@ -64,10 +66,10 @@
     private static void leases() {
         for (int[] fleet : FLEETS) {
             for (boolean all : new boolean[] {false, true}) {
-                Result own = StoreModel.play(
-                        new Plan(fleet[0], fleet[1], Store.GOOD, all, false, false, VIRTUAL_SECONDS, 1));
-                Result lent =
-                        StoreModel.play(new Plan(fleet[0], fleet[1], Store.GOOD, all, true, false, VIRTUAL_SECONDS, 1));
+                Result own = StoreModel.simulate(
+                        new Plan(fleet[0], fleet[1], StoreCondition.GOOD, all, false, false, VIRTUAL_SECONDS, 1));
+                Result lent = StoreModel.simulate(
+                        new Plan(fleet[0], fleet[1], StoreCondition.GOOD, all, true, false, VIRTUAL_SECONDS, 1));
                 System.out.printf(
                         "bench store-leases: sidecars=%d servers=%d cold=%s worth_own=%.4f "
                                 + "worth_lent=%.4f ratio=%.4f cold_used_own=%.2f cold_used_lent=%.2f p99_own=%.0f "
@@ -75,13 +77,13 @@
                         fleet[0],
                         fleet[1],
                         all ? "all" : "two",
-                        own.inTime(),
-                        lent.inTime(),
-                        lent.inTime() / own.inTime(),
-                        own.coldUsed(),
-                        lent.coldUsed(),
-                        own.p99Ms(),
-                        lent.p99Ms());
+                        own.inTimeFraction(),
+                        lent.inTimeFraction(),
+                        lent.inTimeFraction() / own.inTimeFraction(),
+                        own.coldLimitFraction(),
+                        lent.coldLimitFraction(),
+                        own.p99Millis(),
+                        lent.p99Millis());
             }
         }
     }
@@ -97,13 +99,13 @@
             try (RedisStandin store = new RedisStandin(
                     group.next(),
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    RedisStandin.Setup.usual())) {
-                List<StoreProbe> members = IntStream.range(0, each[0])
-                        .mapToObj(number -> StoreProbe.begin(loop, settings(store, "m" + number), each[1], number))
+                    RedisStandin.Setup.defaults())) {
+                List<SyntheticMember> members = IntStream.range(0, each[0])
+                        .mapToObj(number -> SyntheticMember.start(loop, settings(store, "m" + number), each[1], number))
                         .toList();
                 Thread.sleep(TimeUnit.SECONDS.toMillis(COST_SECONDS));
-                long commandsBefore = store.commands();
-                long bytesBefore = store.bytes();
+                long commandsBefore = store.commandCount();
+                long bytesBefore = store.transferredBytes();
                 long cpuBefore = cpu(loop);
                 Thread.sleep(TimeUnit.SECONDS.toMillis(COST_SECONDS));
                 double memberSeconds = each[0] * COST_SECONDS;
@@ -112,10 +114,10 @@
                                 + "bytes_a_second=%.0f cpu_us_a_second=%.0f%n",
                         each[0],
                         each[1],
-                        (store.commands() - commandsBefore) / memberSeconds,
-                        (store.bytes() - bytesBefore) / memberSeconds,
+                        (store.commandCount() - commandsBefore) / memberSeconds,
+                        (store.transferredBytes() - bytesBefore) / memberSeconds,
                         (cpu(loop) - cpuBefore) / 1e3 / memberSeconds);
-                members.forEach(StoreProbe::close);
+                members.forEach(SyntheticMember::close);
             } finally {
                 group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
             }
@@ -141,7 +143,9 @@
     private static void clientFootprints() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (RedisStandin store = new RedisStandin(
-                group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), RedisStandin.Setup.usual())) {
+                group.next(),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                RedisStandin.Setup.defaults())) {
             for (int round = 0; round < 5; round++) {
                 for (String client : List.of("none", "own", "lettuce", "jedis")) {
                     Process process = new ProcessBuilder(
--- a/src/test/java/pondridge/bench/StoreClientFootprint.java
+++ b/src/test/java/pondridge/bench/StoreClientFootprint.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import pondridge.settings.SettingsFile;
-import pondridge.store.StoreProbe;
 import pondridge.store.StoreSettings;
+import pondridge.store.SyntheticMember;
 import redis.clients.jedis.Jedis;
 
 /** Starts one store client in this process and prints what it adds to an event loop that already runs. */
@@ -63,7 +63,7 @@
                 SettingsFile.parse(
                         "x", "[store]\naddress = \"127.0.0.1:" + port + "\"\nperiod = \"20ms\"\nwithin = \"20ms\"\n"),
                 Path.of("."));
-        StoreProbe probe = StoreProbe.begin(loop, settings, 1, 1);
+        SyntheticMember probe = SyntheticMember.start(loop, settings, 1, 1);
         CountDownLatch exchanged = new CountDownLatch(1);
         loop.scheduleAtFixedRate(
                 () -> {
--- a/src/test/java/pondridge/control/ControlIT.java
+++ b/src/test/java/pondridge/control/ControlIT.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pondridge.demo.Child;
+import pondridge.demo.ChildProcess;
 
 /**
  * Runs the packaged program in several processes: one relay is killed, another is stopped, the source is
@@ -24,34 +24,34 @@
     private static final String TIMING = "beat = \"300ms\"\nsilence = \"1500ms\"\nstale = \"6s\"\n"
             + "fold = \"50ms\"\ngap = \"50ms\"\nspread = \"300ms\"\nack_within = \"3s\"\nreport = \"100ms\"\n"
             + "bytes_per_second = \"64KiB\"\n";
-    private final List<Child> children = new ArrayList<>();
-    private final List<Child.Line> lines = new CopyOnWriteArrayList<>();
+    private final List<ChildProcess> children = new ArrayList<>();
+    private final List<ChildProcess.LogLine> lines = new CopyOnWriteArrayList<>();
 
     @TempDir
     private Path folder;
 
     @AfterEach
     void killChildren() {
-        children.forEach(Child::kill);
+        children.forEach(ChildProcess::kill);
     }
 
-    private Child start(String name, String role, String extraSettings) throws IOException {
+    private ChildProcess start(String name, String role, String extraSettings) throws IOException {
         Path file = folder.resolve(name + ".toml");
         Files.writeString(
                 file, "[control]\nrole = \"" + role + "\"\ninstance = \"" + name + "\"\n" + TIMING + extraSettings);
-        Child child = Child.start(
+        ChildProcess child = ChildProcess.start(
                 name,
                 "pondridge.cli.Bankflow",
                 List.of("control", "--settings", file.toString(), "--with-parent"),
                 Map.of(),
                 lines::add);
         children.add(child);
-        child.await(line -> line.event().equals("ready"));
+        child.awaitLine(line -> line.event().equals("ready"));
         return child;
     }
 
-    private static String address(Child child) throws IOException {
-        return child.await(line -> line.event().equals("ready"))
+    private static String address(ChildProcess child) throws IOException {
+        return child.awaitLine(line -> line.event().equals("ready"))
                 .json()
                 .path("detail")
                 .asText();
@@ -77,16 +77,16 @@
                 newFile, folder.resolve("feed"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static String appliedDetail(Child follower, String number) throws IOException {
-        return follower.await(line -> line.event().equals("applied")
+    private static String appliedDetail(ChildProcess follower, String number) throws IOException {
+        return follower.awaitLine(line -> line.event().equals("applied")
                         && line.json().path("detail").asText().contains("." + number + ' '))
                 .json()
                 .path("detail")
                 .asText();
     }
 
-    private static String relayOf(Child follower, long afterNanos) throws IOException {
-        return follower.await(line -> line.event().equals("following") && line.at() > afterNanos)
+    private static String relayOf(ChildProcess follower, long afterNanos) throws IOException {
+        return follower.awaitLine(line -> line.event().equals("following") && line.receivedAtNanos() > afterNanos)
                 .json()
                 .path("peer")
                 .asText();
@@ -96,15 +96,15 @@
     void aFollowerMovesToAnotherRelayWhenItsRelayIsKilledOrStopped() throws IOException {
         writeFeed(1);
         String sourceSettings = "feed = \"feed\"\nstate_file = \"state\"\n";
-        Child source = start("source", "source", "listen = \"127.0.0.1:0\"\n" + sourceSettings);
+        ChildProcess source = start("source", "source", "listen = \"127.0.0.1:0\"\n" + sourceSettings);
         String sourceAddress = address(source);
-        Child[] relays = new Child[2];
+        ChildProcess[] relays = new ChildProcess[2];
         String[] relayAddresses = new String[2];
         for (int i = 0; i < 2; i++) {
             relays[i] = start("r" + i, "relay", "listen = \"127.0.0.1:0\"\nabove = [\"" + sourceAddress + "\"]\n");
             relayAddresses[i] = address(relays[i]);
         }
-        Child follower = start(
+        ChildProcess follower = start(
                 "f1",
                 "follower",
                 "services = [\"svc1\"]\nabove = [\"" + relayAddresses[0] + "\", \"" + relayAddresses[1] + "\"]\n");
--- a/src/test/java/pondridge/control/ControlModel.java
+++ b/src/test/java/pondridge/control/ControlModel.java
@@ -137,7 +137,7 @@
         desiredResources.values().removeIf(Resource::isDeleted);
         check(actual.equals(desiredResources), "the source does not have the desired resources");
         PropagationStatus status = source.scheduler.propagationStatus();
-        check(status.count() == clients.size() - 3, "followers counted: " + status.count());
+        check(status.followerCount() == clients.size() - 3, "followers counted: " + status.followerCount());
         check(
                 status.lowestVersion().equals(last) && status.laggingInstances().isEmpty(),
                 "status " + status + " at version " + last);
--- a/src/test/java/pondridge/control/ControlPartsTest.java
+++ b/src/test/java/pondridge/control/ControlPartsTest.java
@@ -143,7 +143,7 @@
                         new Version(1, 2),
                         FollowerState.ApplyResult.UNCHANGED,
                         new PropagationStatus(7, new Version(1, 2), List.of("x", "y", "z"))));
-        assertEquals(11, scheduler.propagationStatus().count());
+        assertEquals(11, scheduler.propagationStatus().followerCount());
         assertEquals(new Version(1, 1), scheduler.propagationStatus().lowestVersion());
         assertEquals(3, scheduler.propagationStatus().laggingInstances().size());
         PropagationStatus one = new PropagationStatus(1, new Version(2, 1), List.of());
--- a/src/test/java/pondridge/control/ControlTest.java
+++ b/src/test/java/pondridge/control/ControlTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
 import pondridge.settings.SettingsFile;
 
@@ -57,7 +57,7 @@
     private final EventLoop loop = group.next();
     private final List<AutoCloseable> closeables = new ArrayList<>();
     private final List<String> reported = new CopyOnWriteArrayList<>();
-    private final Events events = (event, peer, detail) -> reported.add(event + " | " + peer + " | " + detail);
+    private final EventLog events = (event, peer, detail) -> reported.add(event + " | " + peer + " | " + detail);
     private final Traffic sourceTraffic = new Traffic();
 
     @TempDir
@@ -107,7 +107,7 @@
         }
     }
 
-    private static Target target(int number, State state) {
+    private static Target target(int number, UpstreamState state) {
         return new Target(
                 String.format("u%05d", number),
                 new InetSocketAddress("127.0.0.1", 1_000 + number % 60_000),
@@ -119,14 +119,14 @@
                 0);
     }
 
-    private static Resource entry(int number, State state) {
-        return Targets.resource("svc" + number % SERVICES, target(number, state));
+    private static Resource entry(int number, UpstreamState state) {
+        return TargetCodec.toResource("svc" + number % SERVICES, target(number, state));
     }
 
     private void commitInitialResources() throws Exception {
         List<Resource> resources = new ArrayList<>();
         for (int i = 0; i < SERVICES * PER_SERVICE; i++) {
-            resources.add(entry(i, State.READY));
+            resources.add(entry(i, UpstreamState.READY));
         }
         source.put(resources);
         await("initial resources committed", () -> source.version().number() > 1);
@@ -168,7 +168,7 @@
         final Traffic traffic = new Traffic();
         final List<String> services = new ArrayList<>();
         final List<Version> versions = new ArrayList<>();
-        final List<ListKind> kinds = new ArrayList<>();
+        final List<EndpointListKind> kinds = new ArrayList<>();
         final List<Integer> sizes = new ArrayList<>();
         final ControlClient client;
 
@@ -180,7 +180,7 @@
             client = new ControlClient(
                     loop,
                     settings("follower", "above = [" + quoted(parents) + "]\n", folder)
-                            .as(name, services),
+                            .forFollower(name, services),
                     (version, kind, targets, changedSettings) -> {
                         versions.add(version);
                         kinds.add(kind);
@@ -223,9 +223,10 @@
         awaitAll(followers, "all followers have the list");
         await(
                 "all followers are counted",
-                () -> source.propagationStatus().count() == 50
+                () -> source.propagationStatus().followerCount() == 50
                         && source.propagationStatus().lowestVersion().equals(source.version()));
-        int atFirstRelay = onLoop(() -> (int) firstRelay.relay.sums().count());
+        int atFirstRelay =
+                onLoop(() -> (int) firstRelay.relay.propagationStatus().followerCount());
         assertTrue(atFirstRelay > 10 && atFirstRelay < 40, "relays share the followers: " + atFirstRelay);
         assertTrue(sourceTraffic.messagesOut() < 50, "the source sends to its relays only");
 
@@ -233,14 +234,14 @@
                 .mapToLong(each -> each.client.snapshotsReceived())
                 .sum());
         assertEquals(50, snapshots);
-        source.put(List.of(new Resource("svc7", "@timeout", "SET", "250ms"), entry(7, State.DRAINING)));
+        source.put(List.of(new Resource("svc7", "@timeout", "SET", "250ms"), entry(7, UpstreamState.DRAINING)));
         firstRelay.relay.close();
-        source.put(List.of(entry(8, State.GONE)));
+        source.put(List.of(entry(8, UpstreamState.GONE)));
         awaitAll(followers, "all followers have the change");
         await(
                 "all followers are at the other relay and up to date",
-                () -> secondRelay.relay.sums().count() == 50
-                        && source.propagationStatus().count() == 50
+                () -> secondRelay.relay.propagationStatus().followerCount() == 50
+                        && source.propagationStatus().followerCount() == 50
                         && source.propagationStatus().lowestVersion().equals(source.version())
                         && source.propagationStatus().laggingInstances().isEmpty());
         assertEquals(
@@ -270,9 +271,9 @@
         for (int round = 0; round < 21; round++) {
             List<Resource> changes = new ArrayList<>();
             for (int i = 0; i < SERVICES * PER_SERVICE; i += 10) {
-                changes.add(entry(i, round % 2 == 0 ? State.DRAINING : State.READY));
+                changes.add(entry(i, round % 2 == 0 ? UpstreamState.DRAINING : UpstreamState.READY));
             }
-            changes.add(entry(3, State.GONE));
+            changes.add(entry(3, UpstreamState.GONE));
             long number = onLoop(() -> source.version().number());
             source.put(changes);
             await("committed", () -> source.version().number() > number);
@@ -312,14 +313,16 @@
             slow.setReceiveBufferSize(1_024);
             slow.connect(relay.address);
             slow.getOutputStream().write(frame(Codec.encodeHello(new Hello("slow", List.of(), false, Version.NONE))));
-            await("the slow watcher is accepted", () -> relay.relay.sums().count() == 6);
+            await(
+                    "the slow watcher is accepted",
+                    () -> relay.relay.propagationStatus().followerCount() == 6);
             for (int round = 0; round < 10; round++) {
-                source.put(List.of(entry(round, State.DRAINING)));
+                source.put(List.of(entry(round, UpstreamState.DRAINING)));
                 awaitAll(followers, "other followers are up to date");
             }
             await(
                     "the slow watcher is no longer counted",
-                    () -> relay.relay.sums().count() == 5);
+                    () -> relay.relay.propagationStatus().followerCount() == 5);
         }
         assertTrue(reported.stream().anyMatch(each -> each.startsWith("watcher_ended | slow | update not ack")));
         await(
@@ -331,7 +334,7 @@
     void theLossOfAZoneIsOneShortMessage() throws Exception {
         List<Resource> resources = new ArrayList<>();
         for (int i = 0; i < 16_000; i++) {
-            resources.add(Targets.resource("svc" + i % 1_000, target(i, State.READY)));
+            resources.add(TargetCodec.toResource("svc" + i % 1_000, target(i, UpstreamState.READY)));
         }
         source.put(resources);
         await("initial resources committed", () -> source.version().number() > 1);
@@ -344,7 +347,7 @@
         ControlClient follower = new ControlClient(
                 loop,
                 settings("follower", "above = [" + quoted(relay.address) + "]\n", folder)
-                        .as("f1", services),
+                        .forFollower("f1", services),
                 (version, kind, targets, changedSettings) -> {},
                 events,
                 followerTraffic);
@@ -355,7 +358,7 @@
         long relaySnapshotBytes = relay.upstreamTraffic.bytesIn();
         List<Resource> drained = new ArrayList<>();
         for (int i = 0; i < 16_000; i += 13) {
-            drained.add(Targets.resource("svc" + i % 1_000, target(i, State.DRAINING)));
+            drained.add(TargetCodec.toResource("svc" + i % 1_000, target(i, UpstreamState.DRAINING)));
         }
         long number = onLoop(() -> source.version().number());
         source.put(drained.subList(0, 1_230));
@@ -437,7 +440,7 @@
         source.close();
         startSource("127.0.0.1:" + sourceAddress.getPort());
         assertEquals(versionBefore, onLoop(source::version));
-        source.put(List.of(entry(1, State.DRAINING)));
+        source.put(List.of(entry(1, UpstreamState.DRAINING)));
         awaitAll(List.of(follower), "the follower is up to date");
         assertEquals(1, onLoop(() -> follower.client.snapshotsReceived()));
 
@@ -481,7 +484,7 @@
         ControlClient followerOfMissingService = new ControlClient(
                 loop,
                 settings("follower", "above = [" + quoted(sourceAddress) + "]\n", folder)
-                        .as("f2", List.of("svc1", "nothere")),
+                        .forFollower("f2", List.of("svc1", "nothere")),
                 (version, kind, targets, changedSettings) -> {},
                 events,
                 new Traffic());
--- a/src/test/java/pondridge/demo/DrillIT.java
+++ b/src/test/java/pondridge/demo/DrillIT.java
@@ -40,7 +40,7 @@
         try (Drill drill = new Drill(DrillPlan.read(file), System.out::println)) {
             DrillReport report = drill.run();
             report.lines().forEach(System.out::println);
-            assertTrue(report.verdict().clean(), () -> report.verdict().toString());
+            assertTrue(report.verdict().passed(), () -> report.verdict().toString());
             return report;
         }
     }
--- a/src/test/java/pondridge/demo/DrillPlanTest.java
+++ b/src/test/java/pondridge/demo/DrillPlanTest.java
@@ -29,10 +29,10 @@
             plans.forEach(plan -> {
                 assertEquals(3, plan.sites().size());
                 assertTrue(plan.steps().size() > 1 && plan.steps().get(0).atNanos() < plan.lengthNanos());
-                String text = SitePlanSettings.text(plan.topology());
+                String text = SitePlanSettings.toToml(plan.topology());
                 SettingsFile file = SettingsFile.parse("gateway", text);
                 assertEquals(plan.topology(), SitePlanSettings.of(file), "the topology as gateways read it: " + text);
-                file.finish();
+                file.rejectUnknownKeys();
             });
         }
     }
--- a/src/test/java/pondridge/gateway/GatewayStateTest.java
+++ b/src/test/java/pondridge/gateway/GatewayStateTest.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
-import pondridge.gateway.AnswerMemory.Decision;
-import pondridge.http2.HeldBytes;
+import pondridge.gateway.IdempotencyCache.Decision;
+import pondridge.http2.BufferBudget;
 
 /**
  * Unit tests of the state behind a link without I/O: idempotency cache, timestamps, credit, held bytes and
@@ -37,7 +37,7 @@
     /** Sends random requests with few keys, served or not and repeated, to a cache that is often full. */
     private static void runRandomRequests(long seed, Map<Decision, Integer> counts) {
         Random random = new Random(seed);
-        AnswerMemory<Integer, String> cache = new AnswerMemory<>(MAX_ENTRIES, MAX_BYTES, MAX_WAITERS);
+        IdempotencyCache<Integer, String> cache = new IdempotencyCache<>(MAX_ENTRIES, MAX_BYTES, MAX_WAITERS);
         Map<String, ExpectedEntry> expectedEntries = new HashMap<>();
         List<String> running = new ArrayList<>();
         long now = 0;
@@ -117,13 +117,13 @@
      */
     @Test
     void timestampsAreValidOnlyAtTheirIssuer() {
-        Stamps timestamps = new Stamps(0x8c1f30d27a5be964L, 300 * MS);
+        EchoedTimestamps timestamps = new EchoedTimestamps(0x8c1f30d27a5be964L, 300 * MS);
         String timestamp = timestamps.issue(-5 * MS);
         assertTrue(timestamps.isFresh(timestamp, -5 * MS));
         assertTrue(timestamps.isFresh(timestamp, 295 * MS));
         assertFalse(timestamps.isFresh(timestamp, 296 * MS));
         assertFalse(timestamps.isFresh(timestamp, -6 * MS), "timestamp from the future");
-        assertFalse(new Stamps(7, 300 * MS).isFresh(timestamp, 0), "timestamp of another run");
+        assertFalse(new EchoedTimestamps(7, 300 * MS).isFresh(timestamp, 0), "timestamp of another run");
         for (String malformed :
                 new String[] {null, "", ".", "1.", ".1", timestamp + "0x", timestamp + timestamp, "8c1f"}) {
             assertFalse(timestamps.isFresh(malformed, 0), malformed);
@@ -162,27 +162,29 @@
     @Test
     void bytesHeldByOneConnectionDoNotStarveOthers() {
         Random random = new Random(5);
-        HeldBytes bytes = new HeldBytes(4_000);
-        List<HeldBytes.Share> shares = new ArrayList<>();
+        BufferBudget bytes = new BufferBudget(4_000);
+        List<BufferBudget.ConnectionShare> shares = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            shares.add(bytes.share());
+            shares.add(bytes.newShare());
         }
         int turnedAway = 0;
         for (int i = 0; i < 20_000; i++) {
-            HeldBytes.Share share = shares.get(random.nextInt(8));
-            long before = share.held();
+            BufferBudget.ConnectionShare share = shares.get(random.nextInt(8));
+            long before = share.reservedBytes();
             long additional = random.nextInt(400);
             if (random.nextBoolean()) {
-                boolean fits = before + additional <= 1_000 && bytes.held() + additional <= 4_000;
-                assertEquals(fits, share.take(additional));
+                boolean fits = before + additional <= 1_000 && bytes.reservedBytes() + additional <= 4_000;
+                assertEquals(fits, share.tryReserve(additional));
                 turnedAway += fits ? 0 : 1;
             } else {
-                share.give(Math.min(before, additional));
+                share.release(Math.min(before, additional));
             }
-            assertEquals(share.held() < 1_000 && bytes.held() < 4_000, share.room());
+            assertEquals(share.reservedBytes() < 1_000 && bytes.reservedBytes() < 4_000, share.hasCapacity());
             assertEquals(
-                    bytes.held(),
-                    shares.stream().mapToLong(HeldBytes.Share::held).sum());
+                    bytes.reservedBytes(),
+                    shares.stream()
+                            .mapToLong(BufferBudget.ConnectionShare::reservedBytes)
+                            .sum());
         }
         assertTrue(turnedAway > 1_000, "often rejected: " + turnedAway);
     }
@@ -198,13 +200,13 @@
             long clockOffset = random.nextInt(120_000) - 60_000;
             long maxClockError = random.nextInt(2_000);
             long now = 1_000_000;
-            StartTimes startTimes = new StartTimes(maxClockError);
+            ServerStartTimes startTimes = new ServerStartTimes(maxClockError);
             Map<String, Long> startedAt = new HashMap<>();
             Map<String, Long> localStart = new HashMap<>();
             for (int i = 0; i < 5; i++) {
                 startedAt.put("s" + i, now - random.nextInt(100_000));
             }
-            ListKind kind = ListKind.FULL;
+            EndpointListKind kind = EndpointListKind.FULL;
             for (int round = 0; round < 40; round++, now += random.nextInt(3_000)) {
                 String changed = "s" + random.nextInt(8);
                 boolean restarted = round > 0 && random.nextBoolean();
@@ -214,7 +216,7 @@
                 List<Target> listed = new ArrayList<>();
                 for (Map.Entry<String, Long> each : startedAt.entrySet()) {
                     listed.add(new Target(
-                            each.getKey(), null, "a", "m", 0, State.READY, 1, each.getValue() + clockOffset));
+                            each.getKey(), null, "a", "m", 0, UpstreamState.READY, 1, each.getValue() + clockOffset));
                 }
                 for (Target target : startTimes.withLocalStartTimes(kind, listed, now)) {
                     String uid = target.uid();
@@ -227,7 +229,7 @@
                                 restarted && uid.equals(changed) ? now : before, target.startedMs(), "seed " + seed);
                     }
                 }
-                kind = random.nextInt(4) == 0 ? ListKind.FULL : ListKind.DELTA;
+                kind = random.nextInt(4) == 0 ? EndpointListKind.FULL : EndpointListKind.DELTA;
             }
         }
     }
--- a/src/test/java/pondridge/gateway/AnswerTable.java
+++ b/src/test/java/pondridge/gateway/IdempotencyCacheFootprint.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /** Fills the idempotency cache to its bound, for the benchmark. */
-public final class AnswerTable {
-    private AnswerTable() {}
+public final class IdempotencyCacheFootprint {
+    private IdempotencyCacheFootprint() {}
 
     /**
      * The heap that a full cache uses in bytes, measured after collections before and after filling it.
@@ -14,12 +14,12 @@
      * @param responses capacity of the cache
      * @param sizeBytes of each response
      */
-    public static long heap(int responses, int sizeBytes) {
+    public static long measureHeapBytes(int responses, int sizeBytes) {
         long bytesBefore = usedHeapBytes();
-        AnswerMemory<Integer, byte[]> cache = new AnswerMemory<>(responses, (long) responses * sizeBytes, 8);
+        IdempotencyCache<Integer, byte[]> cache = new IdempotencyCache<>(responses, (long) responses * sizeBytes, 8);
         for (int i = 0; i < responses + responses / 2; i++) {
             String key = "0/0/a-key-of-a-usual-length-" + i;
-            if (cache.admit(key, "x".repeat(60) + i % 10_000, i, i) == AnswerMemory.Decision.RUN) {
+            if (cache.admit(key, "x".repeat(60) + i % 10_000, i, i) == IdempotencyCache.Decision.RUN) {
                 cache.complete(key, new byte[sizeBytes], sizeBytes, Long.MAX_VALUE / 2, i);
             }
         }
--- a/src/test/java/pondridge/gateway/LinkRequestHandlerTest.java
+++ b/src/test/java/pondridge/gateway/LinkRequestHandlerTest.java
@@ -21,14 +21,14 @@
 import okhttp3.Response;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.State;
-import pondridge.demo.Sites;
-import pondridge.demo.Usual;
-import pondridge.http1.Stub;
-import pondridge.http2.Direct;
+import pondridge.Balancer.UpstreamState;
+import pondridge.demo.SiteTestbed;
+import pondridge.demo.StandinOptions;
+import pondridge.http1.StubServer;
+import pondridge.http2.TransportHarness;
 import pondridge.rig.Fleet;
-import pondridge.standin.EffectLedger.Verdict;
-import pondridge.standin.OrderClass;
+import pondridge.standin.ExecutionLedger.Verdict;
+import pondridge.standin.StandinRequestClass;
 import pondridge.standin.StandinServer;
 
 /**
@@ -42,12 +42,12 @@
     private final OkHttpClient client = new OkHttpClient.Builder()
             .protocols(List.of(Protocol.H2_PRIOR_KNOWLEDGE))
             .build();
-    private Sites sites;
+    private SiteTestbed sites;
 
     private void start(long workNanos, String settings) throws IOException {
-        sites = new Sites(
-                new Sites.Shape(List.of("a", "b"), 2, 1, workNanos, 0, 0, settings),
-                Usual.options(3_000),
+        sites = new SiteTestbed(
+                new SiteTestbed.TestbedConfig(List.of("a", "b"), 2, 1, workNanos, 0, 0, settings),
+                StandinOptions.withDeadline(3_000),
                 1,
                 site -> "security = \"plain\"\n");
     }
@@ -86,7 +86,7 @@
                 try (response) {
                     if (id != null) {
                         sites.ledger()
-                                .answered(
+                                .responseReceived(
                                         id,
                                         response.code(),
                                         response.body().string().trim());
@@ -103,7 +103,7 @@
     }
 
     private static Received await(CompletableFuture<Received> received) throws Exception {
-        return received.get(Stub.LIMIT_S, TimeUnit.SECONDS);
+        return received.get(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static Map<String, String> linkHeaders() {
@@ -119,7 +119,7 @@
 
     /** Sends a confirmation over the link as the other gateway would, with some headers overridden. */
     private CompletableFuture<Received> confirm(String id, String key, Map<String, String> overrides) throws Exception {
-        sites.ledger().asked(id, OrderClass.named("order-confirm"), key, CLIENT_TIMEOUT_NANOS);
+        sites.ledger().requestSent(id, StandinRequestClass.named("order-confirm"), key, CLIENT_TIMEOUT_NANOS);
         Map<String, String> headers = linkHeaders();
         headers.putAll(Map.of(
                 LinkHeaders.HOPS,
@@ -143,7 +143,9 @@
     }
 
     private long executions() {
-        return sites.site("b").servers().stream().mapToLong(StandinServer::runs).sum();
+        return sites.site("b").servers().stream()
+                .mapToLong(StandinServer::executions)
+                .sum();
     }
 
     /** Each header is invalid once: the request is rejected as not executed, and no server has run it. */
@@ -183,12 +185,12 @@
         assertTrue(different.status() == 503 && different.notExecuted(), different::toString);
         assertEquals(1, executions());
         CompletableFuture<Received> first = confirm("j0", "j", Map.of());
-        Direct.until(() -> executions() == 2, "the first request is running");
+        TransportHarness.waitUntil(() -> executions() == 2, "the first request is running");
         Received joined = await(send("/api/j", null, repeat("j0", "j"), "what is confirmed"));
         assertTrue(joined.status() == 200 && await(first).status() == 200, joined::toString);
         assertEquals(2, executions());
-        assertEquals(0, sites.ledger().verdict().dropped(), "no server received a request twice");
-        assertTrue(sites.ledger().verdict().clean(), sites.ledger().verdict()::toString);
+        assertEquals(0, sites.ledger().verdict().droppedRepeats(), "no server received a request twice");
+        assertTrue(sites.ledger().verdict().passed(), sites.ledger().verdict()::toString);
     }
 
     private Map<String, String> repeat(String id, String key) throws Exception {
@@ -250,7 +252,7 @@
                 5 * MS,
                 "idle = \"1s\"\ntransfer = \"3s\"\nheld_bytes = \"64KiB\"\nconnections = 6\n"
                         + "[link_http2]\ncontrol_frames = 1000\n");
-        Direct.until(() -> sites.site("a").count("links_up") == 1, "the link");
+        TransportHarness.waitUntil(() -> sites.site("a").count("links_up") == 1, "the link");
         Map<String, Flood> floods = new LinkedHashMap<>();
         floods.put("silent", peer -> {});
         floods.put("half a preface", peer -> peer.sendText("PRI * HTTP/2.0\r\n"));
@@ -266,7 +268,7 @@
                 .close());
         floods.put("requests whose responses are not read", peer -> {
             peer.handshake(0).keepAlive().sendRequests(100, linkHeaders(), fetchTimestamp());
-            Direct.until(() -> held() > MAX_HELD_BYTES / 4, "responses that can't be sent");
+            TransportHarness.waitUntil(() -> held() > MAX_HELD_BYTES / 4, "responses that can't be sent");
             long takenBefore = sites.site("b").count("by_link");
             peer.sendRequests(50, linkHeaders(), fetchTimestamp()).awaitResets(1);
             assertEquals(
@@ -292,12 +294,12 @@
         for (RawHttp2Client each : idleConnections) {
             each.close();
         }
-        Direct.until(() -> sites.site("a").count("links_up") == 1, "the link, again");
-        Direct.until(() -> held() == 0, "all bytes released");
-        sites.site("a").list(State.DRAINING);
-        sites.load("a", 5).start(Fleet.mixed(100, 100, 3_000)).get(Fleet.LIMIT_S, TimeUnit.SECONDS);
-        assertTrue(sites.quiet(Fleet.LIMIT_S * 1_000));
+        TransportHarness.waitUntil(() -> sites.site("a").count("links_up") == 1, "the link, again");
+        TransportHarness.waitUntil(() -> held() == 0, "all bytes released");
+        sites.site("a").publishState(UpstreamState.DRAINING);
+        sites.load("a", 5).start(Fleet.mixedPlan(100, 100, 3_000)).get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(sites.awaitIdle(Fleet.TIMEOUT_SECONDS * 1_000));
         Verdict verdict = sites.ledger().verdict();
-        assertTrue(verdict.served() > 60 && verdict.doubled() + verdict.late() == 0, verdict::toString);
+        assertTrue(verdict.served() > 60 && verdict.duplicateEffects() + verdict.late() == 0, verdict::toString);
     }
 }
--- a/src/test/java/pondridge/gateway/LinkSecurityTest.java
+++ b/src/test/java/pondridge/gateway/LinkSecurityTest.java
@@ -16,16 +16,16 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 import pondridge.demo.Certificates;
-import pondridge.demo.Sites;
-import pondridge.demo.Usual;
-import pondridge.http1.Stub;
-import pondridge.http2.Direct;
+import pondridge.demo.SiteTestbed;
+import pondridge.demo.StandinOptions;
+import pondridge.http1.StubServer;
+import pondridge.http2.TransportHarness;
 import pondridge.rig.Fleet;
 import pondridge.settings.SettingsException;
 import pondridge.settings.SettingsFile;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger.Verdict;
 
 /** Tests that only gateways with trusted certificates can use a link. */
 class LinkSecurityTest {
@@ -35,21 +35,21 @@
     @TempDir
     private Path folder;
 
-    private static Sites sites(Function<String, String> security) throws IOException {
-        return new Sites(
-                new Sites.Shape(List.of("a", "b"), 2, 1, 5 * MS, 5 * MS, MS, ""),
-                Usual.options(CLIENT_TIMEOUT_MS),
+    private static SiteTestbed sites(Function<String, String> security) throws IOException {
+        return new SiteTestbed(
+                new SiteTestbed.TestbedConfig(List.of("a", "b"), 2, 1, 5 * MS, 5 * MS, MS, ""),
+                StandinOptions.withDeadline(CLIENT_TIMEOUT_MS),
                 1,
                 security);
     }
 
-    private static Verdict load(Sites sites, int requests) throws Exception {
-        sites.site("a").list(State.DRAINING);
+    private static Verdict load(SiteTestbed sites, int requests) throws Exception {
+        sites.site("a").publishState(UpstreamState.DRAINING);
         sites.load("a", requests)
-                .start(Fleet.mixed(requests, 100, CLIENT_TIMEOUT_MS))
-                .get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+                .start(Fleet.mixedPlan(requests, 100, CLIENT_TIMEOUT_MS))
+                .get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         Verdict verdict = sites.ledger().verdict();
-        assertTrue(verdict.clean(), verdict::toString);
+        assertTrue(verdict.passed(), verdict::toString);
         return verdict;
     }
 
@@ -74,14 +74,14 @@
     @Test
     void onlyValidCertificatesAreAccepted() throws Exception {
         Certificates certificates = new Certificates(folder);
-        try (Sites sites = sites(toFunction(certificates::site))) {
-            Direct.until(() -> sites.site("a").count("links_up") == 1, "the link");
+        try (SiteTestbed sites = sites(toFunction(certificates::issue))) {
+            TransportHarness.waitUntil(() -> sites.site("a").count("links_up") == 1, "the link");
             InetSocketAddress address = sites.site("b").links().get(0).address();
             for (String input :
                     List.of("GET / HTTP/1.1\r\n\r\n", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "\u0016\u0003\u0001x")) {
                 try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-                    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
-                    Stub.write(socket, input);
+                    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
+                    StubServer.write(socket, input);
                     socket.shutdownOutput();
                     String response = new String(socket.getInputStream().readAllBytes());
                     assertTrue(!response.contains("HTTP"), "expected no HTTP response: " + response);
@@ -106,19 +106,19 @@
         Certificates others = new Certificates(foreign);
         Instant later = Instant.now().plus(1, ChronoUnit.DAYS);
         List<CertificateSettings> bad = List.of(
-                name -> certificates.site(name, name, Instant.now().minus(1, ChronoUnit.HOURS)),
-                name -> certificates.site(name, name.equals("a") ? "c" : "b", later),
-                name -> certificates.site(name, name.equals("b") ? "c" : "a", later),
-                name -> name.equals("a") ? others.site(name) : certificates.site(name));
+                name -> certificates.issue(name, name, Instant.now().minus(1, ChronoUnit.HOURS)),
+                name -> certificates.issue(name, name.equals("a") ? "c" : "b", later),
+                name -> certificates.issue(name, name.equals("b") ? "c" : "a", later),
+                name -> name.equals("a") ? others.issue(name) : certificates.issue(name));
         for (CertificateSettings certificateSettings : bad) {
-            try (Sites sites = sites(toFunction(certificateSettings))) {
+            try (SiteTestbed sites = sites(toFunction(certificateSettings))) {
                 Verdict verdict = load(sites, 40);
                 assertEquals(40, verdict.refused(), verdict::toString);
                 assertEquals(0, sites.site("b").count("by_link"));
                 assertEquals(
                         0,
                         sites.site("b").servers().stream()
-                                .mapToInt(each -> each.runs())
+                                .mapToInt(each -> each.executions())
                                 .sum());
             }
         }
@@ -131,13 +131,13 @@
     @Test
     void certificatesAreReloadedAtRuntime() throws Exception {
         Certificates first = new Certificates(folder);
-        try (Sites sites =
-                sites(name -> "look = \"20ms\"\n" + toFunction(first::site).apply(name))) {
-            Direct.until(() -> sites.site("a").count("links_up") == 1, "the link");
+        try (SiteTestbed sites =
+                sites(name -> "look = \"20ms\"\n" + toFunction(first::issue).apply(name))) {
+            TransportHarness.waitUntil(() -> sites.site("a").count("links_up") == 1, "the link");
             byte[] key = Files.readAllBytes(folder.resolve("a.key"));
             Files.writeString(folder.resolve("a.key"), Files.readString(folder.resolve("b.key")));
             Files.writeString(folder.resolve("b.pem"), "nonsense");
-            Direct.until(
+            TransportHarness.waitUntil(
                     () -> sites.site("a").count("certificates_refused") > 0
                             && sites.site("b").count("certificates_refused") > 0,
                     "both gateways have checked the files");
@@ -146,14 +146,15 @@
             assertTrue(before.served() > 30, "the old certificates remain in use: " + before);
             Files.write(folder.resolve("a.key"), key);
             Certificates second = new Certificates(folder);
-            second.site("a");
-            second.site("b");
-            Direct.until(
+            second.issue("a");
+            second.issue("b");
+            TransportHarness.waitUntil(
                     () -> sites.site("a").count("certificates_taken") > 0
                             && sites.site("b").count("certificates_taken") > 0,
                     "both have loaded the new certificates");
             sites.site("b").links().get(0).reset();
-            Direct.until(() -> sites.site("a").count("links_up") == 1, "the link, with the new certificates");
+            TransportHarness.waitUntil(
+                    () -> sites.site("a").count("links_up") == 1, "the link, with the new certificates");
             Verdict after = load(sites, 61);
             assertTrue(after.served() > before.served() + 30, after::toString);
         }
@@ -181,7 +182,7 @@
                             () -> {
                                 SettingsFile file = SettingsFile.parse("x", each.get(0));
                                 GatewaySettings.of(file, folder);
-                                file.finish();
+                                file.rejectUnknownKeys();
                             },
                             each.get(1));
                     assertTrue(thrown.getMessage().contains(each.get(1)), thrown.getMessage());
--- a/src/test/java/pondridge/gateway/LocalSiteStateTest.java
+++ b/src/test/java/pondridge/gateway/LocalSiteStateTest.java
@@ -15,7 +15,8 @@
 class LocalSiteStateTest {
     private static final long MS = 1_000_000;
     private static final long HEARTBEAT = 50 * MS;
-    private static final OwnSite.Limits LIMITS = new OwnSite.Limits(5, 200 * MS, 1_000 * MS, 0.05, 1_000 * MS);
+    private static final LocalSiteHealth.Limits LIMITS =
+            new LocalSiteHealth.Limits(5, 200 * MS, 1_000 * MS, 0.05, 1_000 * MS);
 
     /**
      * One to eight gateways with a request each 5 to 200 ms and two other sites that lose a fifth of the
@@ -25,33 +26,33 @@
     private static long[] stateChangeSpread(long seed, boolean exchangeReports) {
         Random random = new Random(seed);
         int count = 1 + random.nextInt(8);
-        List<OwnSite> gateways = new ArrayList<>();
-        List<Views> otherSites = List.of(new Views(), new Views());
+        List<LocalSiteHealth> gateways = new ArrayList<>();
+        List<SiteStateReports> otherSites = List.of(new SiteStateReports(), new SiteStateReports());
         long[] requestInterval = new long[count];
         long[][] observedAt = new long[2][count];
         for (int i = 0; i < count; i++) {
-            gateways.add(new OwnSite(LIMITS, 0));
+            gateways.add(new LocalSiteHealth(LIMITS, 0));
             requestInterval[i] = (5 + random.nextInt(195)) * MS;
         }
         for (long now = 0; now < 30_000 * MS; now += MS) {
             boolean siteUp = now < 1_000 * MS || now > 6_000 * MS;
             for (int i = 0; i < count; i++) {
-                OwnSite localSite = gateways.get(i);
+                LocalSiteHealth localSite = gateways.get(i);
                 if (now % requestInterval[i] == 0 && localSite.admits(now)) {
                     localSite.attemptEnded(siteUp && random.nextInt(20) > 0, now);
                 }
                 if ((now + i * MS) % HEARTBEAT == 0 && exchangeReports && random.nextInt(5) > 0) {
                     localSite.applyPeerReports(
-                            Views.StateCounts.parse(otherSites
+                            SiteStateReports.StateCounts.parse(otherSites
                                     .get(random.nextInt(2))
-                                    .recordAndCount("a", Views.format("g" + i, localSite.state()), now)
+                                    .recordAndCount("a", SiteStateReports.format("g" + i, localSite.state()), now)
                                     .toHeader()),
                             now);
                 }
-                if (localSite.state() == OwnSite.State.CUT && now < 6_000 * MS && observedAt[0][i] == 0) {
+                if (localSite.state() == LocalSiteHealth.State.CUT && now < 6_000 * MS && observedAt[0][i] == 0) {
                     observedAt[0][i] = now;
                 }
-                if (localSite.state() != OwnSite.State.CUT && now > 6_000 * MS && observedAt[1][i] == 0) {
+                if (localSite.state() != LocalSiteHealth.State.CUT && now > 6_000 * MS && observedAt[1][i] == 0) {
                     observedAt[1][i] = now;
                 }
             }
@@ -91,7 +92,7 @@
     /** A site whose servers all start at once takes its load as they warm up; other sites take the rest. */
     @Test
     void coldSiteTakesItsLoadGradually() {
-        OwnSite localSite = new OwnSite(LIMITS, 0);
+        LocalSiteHealth localSite = new LocalSiteHealth(LIMITS, 0);
         localSite.serversStarted(0, 0.39, 7_400 * MS);
         int[] admitted = new int[10];
         for (int i = 0; i < 1_000; i++) {
@@ -99,14 +100,14 @@
         }
         assertTrue(admitted[0] > 35 && admitted[0] < 50 && admitted[4] > 70 && admitted[4] < 85, "by their warm-up");
         assertEquals(100, admitted[8], "warm");
-        assertEquals(OwnSite.State.IN, localSite.state());
+        assertEquals(LocalSiteHealth.State.IN, localSite.state());
     }
 
     @Test
     void malformedReportsAreIgnoredAndReportsAreBounded() {
-        Views reports = new Views();
+        SiteStateReports reports = new SiteStateReports();
         for (String malformed : new String[] {null, "", "cut", "g1 gone", "g1 cut now", "g".repeat(99) + " cut"}) {
-            assertEquals(Views.StateCounts.NONE, reports.recordAndCount("a", malformed, 0));
+            assertEquals(SiteStateReports.StateCounts.NONE, reports.recordAndCount("a", malformed, 0));
         }
         for (int i = 0; i < 1_000; i++) {
             reports.recordAndCount("a", "g" + i + " cut", i);
@@ -115,10 +116,11 @@
         assertEquals(0, reports.recordAndCount("a", "me in", 600 * MS).cut(), "expired reports are not counted");
         assertEquals(0, reports.recordAndCount("b", "me in", 1_000).cut(), "reports of another site");
         for (String malformed : new String[] {null, "", "1,2", "1,2,3,4", "-1,0,0", "a,b,c", "9999999999,0,0"}) {
-            assertEquals(Views.StateCounts.NONE, Views.StateCounts.parse(malformed));
+            assertEquals(SiteStateReports.StateCounts.NONE, SiteStateReports.StateCounts.parse(malformed));
         }
         assertEquals(
-                new Views.StateCounts(1, 2, 3), Views.StateCounts.parse(new Views.StateCounts(1, 2, 3).toHeader()));
+                new SiteStateReports.StateCounts(1, 2, 3),
+                SiteStateReports.StateCounts.parse(new SiteStateReports.StateCounts(1, 2, 3).toHeader()));
     }
 
     /**
@@ -127,7 +129,7 @@
      */
     @Test
     void localClientsTakePrecedence() {
-        Pressure monitor = new Pressure();
+        LocalSloMonitor monitor = new LocalSloMonitor();
         int overloads = 0;
         for (int i = 0; i < 1_000; i++) {
             overloads += monitor.requestEnded(i % 25 > 0) ? 1 : 0;
--- a/src/test/java/pondridge/gateway/RawHttp2Client.java
+++ b/src/test/java/pondridge/gateway/RawHttp2Client.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 
 /**
  * HTTP/2 frames written by hand (RFC 9113, section 4.1), so that they may be invalid. Write errors on a
@@ -36,7 +36,7 @@
 
     RawHttp2Client(int port) throws IOException {
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
         out = socket.getOutputStream();
         in = new DataInputStream(socket.getInputStream());
     }
@@ -76,7 +76,7 @@
         for (int i = 0; i < 100; i++) {
             System.arraycopy(frame, 0, batch, i * frame.length, frame.length);
         }
-        Stub.thread(() -> {
+        StubServer.startThread(() -> {
             try {
                 in.transferTo(OutputStream.nullOutputStream());
             } catch (IOException e) {
@@ -98,7 +98,7 @@
 
     /** Sends a PING at intervals, so that the connection is never idle. */
     RawHttp2Client keepAlive() {
-        Stub.thread(() -> {
+        StubServer.startThread(() -> {
             while (!socket.isClosed()) {
                 write(frame(PING, 0, 0, new byte[8]));
                 LockSupport.parkNanos(50 * WRITE_INTERVAL_NANOS);
@@ -192,7 +192,7 @@
 
     /** Reads until this many streams have been reset or a GOAWAY was received. */
     RawHttp2Client awaitResets(int count) throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         for (int left = count; left > 0; ) {
             if (System.nanoTime() - until > 0) {
                 throw new IOException("streams not reset: " + left);
