--- a/src/test/java/pondridge/gateway/RouterTest.java
+++ b/src/test/java/pondridge/gateway/RouterTest.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
-import pondridge.siteloss.Split;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.siteloss.SiteFailoverRouting;
 import pondridge.siteloss.Topology;
 
 /**
@@ -26,33 +26,33 @@
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
     private static final long MAX_DELIVERY_NANOS = 300 * MS;
-    private static final RequestClass CHECK = newClass(1, Semantics.REPEATABLE, Scope.ALL, 0);
-    private static final RequestClass HOLD = newClass(3, Semantics.BY_KEY, Scope.ZONE, SECOND);
-    private static final RequestClass CONFIRM = newClass(10, Semantics.BY_KEY, Scope.ALL, 7_500 * MS);
-    private static final RequestClass BOOK = newClass(10, Semantics.ONCE, Scope.ALL, 0);
+    private static final RequestClass CHECK = newClass(1, RetrySemantics.REPEATABLE, KeyScope.ALL, 0);
+    private static final RequestClass HOLD = newClass(3, RetrySemantics.BY_KEY, KeyScope.ZONE, SECOND);
+    private static final RequestClass CONFIRM = newClass(10, RetrySemantics.BY_KEY, KeyScope.ALL, 7_500 * MS);
+    private static final RequestClass BOOK = newClass(10, RetrySemantics.ONCE, KeyScope.ALL, 0);
     private static final List<RequestClass> CLASSES = List.of(CHECK, HOLD, CONFIRM, BOOK);
-    private static final OwnSite.Limits LIMITS = new OwnSite.Limits(5, 200 * MS, SECOND, 0.05, SECOND);
+    private static final LocalSiteHealth.Limits LIMITS = new LocalSiteHealth.Limits(5, 200 * MS, SECOND, 0.05, SECOND);
 
-    private static RequestClass newClass(double worth, Semantics semantics, Scope scope, long keyTtlNanos) {
+    private static RequestClass newClass(double worth, RetrySemantics semantics, KeyScope scope, long keyTtlNanos) {
         return new RequestClass(500 * MS, 0, 12 * SECOND, worth, 0, semantics, scope, keyTtlNanos, false);
     }
 
     private static Router.SiteSnapshot site(long roundTripNanos, boolean reachable, int credit) {
-        LinkTimes link = new LinkTimes(10 * MS, 4, 0);
+        LinkRttEstimator link = new LinkRttEstimator(10 * MS, 4, 0);
         link.addRoundTrip(roundTripNanos, 0);
         return new Router.SiteSnapshot(link, reachable, credit, 10 - Math.min(10, credit));
     }
 
-    private static Router router(OwnSite localSite, CrossingBudget budget) {
-        return new Router("a", localSite, budget, 10 * MS, MAX_DELIVERY_NANOS, Split.NONE);
+    private static Router router(LocalSiteHealth localSite, CrossSiteBudget budget) {
+        return new Router("a", localSite, budget, 10 * MS, MAX_DELIVERY_NANOS, SiteFailoverRouting.NONE);
     }
 
-    private static CrossingBudget budget(double perSecond, double burst, double arrivalShare) {
-        List<CrossingBudget.ClassLimit> limits = new ArrayList<>();
+    private static CrossSiteBudget budget(double perSecond, double burst, double arrivalShare) {
+        List<CrossSiteBudget.ClassLimit> limits = new ArrayList<>();
         for (int i = 0; i < CLASSES.size(); i++) {
-            limits.add(new CrossingBudget.ClassLimit(null, CrossingBudget.defaultReservedFraction(CLASSES, i)));
+            limits.add(new CrossSiteBudget.ClassLimit(null, CrossSiteBudget.defaultReservedFraction(CLASSES, i)));
         }
-        return new CrossingBudget(new CrossingBudget.Rate(perSecond, burst, arrivalShare), limits, 0);
+        return new CrossSiteBudget(new CrossSiteBudget.Rate(perSecond, burst, arrivalShare), limits, 0);
     }
 
     /** An execution of one request: when and where servers received it; evaluated in order of time. */
@@ -64,11 +64,11 @@
         for (Execution execution : executions.stream()
                 .sorted(Comparator.comparingLong(Execution::at))
                 .toList()) {
-            String scopeKey = requestClass.scope() == Scope.ALL ? "" : execution.site;
+            String scopeKey = requestClass.keyScope() == KeyScope.ALL ? "" : execution.site;
             boolean isDuplicate = execution.at < keyExpiryByScope.getOrDefault(scopeKey, Long.MIN_VALUE);
-            if (requestClass.semantics() != Semantics.BY_KEY || !isDuplicate) {
+            if (requestClass.retrySemantics() != RetrySemantics.BY_KEY || !isDuplicate) {
                 effects++;
-                keyExpiryByScope.put(scopeKey, execution.at + requestClass.keyTtl());
+                keyExpiryByScope.put(scopeKey, execution.at + requestClass.keyTtlNanos());
             }
         }
         return effects;
@@ -78,12 +78,12 @@
     private static Router.Step runRequest(
             Random random,
             Router router,
-            OwnSite localSite,
+            LocalSiteHealth localSite,
             RequestClass requestClass,
             long startNanos,
             boolean fromLink,
             List<Execution> executions) {
-        Trail history = new Trail(CLASSES.indexOf(requestClass), fromLink, 0);
+        AttemptHistory history = new AttemptHistory(CLASSES.indexOf(requestClass), fromLink, 0);
         router.requestArrived(history);
         long deadline = startNanos + 200 * MS + (long) (random.nextDouble() * 11 * SECOND);
         long now = startNanos;
@@ -135,7 +135,7 @@
         int repeated = 0;
         for (long seed = 0; seed < 2_000; seed++) {
             Random random = new Random(seed);
-            OwnSite localSite = new OwnSite(LIMITS, 0);
+            LocalSiteHealth localSite = new LocalSiteHealth(LIMITS, 0);
             Router router = router(localSite, budget(1e6, 1e6, 1));
             for (int i = 0; i < 40; i++) {
                 RequestClass requestClass = CLASSES.get(random.nextInt(CLASSES.size()));
@@ -145,12 +145,12 @@
                         runRequest(random, router, localSite, requestClass, i * 100 * MS, fromLink, executions);
                 int effects = effects(requestClass, executions);
                 String description =
-                        "seed " + seed + " request " + i + " " + requestClass.semantics() + " " + executions;
-                assertTrue(requestClass.semantics() == Semantics.REPEATABLE || effects <= 1, description);
+                        "seed " + seed + " request " + i + " " + requestClass.retrySemantics() + " " + executions;
+                assertTrue(requestClass.retrySemantics() == RetrySemantics.REPEATABLE || effects <= 1, description);
                 assertFalse(
                         last instanceof Router.Refuse
                                 && effects > 0
-                                && requestClass.semantics() != Semantics.REPEATABLE,
+                                && requestClass.retrySemantics() != RetrySemantics.REPEATABLE,
                         "refused although it was executed: " + description);
                 sentToRemoteSite += executions.stream().anyMatch(execution -> !execution.site.equals("a")) ? 1 : 0;
                 repeated += executions.size() > 1 ? 1 : 0;
@@ -163,15 +163,15 @@
 
     @Test
     void uncertainHoldsAreRepeatedOnlyWithinTheirKeyScope() {
-        OwnSite localSite = new OwnSite(LIMITS, 0);
+        LocalSiteHealth localSite = new LocalSiteHealth(LIMITS, 0);
         Router router = router(localSite, budget(100, 100, 1));
         Map<String, Router.SiteSnapshot> sites = Map.of("b", site(40 * MS, true, 9));
-        Trail atLocalSite = new Trail(2, false, 0);
+        AttemptHistory atLocalSite = new AttemptHistory(2, false, 0);
         atLocalSite.attemptSent("a", 0);
         atLocalSite.attemptEnded(false);
         assertInstanceOf(Router.Fail.class, router.nextStep(MS, HOLD, SECOND, atLocalSite, sites));
         Map<String, Router.SiteSnapshot> down = Map.of("b", site(40 * MS, false, 0));
-        Trail afterBrokenLink = new Trail(2, false, 0);
+        AttemptHistory afterBrokenLink = new AttemptHistory(2, false, 0);
         afterBrokenLink.attemptSent("b", 0);
         afterBrokenLink.attemptEnded(false);
         afterBrokenLink.attemptSent("a", 0);
@@ -185,7 +185,7 @@
                 Router.Fail.class,
                 router.nextStep(SECOND, CONFIRM, 5 * SECOND, afterBrokenLink, down),
                 "no more waits");
-        Trail atOtherSite = new Trail(2, false, 0);
+        AttemptHistory atOtherSite = new AttemptHistory(2, false, 0);
         atOtherSite.attemptSent("b", 0);
         atOtherSite.attemptEnded(false);
         assertInstanceOf(
@@ -196,7 +196,7 @@
                 Router.Fail.class,
                 router.nextStep(SECOND - MAX_DELIVERY_NANOS, HOLD, 5 * SECOND, atOtherSite, sites),
                 "it might arrive after the key window");
-        Trail confirm = new Trail(2, false, 0);
+        AttemptHistory confirm = new AttemptHistory(2, false, 0);
         confirm.attemptSent("a", 0);
         confirm.attemptEnded(false);
         Router.Remote remote =
@@ -210,10 +210,10 @@
 
     @Test
     void requestsWithoutTimeForTheRoundTripAreNotSent() {
-        OwnSite localSite = new OwnSite(LIMITS, 0);
+        LocalSiteHealth localSite = new LocalSiteHealth(LIMITS, 0);
         localSite.noServerReady(0);
         Router router = router(localSite, budget(100, 100, 1));
-        Trail history = new Trail(2, false, 0);
+        AttemptHistory history = new AttemptHistory(2, false, 0);
         history.attemptSent("a", 0);
         history.attemptEnded(true);
         Map<String, Router.SiteSnapshot> sites = Map.of("b", site(80 * MS, true, 9));
@@ -224,7 +224,7 @@
 
     @Test
     void budgetIsNeverExceededAndReservedForHigherWorth() {
-        CrossingBudget budget = budget(10, 20, 0.5);
+        CrossSiteBudget budget = budget(10, 20, 0.5);
         assertEquals(
                 List.of(8, 12),
                 List.of(taken(budget, 0, 0), taken(budget, 2, 0)),
@@ -235,7 +235,7 @@
         assertEquals(1, taken(budget, 2, SECOND));
     }
 
-    private static int taken(CrossingBudget budget, int requestClass, long now) {
+    private static int taken(CrossSiteBudget budget, int requestClass, long now) {
         int taken = 0;
         while (taken < 1_000 && budget.tryTake(requestClass, now)) {
             taken++;
@@ -249,12 +249,12 @@
      */
     @Test
     void classLimitsApplyWithinTheCommonBudget() {
-        CrossingBudget.ClassLimit free = new CrossingBudget.ClassLimit(null, 0);
-        CrossingBudget budget = new CrossingBudget(
-                new CrossingBudget.Rate(100, 100, 1),
+        CrossSiteBudget.ClassLimit free = new CrossSiteBudget.ClassLimit(null, 0);
+        CrossSiteBudget budget = new CrossSiteBudget(
+                new CrossSiteBudget.Rate(100, 100, 1),
                 List.of(
-                        new CrossingBudget.ClassLimit(new CrossingBudget.Rate(2, 5, 0.5), 0),
-                        new CrossingBudget.ClassLimit(null, 0.9),
+                        new CrossSiteBudget.ClassLimit(new CrossSiteBudget.Rate(2, 5, 0.5), 0),
+                        new CrossSiteBudget.ClassLimit(null, 0.9),
                         free,
                         free),
                 0);
@@ -270,7 +270,7 @@
     /** A lease replaces the default rate for its duration, also if the budget was not used meanwhile. */
     @Test
     void leaseAppliesOnlyForItsDuration() {
-        CrossingBudget budget = budget(10, 1_000, 1);
+        CrossSiteBudget budget = budget(10, 1_000, 1);
         taken(budget, 2, 0);
         for (int i = 0; i < 1_000; i++) {
             budget.requestArrived(2);
@@ -283,13 +283,13 @@
 
     @Test
     void returnStartsSmallAndFlappingLengthensTheWait() {
-        OwnSite localSite = new OwnSite(LIMITS, 0);
+        LocalSiteHealth localSite = new LocalSiteHealth(LIMITS, 0);
         long now = 0;
         long waited = 0;
         for (int flap = 0; flap < 4; flap++) {
             localSite.noServerReady(now);
             long cutAt = now;
-            for (; localSite.state() == OwnSite.State.CUT; now += 10 * MS) {
+            for (; localSite.state() == LocalSiteHealth.State.CUT; now += 10 * MS) {
                 if (localSite.admits(now)) {
                     localSite.attemptEnded(true, now);
                 }
@@ -303,12 +303,12 @@
             assertTrue(taken >= 4 && taken <= 6, "initial share of one twentieth: " + taken);
         }
         assertTrue(localSite.admits(now + 5 * SECOND), "the whole load in the end");
-        assertEquals(OwnSite.State.IN, localSite.state());
+        assertEquals(LocalSiteHealth.State.IN, localSite.state());
     }
 
     @Test
     void stallsAreDetectedRelativeToTheRoundTrip() {
-        LinkTimes link = new LinkTimes(10 * MS, 4, 0);
+        LinkRttEstimator link = new LinkRttEstimator(10 * MS, 4, 0);
         for (int i = 1; i <= 50; i++) {
             link.addRoundTrip(80 * MS, i * SECOND);
         }
@@ -328,10 +328,10 @@
      */
     @Test
     void lostSiteIsSplitByCapacityAlikeAtAllItsGateways() {
-        List<Topology.Kind> kinds = new ArrayList<>();
+        List<Topology.TrafficClass> kinds = new ArrayList<>();
         Map<String, Double> asked = new HashMap<>();
         for (int i = 0; i < CLASSES.size(); i++) {
-            kinds.add(new Topology.Kind("k" + i, CLASSES.get(i).worth(), 0.1, 0.5));
+            kinds.add(new Topology.TrafficClass("k" + i, CLASSES.get(i).utility(), 0.1, 0.5));
             asked.put("k" + i, 10.0);
         }
         Topology topology = new Topology(
@@ -340,13 +340,13 @@
                         new Topology.Site("b", 0.8, Map.of()),
                         new Topology.Site("c", 2.4, Map.of())),
                 kinds,
-                List.of(new Topology.Way("a", "b", 1e6, 0), new Topology.Way("a", "c", 1e6, 0)),
+                List.of(new Topology.SiteLink("a", "b", 1e6, 0), new Topology.SiteLink("a", "c", 1e6, 0)),
                 0);
-        Split split = Split.of(topology, "a", List.of("k0", "k1", "k2", "k3"));
+        SiteFailoverRouting split = SiteFailoverRouting.of(topology, "a", List.of("k0", "k1", "k2", "k3"));
         Map<String, Router.SiteSnapshot> sites = Map.of("b", site(MS, true, 9), "c", site(5 * MS, true, 9));
         List<Router> gateways = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            OwnSite localSite = new OwnSite(LIMITS, 0);
+            LocalSiteHealth localSite = new LocalSiteHealth(LIMITS, 0);
             localSite.noServerReady(0);
             gateways.add(new Router("a", localSite, budget(1e6, 1e6, 1), 10 * MS, MAX_DELIVERY_NANOS, split));
         }
@@ -387,7 +387,7 @@
     /** The site that a new request is sent to, "-" for refused. */
     private static String siteFor(Router router, int classIndex, long key, Map<String, Router.SiteSnapshot> sites) {
         Router.Step step =
-                router.nextStep(1, CLASSES.get(classIndex), SECOND, new Trail(classIndex, false, key), sites);
+                router.nextStep(1, CLASSES.get(classIndex), SECOND, new AttemptHistory(classIndex, false, key), sites);
         return step instanceof Router.Remote remote ? remote.site() : step instanceof Router.Refuse ? "-" : "own";
     }
 }
--- a/src/test/java/pondridge/grpc/GrpcDifferentialTest.java
+++ b/src/test/java/pondridge/grpc/GrpcDifferentialTest.java
@@ -16,16 +16,16 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
-import pondridge.demo.Usual;
+import pondridge.demo.StandinOptions;
 import pondridge.rig.Fleet;
-import pondridge.standin.EffectLedger;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger;
+import pondridge.standin.ExecutionLedger.Verdict;
 import pondridge.standin.Fault;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
-import pondridge.standin.OpenLoad;
+import pondridge.standin.IdempotencyKeyStore;
+import pondridge.standin.OpenLoopLoadGenerator;
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
@@ -47,14 +47,14 @@
         private final String className;
         private final List<GrpcTestFixture> fixtures = new ArrayList<>();
         private final List<StandinServer> servers = new ArrayList<>();
-        private final List<EffectLedger> ledgers = new ArrayList<>();
+        private final List<ExecutionLedger> ledgers = new ArrayList<>();
         private final List<CompletableFuture<Void>> ends = new ArrayList<>();
 
         Pair(Protocol protocol, Fault fault, String className) throws Exception {
             this.protocol = protocol;
             this.className = className;
             for (int frontEnd = 0; frontEnd < 2; frontEnd++) {
-                EffectLedger ledger = new EffectLedger(5_000 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
+                ExecutionLedger ledger = new ExecutionLedger(5_000 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
                 ledgers.add(ledger);
                 StandinServer server = new StandinServer(
                         group.next(),
@@ -65,17 +65,17 @@
                                 protocol,
                                 new FaultScript(1, Map.of(fault, 1.0), NANOS_PER_MILLI, NANOS_PER_MILLI),
                                 ledger,
-                                new KeyMemory()));
+                                new IdempotencyKeyStore()));
                 servers.add(server);
                 GrpcTestFixture fixture = new GrpcTestFixture(
                         group.next(),
-                        Usual.options(TIMEOUT_MILLIS),
+                        StandinOptions.withDeadline(TIMEOUT_MILLIS),
                         protocol,
-                        List.of(new Target("s", server.address(), "a", "m", 0, State.READY, 1, 0)),
+                        List.of(new Target("s", server.address(), "a", "m", 0, UpstreamState.READY, 1, 0)),
                         false);
                 fixtures.add(fixture);
                 if (frontEnd == 0) {
-                    ends.add(new OpenLoad(group.next(), List.of(fixture.httpAddress()), ledger, 1, "h")
+                    ends.add(new OpenLoopLoadGenerator(group.next(), List.of(fixture.httpAddress()), ledger, 1, "h")
                             .start(Fleet.plan(1, 1_000, TIMEOUT_MILLIS, Map.of(className, 1.0))));
                 } else {
                     CompletableFuture<Void> ended = new CompletableFuture<>();
@@ -87,7 +87,7 @@
         }
 
         private String result(int frontEnd) throws Exception {
-            ends.get(frontEnd).get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+            ends.get(frontEnd).get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             Verdict verdict = ledgers.get(frontEnd).verdict();
             assertEquals(1, verdict.served() + verdict.refused() + verdict.failed(), verdict::toString);
             return verdict.served() > 0 ? "served" : verdict.refused() > 0 ? "refused" : "failed";
@@ -116,7 +116,7 @@
                     String result = pair.result(0);
                     assertEquals(result, pair.result(1), description);
                     failed += result.equals("failed") ? 1 : 0;
-                    boolean executed = pair.servers.get(0).runs() > 0;
+                    boolean executed = pair.servers.get(0).executions() > 0;
                     boolean repeatable = !pair.className.equals("stock-hold") && !pair.className.equals("order-book");
                     assertTrue(
                             !executed || repeatable || FALSE_DECLINES.contains(fault) || !result.equals("refused"),
--- a/src/test/java/pondridge/grpc/GrpcFramesTest.java
+++ b/src/test/java/pondridge/grpc/GrpcFramesTest.java
@@ -34,15 +34,15 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
-import pondridge.demo.Usual;
-import pondridge.http2.Direct;
+import pondridge.demo.StandinOptions;
+import pondridge.http2.TransportHarness;
 import pondridge.rig.Fleet;
-import pondridge.standin.EffectLedger;
+import pondridge.standin.ExecutionLedger;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
-import pondridge.standin.OrderClass;
+import pondridge.standin.IdempotencyKeyStore;
+import pondridge.standin.StandinRequestClass;
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
@@ -51,7 +51,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final byte[] ONE_MESSAGE = MessageReader.frame(new byte[] {1});
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
-    private final EffectLedger ledger = new EffectLedger(5_000 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
+    private final ExecutionLedger ledger = new ExecutionLedger(5_000 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
     private StandinServer server;
     private GrpcTestFixture fixture;
     private Channel connection;
@@ -60,12 +60,18 @@
         server = new StandinServer(
                 group.next(),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                StandinServer.Setup.of("s", "a", Protocol.GRPC, FaultScript.none(workNanos), ledger, new KeyMemory()));
+                StandinServer.Setup.of(
+                        "s",
+                        "a",
+                        Protocol.GRPC,
+                        FaultScript.withoutFaults(workNanos),
+                        ledger,
+                        new IdempotencyKeyStore()));
         fixture = new GrpcTestFixture(
                 group.next(),
-                Usual.options(5_000),
+                StandinOptions.withDeadline(5_000),
                 Protocol.GRPC,
-                List.of(new Target("s", server.address(), "a", "m", 0, State.READY, 1, 0)),
+                List.of(new Target("s", server.address(), "a", "m", 0, UpstreamState.READY, 1, 0)),
                 false);
         connection = new Bootstrap()
                 .group(group.next())
@@ -98,7 +104,7 @@
     /** A call with its stream and its result: "http 415", the gRPC status or "gone". */
     private record Call(Http2StreamChannel stream, CompletableFuture<String> result) {
         private String await() throws Exception {
-            return result.get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+            return result.get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
@@ -137,7 +143,7 @@
                 .sync()
                 .getNow();
         CharSequence id = requestHeaders.get("req-id");
-        if (id != null && ledger.verdict().asked() < 1_000) {
+        if (id != null && ledger.verdict().requests() < 1_000) {
             recordRequest(id.toString());
         }
         stream.write(new DefaultHttp2HeadersFrame(requestHeaders, endStream && fragments.length == 0));
@@ -151,7 +157,7 @@
 
     private void recordRequest(String id) {
         try {
-            ledger.asked(id, OrderClass.named("order-book"), "", 5_000 * NANOS_PER_MILLI);
+            ledger.requestSent(id, StandinRequestClass.named("order-book"), "", 5_000 * NANOS_PER_MILLI);
         } catch (IllegalArgumentException e) {
             // The test reuses the ID of an open call on purpose.
         }
@@ -171,7 +177,7 @@
                         .await(),
                 "empty");
         assertEquals("0", call(headers("stock-check", "r3"), true, ONE_MESSAGE).await());
-        assertEquals(3, server.runs());
+        assertEquals(3, server.executions());
         byte[] twoMessages = Arrays.copyOf(ONE_MESSAGE, 2 * ONE_MESSAGE.length);
         System.arraycopy(ONE_MESSAGE, 0, twoMessages, ONE_MESSAGE.length, ONE_MESSAGE.length);
         Map<String, byte[][]> malformed = Map.of(
@@ -195,8 +201,8 @@
         }
         Call oversized = call(headers("order-book", "r30"), false, new byte[] {0, 0, 2, 0, 0}, new byte[70_000]);
         assertEquals("8", oversized.await(), "too large, reported before the message is complete");
-        Direct.until(() -> !oversized.stream().isOpen(), "the rest of the message is not awaited");
-        assertEquals(3, server.runs(), "no malformed call was executed");
+        TransportHarness.waitUntil(() -> !oversized.stream().isOpen(), "the rest of the message is not awaited");
+        assertEquals(3, server.executions(), "no malformed call was executed");
     }
 
     @Test
@@ -218,7 +224,7 @@
                 "3", call(headers("order-confirm", "r5"), true, ONE_MESSAGE).await(), "no key");
         Http2Headers unknownTenant = headers("order-book", "r6").set("req-owner", "nobody");
         assertEquals("3", call(unknownTenant, true, ONE_MESSAGE).await(), "unknown tenant");
-        assertEquals(0, server.runs());
+        assertEquals(0, server.executions());
     }
 
     /** A client that cancels a call in flight receives nothing more, and the request ID can be used again. */
@@ -227,11 +233,11 @@
         stop();
         start(400 * NANOS_PER_MILLI);
         Call first = call(headers("order-book", "r1"), true, ONE_MESSAGE);
-        Direct.until(() -> server.runs() == 1, "the call is executed");
+        TransportHarness.waitUntil(() -> server.executions() == 1, "the call is executed");
         assertEquals("6", call(headers("order-book", "r1"), true, ONE_MESSAGE).await(), "the request ID is in use");
         first.stream().writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL));
         assertEquals("gone", first.await());
-        Direct.until(() -> fixture.isIdle(), "no request is in flight");
+        TransportHarness.waitUntil(() -> fixture.isIdle(), "no request is in flight");
         // The balancer has seen a call without a response and may refuse some calls for a while.
         int number = 2;
         String status = "14";
@@ -241,7 +247,7 @@
             Thread.sleep(20);
         }
         assertEquals("0", status, "other calls are served");
-        assertEquals(2, server.runs(), "the cancelled call was not repeated");
+        assertEquals(2, server.executions(), "the cancelled call was not repeated");
     }
 
     /** A call and its cancellation both arrive while the event loop is blocked: the call is not forwarded. */
@@ -253,7 +259,7 @@
         fixture.loop().execute(() -> {
             blocked.countDown();
             try {
-                release.await(Fleet.LIMIT_S, TimeUnit.SECONDS);
+                release.await(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -265,9 +271,10 @@
         // Longer than a disconnect may go unnoticed.
         Thread.sleep(150);
         release.countDown();
-        Direct.until(() -> fixture.engine().asked() == 2 && fixture.isIdle(), "the call has ended");
+        TransportHarness.waitUntil(
+                () -> fixture.engine().requestCount() == 2 && fixture.isIdle(), "the call has ended");
         assertEquals("0", call(headers("order-book", "r3"), true, ONE_MESSAGE).await());
-        assertEquals(2, server.runs(), "the cancelled call was not executed");
+        assertEquals(2, server.executions(), "the cancelled call was not executed");
     }
 
     private void stop() {
--- a/src/test/java/pondridge/grpc/GrpcProtocolTest.java
+++ b/src/test/java/pondridge/grpc/GrpcProtocolTest.java
@@ -124,8 +124,8 @@
         }
         assertEquals(
                 List.of(GrpcCode.DEADLINE_EXCEEDED, GrpcCode.UNKNOWN),
-                List.of(FinalCode.failed(10_000_000), FinalCode.failed(100_000_000)));
-        assertEquals("%25 a%0A%C3%A9", FinalCode.percentEncode("% a\né"));
+                List.of(LocalStatus.failed(10_000_000), LocalStatus.failed(100_000_000)));
+        assertEquals("%25 a%0A%C3%A9", LocalStatus.percentEncode("% a\né"));
     }
 
     /**
--- a/src/test/java/pondridge/grpc/GrpcTest.java
+++ b/src/test/java/pondridge/grpc/GrpcTest.java
@@ -31,18 +31,18 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.State;
-import pondridge.Options;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
 import pondridge.core.Target;
-import pondridge.demo.Usual;
-import pondridge.http2.Direct;
+import pondridge.demo.StandinOptions;
+import pondridge.http2.TransportHarness;
 import pondridge.rig.Fleet;
-import pondridge.standin.EffectLedger;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger;
+import pondridge.standin.ExecutionLedger.Verdict;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
-import pondridge.standin.OpenLoad;
-import pondridge.standin.OrderClass;
+import pondridge.standin.IdempotencyKeyStore;
+import pondridge.standin.OpenLoopLoadGenerator;
+import pondridge.standin.StandinRequestClass;
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 
@@ -55,9 +55,9 @@
     private final EventLoop loop = group.next();
     private final EventLoop serverLoop = group.next();
     private final EventLoop clientLoop = group.next();
-    private final Options options = Usual.options(TIMEOUT_MILLIS);
-    private final EffectLedger ledger = new EffectLedger(500 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
-    private final KeyMemory memory = new KeyMemory();
+    private final BalancerOptions options = StandinOptions.withDeadline(TIMEOUT_MILLIS);
+    private final ExecutionLedger ledger = new ExecutionLedger(500 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
+    private final IdempotencyKeyStore memory = new IdempotencyKeyStore();
     private final Random random = new Random(SEED);
     private final List<Runnable> closers = new ArrayList<>();
     private GrpcTestFixture fixture;
@@ -77,20 +77,20 @@
                             response.onError(Status.UNAVAILABLE.asRuntimeException(marker));
                             return;
                         }
-                        ledger.arrived(name, metadata.get(GrpcTestFixture.REQUEST_ID));
-                        OrderClass orderClass = OrderClass.named(className);
-                        if (orderClass.effect() != OrderClass.Effect.KEYED
-                                || memory.first(
+                        ledger.requestArrived(name, metadata.get(GrpcTestFixture.REQUEST_ID));
+                        StandinRequestClass orderClass = StandinRequestClass.named(className);
+                        if (orderClass.effect() != StandinRequestClass.Effect.KEYED
+                                || memory.rememberIfNew(
                                         orderClass,
                                         "a",
                                         metadata.get(GrpcTestFixture.IDEMPOTENCY_KEY),
                                         System.nanoTime())) {
-                            ledger.ran(
+                            ledger.requestExecuted(
                                     name,
                                     metadata.get(GrpcTestFixture.REQUEST_ID),
                                     metadata.get(GrpcTestFixture.IDEMPOTENCY_KEY));
                         } else {
-                            ledger.dropped();
+                            ledger.repeatDropped();
                         }
                         if (sample < declineRate + failureRate) {
                             response.onError(Status.UNAVAILABLE.asRuntimeException());
@@ -130,7 +130,7 @@
     };
 
     private static Target target(String name, InetSocketAddress address) {
-        return new Target(name, address, "a", "m", 0, State.READY, 1, 0);
+        return new Target(name, address, "a", "m", 0, UpstreamState.READY, 1, 0);
     }
 
     private void start(Protocol serverProtocol, List<Target> servers) throws Exception {
@@ -158,21 +158,24 @@
                     ends::countDown);
             Thread.sleep(2);
         }
-        assertTrue(ends.await(Fleet.LIMIT_S, TimeUnit.SECONDS), "every call ends");
+        assertTrue(ends.await(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS), "every call ends");
     }
 
     private Verdict awaitCleanVerdict(int minServed) throws Exception {
-        Direct.until(
-                () -> loop.submit(fixture.engine()::idle).syncUninterruptibly().getNow(), "no request is in flight");
+        TransportHarness.waitUntil(
+                () -> loop.submit(fixture.engine()::isIdle)
+                        .syncUninterruptibly()
+                        .getNow(),
+                "no request is in flight");
         Verdict verdict = ledger.verdict();
         System.out.println("seed " + SEED + " " + verdict);
-        assertTrue(verdict.clean() && verdict.served() > minServed, verdict::toString);
+        assertTrue(verdict.passed() && verdict.served() > minServed, verdict::toString);
         return verdict;
     }
 
     private CompletableFuture<Void> startHttpLoad(int count) {
-        return new OpenLoad(clientLoop, List.of(fixture.httpAddress()), ledger, SEED, "h")
-                .start(Fleet.mixed(count, 300, TIMEOUT_MILLIS));
+        return new OpenLoopLoadGenerator(clientLoop, List.of(fixture.httpAddress()), ledger, SEED, "h")
+                .start(Fleet.mixedPlan(count, 300, TIMEOUT_MILLIS));
     }
 
     /** Clients of both protocols at once over servers that fail after execution or decline unexecuted. */
@@ -183,7 +186,7 @@
         makeCalls(400);
         Fleet.await(http);
         Verdict verdict = awaitCleanVerdict(400);
-        assertTrue(verdict.dropped() > 0, "no keyed request was repeated after execution: " + verdict);
+        assertTrue(verdict.droppedRepeats() > 0, "no keyed request was repeated after execution: " + verdict);
     }
 
     @Test
@@ -199,7 +202,7 @@
                             Protocol.HTTP1,
                             new FaultScript(
                                     SEED + i,
-                                    FaultScript.parse("error=0.02,reset=0.02,decline=0.03"),
+                                    FaultScript.parseFractions("error=0.02,reset=0.02,decline=0.03"),
                                     NANOS_PER_MILLI,
                                     NANOS_PER_MILLI),
                             ledger,
@@ -218,7 +221,7 @@
     void healthFollowsReadiness() throws Exception {
         start(Protocol.GRPC, List.of(server("s0", 0, 0)));
         for (boolean ready : new boolean[] {false, true}) {
-            loop.submit(() -> fixture.frontEnd().ready(ready)).get();
+            loop.submit(() -> fixture.frontEnd().setReady(ready)).get();
             assertEquals(
                     ready ? 1 : 2,
                     ClientCalls.blockingUnaryCall(
@@ -237,9 +240,9 @@
             }
         });
         makeCalls(600);
-        drains.get(Fleet.LIMIT_S, TimeUnit.SECONDS);
+        drains.get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         awaitCleanVerdict(300);
-        Direct.until(
+        TransportHarness.waitUntil(
                 () -> loop.submit(fixture.frontEnd()::connectionCount)
                                 .syncUninterruptibly()
                                 .getNow()
--- a/src/test/java/pondridge/grpc/GrpcTestFixture.java
+++ b/src/test/java/pondridge/grpc/GrpcTestFixture.java
@@ -22,8 +22,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import pondridge.Options;
-import pondridge.core.Directory;
+import pondridge.BalancerOptions;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Engine;
 import pondridge.core.Target;
 import pondridge.core.Transport;
@@ -32,8 +32,8 @@
 import pondridge.http2.Http2Options;
 import pondridge.http2.Http2Upstreams;
 import pondridge.settings.SettingsFile;
-import pondridge.standin.EffectLedger;
-import pondridge.standin.OrderClass;
+import pondridge.standin.ExecutionLedger;
+import pondridge.standin.StandinRequestClass;
 import pondridge.standin.StandinServer.Protocol;
 
 /** An engine over servers of one protocol, front ends for HTTP/1.1 and gRPC, and a grpc-java client. */
@@ -45,7 +45,7 @@
     static final Metadata.Key<String> IDEMPOTENCY_KEY = metadataKey("idempotency-key");
     static final Metadata.Key<String> DECLINE_MARKER = metadataKey("srv-declined");
     private final Engine engine;
-    private final GrpcFront frontEnd;
+    private final GrpcFrontend frontEnd;
     private final InetSocketAddress httpAddress;
     private final ManagedChannel channel;
     private final EventLoop loop;
@@ -56,7 +56,8 @@
      *
      * @param retries whether the grpc-java client retries UNAVAILABLE
      */
-    GrpcTestFixture(EventLoop loop, Options options, Protocol serverProtocol, List<Target> servers, boolean retries)
+    GrpcTestFixture(
+            EventLoop loop, BalancerOptions options, Protocol serverProtocol, List<Target> servers, boolean retries)
             throws Exception {
         this.loop = loop;
         GrpcSettings settings = settings("");
@@ -68,11 +69,12 @@
                             switch (serverProtocol) {
                                 case HTTP1 -> new Upstreams(loop, options, 500);
                                 case HTTP2 -> new Http2Upstreams(loop, options, http2);
-                                default -> new Http2Upstreams(loop, options, http2, new GrpcWording(settings, options));
+                                default -> new Http2Upstreams(
+                                        loop, options, http2, new GrpcUpstreamCodec(settings, options));
                             };
                     Engine started = new Engine(loop, options, 7, 4_096, transport);
                     started.start(
-                            new Directory() {
+                            new EndpointDiscovery() {
                                 @Override
                                 public void watch(boolean enabled) {}
 
@@ -83,7 +85,7 @@
                     return started;
                 })
                 .get();
-        frontEnd = new GrpcFront(loop, settings, options, engine, "test", (event, peer, detail) -> {});
+        frontEnd = new GrpcFrontend(loop, settings, options, engine, "test", (event, peer, detail) -> {});
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         httpAddress = (InetSocketAddress) new Frontend(engine, options, 4_096)
                 .listen(loop, anyPort)
@@ -121,7 +123,7 @@
         return loop;
     }
 
-    GrpcFront frontEnd() {
+    GrpcFrontend frontEnd() {
         return frontEnd;
     }
 
@@ -136,7 +138,7 @@
 
     /** Whether no request is in flight. */
     boolean isIdle() {
-        return loop.submit(() -> engine.idle() && frontEnd.idle())
+        return loop.submit(() -> engine.isIdle() && frontEnd.isIdle())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -147,16 +149,21 @@
 
     /** Makes one call with the grpc-java stub and records its end in the ledger. */
     void call(
-            String id, String className, CallOptions options, EffectLedger ledger, long timeoutMillis, Runnable onEnd) {
-        OrderClass orderClass = OrderClass.named(className);
-        String key = orderClass.effect() == OrderClass.Effect.KEYED ? "key-" + id : "";
+            String id,
+            String className,
+            CallOptions options,
+            ExecutionLedger ledger,
+            long timeoutMillis,
+            Runnable onEnd) {
+        StandinRequestClass orderClass = StandinRequestClass.named(className);
+        String key = orderClass.effect() == StandinRequestClass.Effect.KEYED ? "key-" + id : "";
         Metadata headers = new Metadata();
         headers.put(REQUEST_ID, id);
         headers.put(TENANT, "acme");
         if (!key.isEmpty()) {
             headers.put(IDEMPOTENCY_KEY, key);
         }
-        ledger.asked(id, orderClass, key, timeoutMillis * 1_000_000);
+        ledger.requestSent(id, orderClass, key, timeoutMillis * 1_000_000);
         Channel withHeaders = ClientInterceptors.intercept(channel, MetadataUtils.newAttachHeadersInterceptor(headers));
         ClientCalls.asyncUnaryCall(
                 withHeaders.newCall(method(className), options),
@@ -164,13 +171,13 @@
                 new StreamObserver<>() {
                     @Override
                     public void onNext(byte[] response) {
-                        ledger.answered(id, 200, new String(response, StandardCharsets.US_ASCII).strip());
+                        ledger.responseReceived(id, 200, new String(response, StandardCharsets.US_ASCII).strip());
                     }
 
                     @Override
                     public void onError(Throwable error) {
                         Status.Code code = Status.fromThrowable(error).getCode();
-                        ledger.answered(id, code == Status.Code.UNAVAILABLE ? 503 : 502, "");
+                        ledger.responseReceived(id, code == Status.Code.UNAVAILABLE ? 503 : 502, "");
                         onEnd.run();
                     }
 
@@ -232,7 +239,7 @@
         }
         SettingsFile file = SettingsFile.parse("grpc", text.toString());
         GrpcSettings settings = GrpcSettings.of(file, Path.of("."));
-        file.finish();
+        file.rejectUnknownKeys();
         return settings;
     }
 }
--- a/src/test/java/pondridge/grpc/GrpcTlsTest.java
+++ b/src/test/java/pondridge/grpc/GrpcTlsTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pondridge.demo.Certificates;
-import pondridge.demo.Usual;
-import pondridge.http2.Direct;
+import pondridge.demo.StandinOptions;
+import pondridge.http2.TransportHarness;
 import pondridge.settings.SettingsFile;
 
 /** The gRPC front end over TLS, with a grpc-java client. */
@@ -43,19 +43,24 @@
     @Test
     void onlyClientsThatTrustTheCertificateAreServed(@TempDir Path directory, @TempDir Path foreignDirectory)
             throws Exception {
-        new Certificates(directory).site("front");
-        new Certificates(foreignDirectory).site("front");
+        new Certificates(directory).issue("front");
+        new Certificates(foreignDirectory).issue("front");
         Map<String, String> events = new ConcurrentHashMap<>();
         SettingsFile file = SettingsFile.parse(
                 "grpc",
                 "[grpc]\nlisten = \"127.0.0.1:0\"\n" + "certificate = \"front.pem\"\nkey_file = \"front.key\"\n");
         GrpcSettings settings = GrpcSettings.of(file, directory);
-        file.finish();
+        file.rejectUnknownKeys();
         EventLoop loop = group.next();
-        GrpcFront frontEnd = new GrpcFront(
-                loop, settings, Usual.options(1_000), null, "test", (event, peer, detail) -> events.put(event, detail));
+        GrpcFrontend frontEnd = new GrpcFrontend(
+                loop,
+                settings,
+                StandinOptions.withDeadline(1_000),
+                null,
+                "test",
+                (event, peer, detail) -> events.put(event, detail));
         int port = ((InetSocketAddress) frontEnd.listen().sync().channel().localAddress()).getPort();
-        loop.submit(() -> frontEnd.ready(true)).sync();
+        loop.submit(() -> frontEnd.setReady(true)).sync();
         try {
             for (List<String> client : List.of(
                     List.of("front", "own"),
@@ -76,7 +81,7 @@
                     assertThrows(StatusRuntimeException.class, () -> checkHealth(secured), client.toString());
                 }
             }
-            Direct.until(() -> events.containsKey("grpc_refused"), "the refusal is reported");
+            TransportHarness.waitUntil(() -> events.containsKey("grpc_refused"), "the refusal is reported");
             assertTrue(events.keySet().stream().allMatch(event -> event.startsWith("grpc_")), events::toString);
         } finally {
             frontEnd.close();
--- a/src/test/java/pondridge/http1/LateConnection.java
+++ b/src/test/java/pondridge/http1/SaturatedListener.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /** A listener with a full accept queue: no connection to it is established until {@link #accept}. */
-public final class LateConnection implements AutoCloseable {
+public final class SaturatedListener implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> fillers = new ArrayList<>();
 
-    public LateConnection() throws IOException {
-        server.setSoTimeout((int) (Stub.LIMIT_S * 1000));
+    public SaturatedListener() throws IOException {
+        server.setSoTimeout((int) (StubServer.TIMEOUT_SECONDS * 1000));
         while (true) {
             Socket filler = new Socket();
             fillers.add(filler);
@@ -39,7 +39,7 @@
             }
         }
         Socket delayed = server.accept();
-        delayed.setSoTimeout((int) (Stub.LIMIT_S * 1000));
+        delayed.setSoTimeout((int) (StubServer.TIMEOUT_SECONDS * 1000));
         return delayed;
     }
 
--- a/src/test/java/pondridge/http1/Stub.java
+++ b/src/test/java/pondridge/http1/StubServer.java
@@ -18,37 +18,37 @@
 import java.util.concurrent.TimeUnit;
 
 /** An HTTP/1.1 server on an ephemeral port; a script handles each request on each connection. */
-public final class Stub implements AutoCloseable {
+public final class StubServer implements AutoCloseable {
     /** Long enough for a loaded machine; a passing test never waits this long. */
-    public static final long LIMIT_S = 30;
+    public static final long TIMEOUT_SECONDS = 30;
 
     /** Handles one request; returns false to close the connection. */
     public interface Script {
         boolean respond(Socket socket, String head) throws IOException;
     }
 
-    public final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
-    public final BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> requestHeads = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> requestBodies = new LinkedBlockingQueue<>();
     /** One entry for each connection that the other side has closed. */
-    public final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
     private final Script script;
 
-    public Stub(Script script) {
+    public StubServer(Script script) {
         this.script = script;
         try {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        thread(this::accept);
+        startThread(this::accept);
     }
 
     /** A server that responds to each request with 200 and this body. */
-    public static Stub serving(String body) {
-        return new Stub((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
+    public static StubServer serving(String body) {
+        return new StubServer((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
     }
 
     public static boolean reply(Socket socket, String status, String headers, String body) throws IOException {
@@ -73,16 +73,16 @@
         return false;
     }
 
-    public static void thread(Runnable work) {
+    public static void startThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
     }
 
-    public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(LIMIT_S, TimeUnit.SECONDS);
+    public static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
+        T next = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("no entry received within " + LIMIT_S + " s");
+            throw new AssertionError("no entry received within " + TIMEOUT_SECONDS + " s");
         }
         return next;
     }
@@ -90,7 +90,7 @@
     /** Waits for a latch, in a script or on the event loop; returns false on timeout. */
     public static boolean await(CountDownLatch latch) {
         try {
-            return latch.await(LIMIT_S, TimeUnit.SECONDS);
+            return latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -110,7 +110,7 @@
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                thread(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         } catch (IOException e) {
             // The server socket was closed.
@@ -120,21 +120,21 @@
     private void serve(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String head = head(in); !head.isEmpty(); head = head(in)) {
-                bodies.add(new String(in.readNBytes(length(head)), StandardCharsets.ISO_8859_1));
-                heads.add(head);
+            for (String head = readHead(in); !head.isEmpty(); head = readHead(in)) {
+                requestBodies.add(new String(in.readNBytes(contentLength(head)), StandardCharsets.ISO_8859_1));
+                requestHeads.add(head);
                 if (!script.respond(socket, head)) {
                     return;
                 }
             }
-            ended.add("end");
+            closedConnections.add("end");
         } catch (IOException e) {
-            ended.add("broken");
+            closedConnections.add("broken");
         }
     }
 
     /** Reads up to and including the blank line; empty at the end of the connection. */
-    public static String head(InputStream in) throws IOException {
+    public static String readHead(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0; next = in.read()) {
             head.write(next);
@@ -145,7 +145,7 @@
         return "";
     }
 
-    public static int length(String head) {
+    public static int contentLength(String head) {
         String length = header(head, "content-length");
         return length == null ? 0 : Integer.parseInt(length);
     }
@@ -160,11 +160,11 @@
 
     @Override
     public void close() throws IOException {
-        die();
+        kill();
     }
 
     /** Ends as a killed process does: connections are closed, new ones are refused. */
-    public void die() throws IOException {
+    public void kill() throws IOException {
         server.close();
         for (Socket socket : sockets) {
             socket.close();
--- a/src/test/java/pondridge/http1/UpstreamsTest.java
+++ b/src/test/java/pondridge/http1/UpstreamsTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
-import pondridge.core.Answer;
+import pondridge.BalancerOptions;
 import pondridge.core.Job;
 import pondridge.core.Transport;
 import pondridge.core.Transport.Listener;
+import pondridge.core.UpstreamResponse;
 
 /** Tests the outcomes of attempts and probes on real connections. */
 class UpstreamsTest {
@@ -46,11 +46,11 @@
 
     private Upstreams upstreams(InetSocketAddress address, long connectTimeoutNanos, int maxConnections)
             throws Exception {
-        Options options = new Options(
+        BalancerOptions options = new BalancerOptions(
                 "caps.connectTimeout=" + connectTimeoutNanos + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
                     Upstreams created = new Upstreams(loop, options, maxConnections);
-                    created.listed(1, address, 0, true);
+                    created.updateEndpoint(1, address, 0, true);
                     return created;
                 })
                 .get();
@@ -60,7 +60,7 @@
         loop.execute(() -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended));
     }
 
-    private void ended(Outcome outcome, Answer response, float[] load) {
+    private void ended(Outcome outcome, UpstreamResponse response, float[] load) {
         reports.add(load);
         outcomes.add(outcome);
     }
@@ -68,29 +68,29 @@
     /** Once a server is draining, a request that waits for its connection must not go there any more. */
     @Test
     void drainingFailsPendingConnects() throws Exception {
-        try (LateConnection full = new LateConnection()) {
+        try (SaturatedListener full = new SaturatedListener()) {
             Upstreams upstreams = upstreams(full.address(), LONG_TIMEOUT_NANOS, 10);
             send(upstreams);
-            loop.execute(() -> upstreams.listed(1, full.address(), 0, false));
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
+            loop.execute(() -> upstreams.updateEndpoint(1, full.address(), 0, false));
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
             send(upstreams);
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes), "a later attempt fails as well");
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes), "a later attempt fails as well");
         }
     }
 
     /** An unreachable machine sends no refusal: the connect timeout must end the wait, not the request's. */
     @Test
     void connectFailsAtTheConnectTimeout() throws Exception {
-        try (LateConnection full = new LateConnection()) {
+        try (SaturatedListener full = new SaturatedListener()) {
             send(upstreams(full.address(), 100_000_000, 10));
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
         }
     }
 
     /** The deadline header must hold the time left at the write, however late the connection is established. */
     @Test
     void deadlineHeaderHoldsTheTimeLeftAtTheWrite() throws Exception {
-        try (LateConnection late = new LateConnection()) {
+        try (SaturatedListener late = new SaturatedListener()) {
             Upstreams upstreams = upstreams(late.address(), LONG_TIMEOUT_NANOS, 10);
             loop.submit(() -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended))
                     .sync();
@@ -98,7 +98,7 @@
             loop.schedule(() -> {}, 300, TimeUnit.MILLISECONDS).sync();
             long waited = System.nanoTime() - sentAt;
             try (Socket accepted = late.accept()) {
-                String deadline = Stub.header(Stub.head(accepted.getInputStream()), "Req-Deadline-Ms");
+                String deadline = StubServer.header(StubServer.readHead(accepted.getInputStream()), "Req-Deadline-Ms");
                 assertTrue(
                         Long.parseLong(deadline) * 1_000_000 <= LONG_TIMEOUT_NANOS - waited,
                         "header holds " + deadline + " ms");
@@ -111,31 +111,31 @@
     void unwantedRequestIsNotWritten() throws Exception {
         Listener unwanted = new Listener() {
             @Override
-            public void ended(Outcome outcome, Answer response, float[] load) {
+            public void ended(Outcome outcome, UpstreamResponse response, float[] load) {
                 outcomes.add(outcome);
             }
 
             @Override
-            public boolean wanted() {
+            public boolean shouldWrite() {
                 return false;
             }
         };
-        try (LateConnection late = new LateConnection();
-                Stub upstream = Stub.serving("x")) {
+        try (SaturatedListener late = new SaturatedListener();
+                StubServer upstream = StubServer.serving("x")) {
             Upstreams upstreams = upstreams(late.address(), LONG_TIMEOUT_NANOS, 10);
             loop.execute(() -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, unwanted));
             try (Socket accepted = late.accept()) {
                 assertEquals(-1, accepted.getInputStream().read(), "closed with nothing written");
             }
-            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
-            loop.execute(() -> upstreams.listed(1, upstream.address(), 0, true));
+            assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
+            loop.execute(() -> upstreams.updateEndpoint(1, upstream.address(), 0, true));
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.execute(() -> upstreams.send(1, get("/api/never"), LONG_TIMEOUT_NANOS, unwanted));
-            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+            assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
-            assertEquals(2, upstream.heads.size());
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+            assertEquals(2, upstream.requestHeads.size());
         }
     }
 
@@ -143,56 +143,56 @@
     @Test
     void withdrawEndsAnUnwrittenAttempt() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (LateConnection late = new LateConnection();
-                Stub held = new Stub((socket, head) -> {
-                    return Stub.await(release) && Stub.reply(socket, "200 OK", "", "x");
+        try (SaturatedListener late = new SaturatedListener();
+                StubServer held = new StubServer((socket, head) -> {
+                    return StubServer.await(release) && StubServer.reply(socket, "200 OK", "", "x");
                 })) {
             Upstreams upstreams = upstreams(late.address(), LONG_TIMEOUT_NANOS, 10);
             loop.execute(() -> upstreams
                     .send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended)
                     .withdraw());
-            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+            assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
             Transport.Attempt connecting = loop.submit(
                             () -> upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended))
                     .get();
             loop.execute(connecting::cancel);
-            assertEquals(Outcome.CANCELLED, Stub.next(outcomes), "not an error of the upstream");
-            loop.execute(() -> upstreams.listed(1, held.address(), 0, true));
+            assertEquals(Outcome.CANCELLED, StubServer.awaitNext(outcomes), "not an error of the upstream");
+            loop.execute(() -> upstreams.updateEndpoint(1, held.address(), 0, true));
             Transport.Attempt written = loop.submit(
                             () -> upstreams.send(1, get("/api/y"), LONG_TIMEOUT_NANOS, this::ended))
                     .get();
-            Stub.next(held.heads);
+            StubServer.awaitNext(held.requestHeads);
             loop.submit(written::withdraw).sync();
             release.countDown();
-            assertEquals(Outcome.OK, Stub.next(outcomes), "a written attempt continues");
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes), "a written attempt continues");
         }
     }
 
     /** A machine that vanished and came back under the same address has not closed its old connections. */
     @Test
     void idleConnectionsAreClosedAfterARestart() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
+        try (StubServer upstream = StubServer.serving("x")) {
             Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
-            loop.execute(() -> upstreams.listed(1, upstream.address(), 1_700_000_000_000L, true));
-            Stub.next(upstream.ended);
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+            loop.execute(() -> upstreams.updateEndpoint(1, upstream.address(), 1_700_000_000_000L, true));
+            StubServer.awaitNext(upstream.closedConnections);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes), "on a new connection");
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes), "on a new connection");
         }
     }
 
     /** At the connection limit an attempt is not sent; otherwise the process would run out of descriptors. */
     @Test
     void connectionsAreLimited() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true)) {
+        try (StubServer silent = new StubServer((socket, head) -> true)) {
             Upstreams upstreams = upstreams(silent.address(), LONG_TIMEOUT_NANOS, 2);
             send(upstreams);
             send(upstreams);
-            Stub.next(silent.heads);
-            Stub.next(silent.heads);
+            StubServer.awaitNext(silent.requestHeads);
+            StubServer.awaitNext(silent.requestHeads);
             send(upstreams);
-            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+            assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
         }
     }
 
@@ -201,28 +201,29 @@
     void loadReportsAreParsed() throws Exception {
         List<String> reportTexts =
                 List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
-        try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /metrics/load")
-                ? Stub.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
-                : Stub.reply(socket, "200 OK", "Srv-Load: " + Stub.header(head, "Say") + "\r\n", "x"))) {
+        try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /metrics/load")
+                ? StubServer.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
+                : StubServer.reply(socket, "200 OK", "Srv-Load: " + StubServer.header(head, "Say") + "\r\n", "x"))) {
             Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             for (String text : reportTexts) {
                 Job request = get("/");
                 request.headers().set("Say", text);
                 loop.execute(() -> upstreams.send(1, request, LONG_TIMEOUT_NANOS, this::ended));
-                assertEquals(Outcome.OK, Stub.next(outcomes));
-                assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0], Stub.next(reports));
+                assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+                assertArrayEquals(
+                        text.contains("rate") ? new float[] {1.5f, 2} : new float[0], StubServer.awaitNext(reports));
             }
             loop.execute(() -> upstreams.probe(1, this::ended));
-            assertArrayEquals(new float[] {7, 0}, Stub.next(reports));
+            assertArrayEquals(new float[] {7, 0}, StubServer.awaitNext(reports));
         }
     }
 
     /** A response beyond the size limit must fail, since it would exhaust the memory. */
     @Test
     void oversizedResponseIsAnError() throws Exception {
-        try (Stub upstream = Stub.serving("x".repeat(1_200_000))) {
+        try (StubServer upstream = StubServer.serving("x".repeat(1_200_000))) {
             send(upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10));
-            assertEquals(false, Stub.next(outcomes).provesNeverRan());
+            assertEquals(false, StubServer.awaitNext(outcomes).provesNotExecuted());
         }
     }
 
@@ -234,9 +235,9 @@
     void unsolicitedDataIsNotTheNextResponse() throws Exception {
         String stale = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
         for (String extra : List.of(stale, stale.substring(0, 20), "\u0000\u0007noise", "\r\n")) {
-            try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /first")
-                    ? Stub.reply(socket, "200 OK", "", "first" + extra, 5)
-                    : Stub.reply(socket, "200 OK", "", "second"))) {
+            try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /first")
+                    ? StubServer.reply(socket, "200 OK", "", "first" + extra, 5)
+                    : StubServer.reply(socket, "200 OK", "", "second"))) {
                 Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
                 BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
                 loop.execute(() -> upstreams.send(1, get("/first"), LONG_TIMEOUT_NANOS, (outcome, response, load) -> {
@@ -247,9 +248,9 @@
                             LONG_TIMEOUT_NANOS,
                             (nextOutcome, nextResponse, nextLoad) -> bodies.add(text(nextResponse)));
                 }));
-                assertEquals("first", Stub.next(bodies));
-                assertEquals("second", Stub.next(bodies), extra);
-                Stub.next(upstream.ended);
+                assertEquals("first", StubServer.awaitNext(bodies));
+                assertEquals("second", StubServer.awaitNext(bodies), extra);
+                StubServer.awaitNext(upstream.closedConnections);
             }
         }
     }
@@ -258,19 +259,20 @@
     @Test
     void expiredIdleConnectionIsNotReused() throws Exception {
         Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-        try (Stub upstream = new Stub((socket, head) -> sockets.add(socket) | Stub.reply(socket, "200 OK", "", "x"))) {
-            Options options = new Options("caps.connIdle=1000000000");
+        try (StubServer upstream =
+                new StubServer((socket, head) -> sockets.add(socket) | StubServer.reply(socket, "200 OK", "", "x"))) {
+            BalancerOptions options = new BalancerOptions("caps.connIdle=1000000000");
             Upstreams upstreams =
                     loop.submit(() -> new Upstreams(loop, options, 10)).get();
-            loop.execute(() -> upstreams.listed(1, upstream.address(), 0, true));
+            loop.execute(() -> upstreams.updateEndpoint(1, upstream.address(), 0, true));
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.execute(() -> {
                 // In one turn of the event loop, so that no sweep runs in between.
                 LockSupport.parkNanos(1_200_000_000);
                 upstreams.send(1, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended);
             });
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             assertEquals(2, sockets.size());
         }
     }
@@ -282,15 +284,15 @@
     @Test
     void lateSecondResponseIsNotTakenForTheNextRequest() throws Exception {
         AtomicReference<Socket> secondSocket = new AtomicReference<>();
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
             if (head.startsWith("GET /first")) {
-                return Stub.reply(socket, "200 OK", "", "firstHTTP/1.1 200 OK\r\n", 5);
+                return StubServer.reply(socket, "200 OK", "", "firstHTTP/1.1 200 OK\r\n", 5);
             } else if (head.startsWith("GET /second")) {
                 secondSocket.set(socket);
-                return Stub.reply(socket, "200 OK", "", "second");
+                return StubServer.reply(socket, "200 OK", "", "second");
             }
-            Stub.reply(secondSocket.get(), "200 OK", "", "second");
-            return Stub.reply(socket, "200 OK", "", "third");
+            StubServer.reply(secondSocket.get(), "200 OK", "", "second");
+            return StubServer.reply(socket, "200 OK", "", "third");
         })) {
             Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             send(
@@ -300,7 +302,7 @@
                             upstreams,
                             "/second",
                             second -> send(upstreams, "/third", third -> bodies.add(first + second + third))));
-            assertEquals("firstsecondthird", Stub.next(bodies));
+            assertEquals("firstsecondthird", StubServer.awaitNext(bodies));
         }
     }
 
@@ -312,19 +314,19 @@
     void connectionToAnEarlierProcessIsNotReused() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
             sockets.add(socket);
-            return Stub.await(release) && Stub.reply(socket, "200 OK", "", "x");
+            return StubServer.await(release) && StubServer.reply(socket, "200 OK", "", "x");
         })) {
             Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             send(upstreams);
-            Stub.next(upstream.heads);
-            loop.submit(() -> upstreams.listed(1, upstream.address(), 1_700_000_000_000L, true))
+            StubServer.awaitNext(upstream.requestHeads);
+            loop.submit(() -> upstreams.updateEndpoint(1, upstream.address(), 1_700_000_000_000L, true))
                     .sync();
             release.countDown();
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             assertEquals(2, sockets.size(), "a new connection, to the new process");
         }
     }
@@ -332,15 +334,15 @@
     /** With an idle timeout of 0 no idle connection is kept, and the event loop stays responsive. */
     @Test
     void zeroIdleTimeoutKeepsNoConnections() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
-            Options options = new Options("caps.connIdle=0");
+        try (StubServer upstream = StubServer.serving("x")) {
+            BalancerOptions options = new BalancerOptions("caps.connIdle=0");
             Upstreams upstreams =
                     loop.submit(() -> new Upstreams(loop, options, 10)).get();
-            loop.execute(() -> upstreams.listed(1, upstream.address(), 0, true));
+            loop.execute(() -> upstreams.updateEndpoint(1, upstream.address(), 0, true));
             for (int i = 0; i < 2; i++) {
                 send(upstreams);
-                assertEquals(Outcome.OK, Stub.next(outcomes));
-                Stub.next(upstream.ended);
+                assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+                StubServer.awaitNext(upstream.closedConnections);
             }
         }
     }
@@ -378,13 +380,13 @@
                 "HTTP/1.1 200 OK\r\nX: " + "x".repeat(20_000),
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 100 Go on\r\n\r\n".repeat(100))) {
-            try (Stub upstream = new Stub((socket, head) -> {
-                Stub.write(socket, invalid);
+            try (StubServer upstream = new StubServer((socket, head) -> {
+                StubServer.write(socket, invalid);
                 return true;
             })) {
                 send(upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10));
-                assertEquals(Outcome.ERROR, Stub.next(outcomes), invalid);
-                Stub.next(upstream.ended);
+                assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes), invalid);
+                StubServer.awaitNext(upstream.closedConnections);
             }
         }
     }
@@ -392,45 +394,45 @@
     /** Interim responses and an unreadable load report must not fail a valid response. */
     @Test
     void interimResponsesAndInvalidReportsAreTolerated() throws Exception {
-        try (Stub upstream = new Stub((socket, head) -> {
-            Stub.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
-            return Stub.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+            StubServer.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
+            return StubServer.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
         })) {
             Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
             for (int i = 0; i < 3; i++) {
                 send(upstreams);
-                assertEquals(Outcome.OK, Stub.next(outcomes));
-                assertArrayEquals(new float[0], Stub.next(reports));
+                assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+                assertArrayEquals(new float[0], StubServer.awaitNext(reports));
             }
-            assertEquals(0, upstream.ended.size(), "the connection is reused");
+            assertEquals(0, upstream.closedConnections.size(), "the connection is reused");
         }
     }
 
     /** Idle connections to other upstreams must not block a request at the connection limit. */
     @Test
     void idleConnectionIsClosedAtTheLimit() throws Exception {
-        try (Stub first = Stub.serving("x");
-                Stub second = Stub.serving("y")) {
+        try (StubServer first = StubServer.serving("x");
+                StubServer second = StubServer.serving("y")) {
             Upstreams upstreams = upstreams(first.address(), LONG_TIMEOUT_NANOS, 1);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.execute(() -> {
-                upstreams.listed(2, second.address(), 0, true);
+                upstreams.updateEndpoint(2, second.address(), 0, true);
                 upstreams.send(2, get("/api/x"), LONG_TIMEOUT_NANOS, this::ended);
             });
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
         }
     }
 
     /** Nothing may be sent to an upstream that is no longer listed; its address may have been reassigned. */
     @Test
     void removedUpstreamReceivesNothing() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
+        try (StubServer upstream = StubServer.serving("x")) {
             Upstreams upstreams = upstreams(upstream.address(), LONG_TIMEOUT_NANOS, 10);
-            loop.execute(() -> upstreams.gone(1));
+            loop.execute(() -> upstreams.removeEndpoint(1));
             send(upstreams);
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
-            assertEquals(0, upstream.heads.size());
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
+            assertEquals(0, upstream.requestHeads.size());
         }
     }
 
@@ -438,7 +440,7 @@
         return new Job(0, 0, 0, 0, 0, false, HttpMethod.GET, path, new DefaultHttpHeaders(), new byte[0]);
     }
 
-    private static String text(Answer response) {
+    private static String text(UpstreamResponse response) {
         return response == null ? "none" : new String(response.body(), StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/test/java/pondridge/http2/EventOrderingTest.java
+++ b/src/test/java/pondridge/http2/EventOrderingTest.java
@@ -18,7 +18,7 @@
 import java.util.function.IntConsumer;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
+import pondridge.BalancerOptions;
 import pondridge.core.Job;
 
 /**
@@ -113,12 +113,12 @@
         Scenario() {
             transport = new Http2Upstreams(
                     loop.eventLoop(),
-                    new Options("caps.connIdle=60000000000"),
+                    new BalancerOptions("caps.connIdle=60000000000"),
                     SoakTest.options("stream_wait = \"10s\"\nsettings_wait = \"10s\""),
-                    Proof.RFC9113,
+                    StreamOutcomeRules.RFC9113,
                     1,
                     this::dial);
-            transport.listed(1, Direct.local(9), 0, true);
+            transport.updateEndpoint(1, TransportHarness.local(9), 0, true);
             offer();
         }
 
@@ -154,7 +154,7 @@
                             "/api/" + id,
                             new DefaultHttpHeaders().set("Host", "app.svc"),
                             new byte[0]),
-                    Direct.LONG_TIMEOUT_NANOS,
+                    TransportHarness.LONG_TIMEOUT_NANOS,
                     (outcome, response, loadReport) -> ended.add(outcome == Outcome.OK ? id : id + outcome));
         }
 
--- a/src/test/java/pondridge/http2/InteropTest.java
+++ b/src/test/java/pondridge/http2/InteropTest.java
@@ -25,10 +25,10 @@
 import okhttp3.mockwebserver.SocketPolicy;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 import pondridge.standin.Fault;
 import pondridge.standin.FaultScript;
-import pondridge.standin.OrderClass;
+import pondridge.standin.StandinRequestClass;
 import pondridge.standin.StandinServer;
 
 /** Tests interoperability with third-party peers: OkHttp's client and its test server, by prior knowledge. */
@@ -43,16 +43,17 @@
                 .protocols(List.of(Protocol.H2_PRIOR_KNOWLEDGE))
                 .build();
         for (Fault fault : List.of(Fault.NONE, Fault.ADORNED, Fault.RESET_AFTER_ANSWER)) {
-            try (Direct direct = new Direct("");
+            try (TransportHarness direct = new TransportHarness("");
                     StandinServer server =
-                            direct.server(1, 100, 65_535, new FaultScript(1, Map.of(fault, 1.0), MS, MS))) {
+                            direct.startServer(1, 100, 65_535, new FaultScript(1, Map.of(fault, 1.0), MS, MS))) {
                 int calls = 50;
                 String url = "http://127.0.0.1:" + server.address().getPort() + "/api/";
                 AtomicInteger matching = new AtomicInteger();
                 CountDownLatch done = new CountDownLatch(calls);
                 for (int i = 0; i < calls; i++) {
                     String id = "x" + i;
-                    direct.ledger.asked(id, OrderClass.named("order-book"), "", Direct.LONG_TIMEOUT_NANOS);
+                    direct.ledger.requestSent(
+                            id, StandinRequestClass.named("order-book"), "", TransportHarness.LONG_TIMEOUT_NANOS);
                     client.newCall(new Request.Builder()
                                     .url(url + id)
                                     .header("Req-Id", id)
@@ -69,7 +70,7 @@
                                 public void onResponse(Call call, Response response) throws IOException {
                                     try (response) {
                                         String body = response.body().string().trim();
-                                        direct.ledger.answered(id, response.code(), body);
+                                        direct.ledger.responseReceived(id, response.code(), body);
                                         matching.addAndGet(body.equals(id) ? 1 : 0);
                                     } finally {
                                         done.countDown();
@@ -77,10 +78,10 @@
                                 }
                             });
                 }
-                assertTrue(done.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(done.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(calls, matching.get(), fault.toString());
-                assertTrue(direct.ledger.verdict().clean(), direct.ledger.verdict()::toString);
-                assertEquals(calls, server.runs());
+                assertTrue(direct.ledger.verdict().passed(), direct.ledger.verdict()::toString);
+                assertEquals(calls, server.executions());
             }
         }
         client.dispatcher().executorService().shutdown();
@@ -91,7 +92,7 @@
     @Test
     void transportWorksWithOkHttpServer() throws Exception {
         try (MockWebServer server = new MockWebServer();
-                Direct direct = new Direct(
+                TransportHarness direct = new TransportHarness(
                         "stream_window = \"16KiB\"\nconnection_window = \"64KiB\"\n" + "header_bytes = \"1KiB\"")) {
             server.setProtocols(List.of(Protocol.H2_PRIOR_KNOWLEDGE));
             AtomicInteger resetWith = new AtomicInteger(-1);
@@ -120,29 +121,29 @@
                     return new MockResponse().setBody(request.getHeader("Req-Id") + " " + request.getBodySize());
                 }
             });
-            server.start(Direct.local(0).getAddress(), 0);
-            direct.listed(1, Direct.local(server.getPort()), true);
+            server.start(TransportHarness.local(0).getAddress(), 0);
+            direct.listed(1, TransportHarness.local(server.getPort()), true);
             for (int i = 0; i < 100; i++) {
-                direct.send(1, "x" + i, Direct.LONG_TIMEOUT_NANOS);
+                direct.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
             for (int i = 0; i < 100; i++) {
-                Direct.Result result = direct.nextResult();
+                TransportHarness.Result result = direct.nextResult();
                 assertEquals(Outcome.OK, result.outcome());
                 assertEquals(result.id() + " 100", new String(result.response().body(), StandardCharsets.US_ASCII));
             }
             for (String id : List.of("large", "heads")) {
-                direct.send(1, id, Direct.LONG_TIMEOUT_NANOS);
-                Direct.Result result = direct.nextResult();
+                direct.send(1, id, TransportHarness.LONG_TIMEOUT_NANOS);
+                TransportHarness.Result result = direct.nextResult();
                 boolean large = id.equals("large");
                 assertEquals(large ? Outcome.OK : Outcome.RESET, result.outcome(), id);
                 assertEquals(
                         large ? LARGE_BODY_BYTES : -1, large ? result.response().body().length : -1);
             }
             resetWith.set((int) StreamTable.REFUSED_STREAM);
-            direct.send(1, "refused", Direct.LONG_TIMEOUT_NANOS);
+            direct.send(1, "refused", TransportHarness.LONG_TIMEOUT_NANOS);
             assertEquals(Outcome.REJECTED, direct.nextResult().outcome());
             resetWith.set(2);
-            direct.send(1, "reset", Direct.LONG_TIMEOUT_NANOS);
+            direct.send(1, "reset", TransportHarness.LONG_TIMEOUT_NANOS);
             Outcome outcome = direct.nextResult().outcome();
             assertTrue(outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED, outcome::toString);
         }
--- a/src/test/java/pondridge/http2/ReplaySafetyTest.java
+++ b/src/test/java/pondridge/http2/ReplaySafetyTest.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.State;
-import pondridge.Options;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
 import pondridge.core.Transport;
 import pondridge.rig.Fleet;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger.Verdict;
 import pondridge.standin.Fault;
 import pondridge.standin.FaultScript;
 import pondridge.standin.StandinServer;
@@ -26,15 +26,15 @@
     private static final long MS = 1_000_000;
     private static final int CLIENT_TIMEOUT_MS = 5_000;
 
-    private static Transport http2Transport(EventLoop loop, Options settings) {
+    private static Transport http2Transport(EventLoop loop, BalancerOptions settings) {
         return new Http2Upstreams(
                 loop, settings, SoakTest.options("quiet = \"200ms\"\nping_wait = \"100ms\"\nredial = \"10ms\""));
     }
 
     private static Fleet fleet(long workNanos, String... zones) throws Exception {
-        Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS));
+        Fleet fleet = new Fleet(Fleet.defaultOptions(CLIENT_TIMEOUT_MS));
         for (int i = 0; i < zones.length; i++) {
-            fleet.server("s" + i, zones[i], Protocol.HTTP2, FaultScript.none(workNanos));
+            fleet.server("s" + i, zones[i], Protocol.HTTP2, FaultScript.withoutFaults(workNanos));
         }
         return fleet.start(ReplaySafetyTest::http2Transport);
     }
@@ -46,7 +46,7 @@
     }
 
     private static int runs(Fleet fleet) {
-        return fleet.servers().stream().mapToInt(StandinServer::runs).sum();
+        return fleet.servers().stream().mapToInt(StandinServer::executions).sum();
     }
 
     /**
@@ -61,12 +61,13 @@
                 CompletableFuture<Void> load = loadOfClass(fleet, "order-confirm", 700, 700);
                 // A tenth of the requests, at random moments: some connections of this server end while
                 // others are opened.
-                fleet.servers().get(0).faults(Map.of(fault, 0.1));
+                fleet.servers().get(0).overrideFaults(Map.of(fault, 0.1));
                 Fleet.await(load);
                 Verdict verdict = fleet.verdict();
-                assertTrue(verdict.clean(), fault + " " + verdict);
+                assertTrue(verdict.passed(), fault + " " + verdict);
                 assertTrue(verdict.served() >= 600, fault + " " + verdict);
-                assertEquals(verdict.dropped(), runs(fleet) - fleet.ledger().runs("order-confirm"));
+                assertEquals(
+                        verdict.droppedRepeats(), runs(fleet) - fleet.ledger().executions("order-confirm"));
             }
         }
     }
@@ -79,9 +80,9 @@
     void ledgerDetectsServersThatDenyExecutions() throws Exception {
         for (Fault falseClaim : List.of(Fault.GOAWAY_LIE, Fault.LIE)) {
             try (Fleet fleet = fleet(5 * MS, "a", "b", "a")) {
-                fleet.servers().get(0).faults(Map.of(falseClaim, 1.0));
+                fleet.servers().get(0).overrideFaults(Map.of(falseClaim, 1.0));
                 Fleet.await(loadOfClass(fleet, "order-book", 60, 100));
-                assertTrue(fleet.verdict().doubledUnsafe() > 0, falseClaim.toString());
+                assertTrue(fleet.verdict().duplicateUnsafeExecutions() > 0, falseClaim.toString());
             }
         }
     }
@@ -93,15 +94,15 @@
     @Test
     void holdsAreRetriedOnlyInTheirZoneAndWithinOneSecond() throws Exception {
         try (Fleet fleet = fleet(5 * MS, "a", "a", "b", "b")) {
-            fleet.servers().get(0).faults(Map.of(Fault.RESET, 1.0));
-            fleet.servers().get(2).faults(Map.of(Fault.RESET, 1.0));
+            fleet.servers().get(0).overrideFaults(Map.of(Fault.RESET, 1.0));
+            fleet.servers().get(2).overrideFaults(Map.of(Fault.RESET, 1.0));
             Fleet.await(loadOfClass(fleet, "stock-hold", 300, 200));
             Verdict verdict = fleet.verdict();
-            assertTrue(verdict.clean(), verdict::toString);
-            assertTrue(verdict.dropped() > 0, "retries were sent: " + verdict);
-            assertTrue(fleet.ledger().runs("stock-hold") >= verdict.served(), verdict::toString);
+            assertTrue(verdict.passed(), verdict::toString);
+            assertTrue(verdict.droppedRepeats() > 0, "retries were sent: " + verdict);
+            assertTrue(fleet.ledger().executions("stock-hold") >= verdict.served(), verdict::toString);
         }
-        try (Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS))) {
+        try (Fleet fleet = new Fleet(Fleet.defaultOptions(CLIENT_TIMEOUT_MS))) {
             // Reset after more than the second for which a zone remembers requests: no retry is allowed.
             for (int i = 0; i < 4; i++) {
                 fleet.server(
@@ -113,7 +114,7 @@
             fleet.start(ReplaySafetyTest::http2Transport);
             Fleet.await(loadOfClass(fleet, "stock-hold", 20, 20));
             Verdict verdict = fleet.verdict();
-            assertTrue(verdict.clean(), verdict::toString);
+            assertTrue(verdict.passed(), verdict::toString);
             assertEquals(20, verdict.failed() + verdict.refused());
             assertTrue(verdict.failed() > 0, verdict::toString);
             assertEquals(verdict.failed(), runs(fleet), "each request was sent once");
@@ -124,18 +125,18 @@
     @Test
     void confirmationsAreRetriedInAnyZone() throws Exception {
         try (Fleet fleet = fleet(5 * MS, "a", "b")) {
-            fleet.servers().get(0).faults(Map.of(Fault.RESET, 1.0));
+            fleet.servers().get(0).overrideFaults(Map.of(Fault.RESET, 1.0));
             Fleet.await(loadOfClass(fleet, "order-confirm", 200, 200));
             Verdict verdict = fleet.verdict();
-            assertTrue(verdict.clean(), verdict::toString);
-            assertTrue(verdict.dropped() > 0, verdict::toString);
+            assertTrue(verdict.passed(), verdict::toString);
+            assertTrue(verdict.droppedRepeats() > 0, verdict::toString);
         }
     }
 
     /** After its window a confirmation that may have been executed is not retried, even if time is left. */
     @Test
     void confirmationsAreRetriedOnlyWithinTheirWindow() throws Exception {
-        try (Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS, "profiles.2.keyTtl=300000000"))) {
+        try (Fleet fleet = new Fleet(Fleet.defaultOptions(CLIENT_TIMEOUT_MS, "profiles.2.keyTtl=300000000"))) {
             for (int i = 0; i < 4; i++) {
                 fleet.server(
                         "s" + i,
@@ -146,9 +147,9 @@
             fleet.start(ReplaySafetyTest::http2Transport);
             Fleet.await(loadOfClass(fleet, "order-confirm", 20, 20));
             Verdict verdict = fleet.verdict();
-            assertTrue(verdict.clean(), verdict::toString);
+            assertTrue(verdict.passed(), verdict::toString);
             assertTrue(runs(fleet) > 0, verdict::toString);
-            assertEquals(0, verdict.dropped(), "each request was sent once");
+            assertEquals(0, verdict.droppedRepeats(), "each request was sent once");
         }
     }
 
@@ -158,16 +159,16 @@
      */
     @Test
     void drainWhileAttemptsWait() throws Exception {
-        try (Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS, "rules.stopSendingWithin=300000000"))) {
-            fleet.server("s0", "a", Protocol.HTTP2, 2, 65_535, FaultScript.none(80 * MS));
-            fleet.server("s1", "b", Protocol.HTTP2, FaultScript.none(5 * MS));
+        try (Fleet fleet = new Fleet(Fleet.defaultOptions(CLIENT_TIMEOUT_MS, "rules.stopSendingWithin=300000000"))) {
+            fleet.server("s0", "a", Protocol.HTTP2, 2, 65_535, FaultScript.withoutFaults(80 * MS));
+            fleet.server("s1", "b", Protocol.HTTP2, FaultScript.withoutFaults(5 * MS));
             fleet.start(ReplaySafetyTest::http2Transport);
             CompletableFuture<Void> load = loadOfClass(fleet, "order-confirm", 600, 400);
-            Direct.until(() -> fleet.servers().get(0).runs() > 10, "requests on the first server");
-            fleet.list("s0", State.DRAINING);
+            TransportHarness.waitUntil(() -> fleet.servers().get(0).executions() > 10, "requests on the first server");
+            fleet.publishState("s0", UpstreamState.DRAINING);
             Fleet.await(load);
             Verdict verdict = fleet.verdict();
-            assertTrue(verdict.clean(), verdict::toString);
+            assertTrue(verdict.passed(), verdict::toString);
         }
     }
 }
--- a/src/test/java/pondridge/http2/SoakTest.java
+++ b/src/test/java/pondridge/http2/SoakTest.java
@@ -10,12 +10,12 @@
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
-import pondridge.Balancer.State;
-import pondridge.Options;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
 import pondridge.core.Transport;
 import pondridge.rig.Fleet;
 import pondridge.settings.SettingsFile;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger.Verdict;
 import pondridge.standin.Fault;
 import pondridge.standin.FaultScript;
 import pondridge.standin.StandinServer.Protocol;
@@ -29,19 +29,19 @@
     static Http2Options options(String text) {
         SettingsFile file = SettingsFile.parse("test", "[http2]\n" + text);
         Http2Options options = Http2Options.of(file.section("http2"));
-        file.finish();
+        file.rejectUnknownKeys();
         return options;
     }
 
     private static Map<Fault, Double> faults() {
-        return FaultScript.parse("slow=0.01,stall=0.002,half=0.001,half-close=0.01,reset=0.02,"
+        return FaultScript.parseFractions("slow=0.01,stall=0.002,half=0.001,half-close=0.01,reset=0.02,"
                 + "reset-unrun=0.01,refuse=0.02,decline=0.02,error=0.01,close=0.003,goaway=0.004,"
                 + "goaway-last=0.004,goaway-lowered=0.003,silent=0.001,adorned=0.05,"
                 + "reset-after-answer=0.05");
     }
 
-    private static Fleet fleet(BiFunction<EventLoop, Options, Transport> transportFactory) throws Exception {
-        Fleet fleet = new Fleet(Fleet.options(CLIENT_TIMEOUT_MS));
+    private static Fleet fleet(BiFunction<EventLoop, BalancerOptions, Transport> transportFactory) throws Exception {
+        Fleet fleet = new Fleet(Fleet.defaultOptions(CLIENT_TIMEOUT_MS));
         for (int i = 0; i < 6; i++) {
             fleet.server(
                     "s" + i,
@@ -52,7 +52,7 @@
         return fleet.start(transportFactory);
     }
 
-    private static Transport http2Transport(EventLoop loop, Options settings, Proof outcomeRules) {
+    private static Transport http2Transport(EventLoop loop, BalancerOptions settings, StreamOutcomeRules outcomeRules) {
         return new Http2Upstreams(
                 loop,
                 settings,
@@ -64,16 +64,16 @@
     @Test
     void noRequestIsLostOrExecutedTwice() throws Exception {
         System.out.println("soak seed " + SEED);
-        try (Fleet fleet = fleet((loop, settings) -> http2Transport(loop, settings, Proof.RFC9113))) {
-            CompletableFuture<Void> load = fleet.load(Fleet.mixed(20_000, 1_000, CLIENT_TIMEOUT_MS), SEED, "soak");
+        try (Fleet fleet = fleet((loop, settings) -> http2Transport(loop, settings, StreamOutcomeRules.RFC9113))) {
+            CompletableFuture<Void> load = fleet.load(Fleet.mixedPlan(20_000, 1_000, CLIENT_TIMEOUT_MS), SEED, "soak");
             String drained = null;
             for (int i = 0; i < 30 && !load.isDone(); i++) {
                 // Servers are drained and readmitted during the run through the endpoint list, as on the
                 // platform.
                 String next = "s" + i % 6;
-                fleet.list(next, State.DRAINING);
+                fleet.publishState(next, UpstreamState.DRAINING);
                 if (drained != null) {
-                    fleet.list(drained, State.READY);
+                    fleet.publishState(drained, UpstreamState.READY);
                 }
                 drained = next;
                 load.copy()
@@ -83,10 +83,10 @@
             Fleet.await(load);
             Verdict verdict = fleet.verdict();
             System.out.println(verdict);
-            assertTrue(verdict.clean(), verdict::toString);
-            assertEquals(20_000, verdict.asked());
+            assertTrue(verdict.passed(), verdict::toString);
+            assertEquals(20_000, verdict.requests());
             assertTrue(verdict.served() > 16_000, verdict::toString);
-            assertTrue(verdict.dropped() > 0, "repeated requests must reach the servers and be dropped");
+            assertTrue(verdict.droppedRepeats() > 0, "repeated requests must reach the servers and be dropped");
         }
     }
 
@@ -96,18 +96,20 @@
      */
     @Test
     void ledgerDetectsBrokenOutcomeRules() throws Exception {
-        Proof brokenRules = new Proof() {
+        StreamOutcomeRules brokenRules = new StreamOutcomeRules() {
             @Override
             Outcome afterReset(boolean endStreamWritten, boolean responseStarted, long code) {
                 return Outcome.REJECTED;
             }
         };
         try (Fleet fleet = fleet((loop, settings) -> http2Transport(loop, settings, brokenRules))) {
-            Fleet.await(fleet.load(Fleet.mixed(4_000, 1_000, CLIENT_TIMEOUT_MS), SEED, "broken"));
+            Fleet.await(fleet.load(Fleet.mixedPlan(4_000, 1_000, CLIENT_TIMEOUT_MS), SEED, "broken"));
             Verdict verdict = fleet.verdict();
             System.out.println(verdict);
-            assertTrue(verdict.doubledUnsafe() > 0, verdict::toString);
-            assertTrue(verdict.doubledKeyed() > 0, "holds executed in one zone must also be executed in the other");
+            assertTrue(verdict.duplicateUnsafeExecutions() > 0, verdict::toString);
+            assertTrue(
+                    verdict.duplicateKeyedEffects() > 0,
+                    "holds executed in one zone must also be executed in the other");
         }
     }
 }
--- a/src/test/java/pondridge/http2/StreamTableTest.java
+++ b/src/test/java/pondridge/http2/StreamTableTest.java
@@ -24,7 +24,7 @@
     private static final long INTERNAL_ERROR = 2;
 
     private static StreamTable<String> tableWithLimit(long maxConcurrentStreams) {
-        StreamTable<String> table = new StreamTable<>(Proof.RFC9113, 1);
+        StreamTable<String> table = new StreamTable<>(StreamOutcomeRules.RFC9113, 1);
         table.onSettings(maxConcurrentStreams);
         return table;
     }
@@ -35,7 +35,7 @@
      */
     private static final class SimulatedUpstream {
         private final Random random;
-        private final StreamTable<Integer> table = new StreamTable<>(Proof.RFC9113, 1);
+        private final StreamTable<Integer> table = new StreamTable<>(StreamOutcomeRules.RFC9113, 1);
         private final TreeMap<Integer, Boolean> openStreams = new TreeMap<>();
         private final Set<Integer> fullyReceived = new HashSet<>();
         private final Set<Integer> executed = new HashSet<>();
@@ -56,7 +56,7 @@
             if (end != null) {
                 assertNull(outcomesByAttempt.put(end.attempt(), end.outcome()), "one outcome per attempt");
                 outcomesByStream.put(end.streamId(), end.outcome());
-                if (end.outcome().provesNeverRan()) {
+                if (end.outcome().provesNotExecuted()) {
                     assertFalse(executed.contains(end.streamId()), "outcome denies an execution: " + end);
                 }
                 if (end.requestIncomplete()) {
@@ -148,7 +148,7 @@
             assertEquals(attempts, outcomesByAttempt.size(), "every attempt has ended");
             assertEquals(0, table.openStreams());
             executed.forEach(id -> assertFalse(
-                    outcomesByStream.get(id).provesNeverRan(), "executed after an outcome that denied it: " + id));
+                    outcomesByStream.get(id).provesNotExecuted(), "executed after an outcome that denied it: " + id));
         }
     }
 
@@ -166,7 +166,7 @@
                 throw new AssertionError("seed " + seed, e);
             }
             neverRan += upstream.outcomesByAttempt.values().stream()
-                    .filter(Outcome::provesNeverRan)
+                    .filter(Outcome::provesNotExecuted)
                     .count();
         }
         assertTrue(neverRan > 10_000, "such outcomes must be frequent: " + neverRan);
@@ -282,7 +282,7 @@
 
     @Test
     void noStreamOpensBeforeSettingsOrAfterTheLastStreamId() {
-        StreamTable<String> table = new StreamTable<>(Proof.RFC9113, Integer.MAX_VALUE);
+        StreamTable<String> table = new StreamTable<>(StreamOutcomeRules.RFC9113, Integer.MAX_VALUE);
         assertFalse(table.canOpen());
         table.onSettings(null);
         assertEquals(Integer.MAX_VALUE, table.open("last"));
--- a/src/test/java/pondridge/http2/Direct.java
+++ b/src/test/java/pondridge/http2/TransportHarness.java
@@ -13,50 +13,50 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import pondridge.Balancer.Outcome;
-import pondridge.Options;
-import pondridge.core.Answer;
+import pondridge.BalancerOptions;
 import pondridge.core.Job;
 import pondridge.core.Transport;
-import pondridge.http1.Stub;
-import pondridge.standin.EffectLedger;
+import pondridge.core.UpstreamResponse;
+import pondridge.http1.StubServer;
+import pondridge.standin.ExecutionLedger;
 import pondridge.standin.FaultScript;
 import pondridge.standin.FaultyLink;
-import pondridge.standin.KeyMemory;
-import pondridge.standin.OrderClass;
+import pondridge.standin.IdempotencyKeyStore;
+import pondridge.standin.StandinRequestClass;
 import pondridge.standin.StandinServer;
 
 /**
  * Runs the transport against stand-in servers without an engine; the result of each attempt is added to a
  * queue.
  */
-public final class Direct implements AutoCloseable {
+public final class TransportHarness implements AutoCloseable {
     static final long LONG_TIMEOUT_NANOS = 60_000_000_000L;
 
     /** The result of an attempt and the time it took. */
-    record Result(String id, Outcome outcome, Answer response, long durationNanos) {}
+    record Result(String id, Outcome outcome, UpstreamResponse response, long durationNanos) {}
 
     final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
-    final EffectLedger ledger = new EffectLedger(0, 0);
+    final ExecutionLedger ledger = new ExecutionLedger(0, 0);
     final EventLoop loop;
     Http2Upstreams transport;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final EventLoop serverLoop;
 
-    Direct(String options, int firstStreamId) throws Exception {
+    TransportHarness(String options, int firstStreamId) throws Exception {
         loop = group.next();
         serverLoop = group.next();
-        Options settings = new Options("caps.connectTimeout=5000000000\ncaps.connIdle=60000000000");
-        transport = loop.submit(() ->
-                        new Http2Upstreams(loop, settings, SoakTest.options(options), Proof.RFC9113, firstStreamId))
+        BalancerOptions settings = new BalancerOptions("caps.connectTimeout=5000000000\ncaps.connIdle=60000000000");
+        transport = loop.submit(() -> new Http2Upstreams(
+                        loop, settings, SoakTest.options(options), StreamOutcomeRules.RFC9113, firstStreamId))
                 .get();
     }
 
-    public Direct(String options) throws Exception {
+    public TransportHarness(String options) throws Exception {
         this(options, 1);
     }
 
     /** Starts a server and lists it as the upstream with this number. */
-    public StandinServer server(long upstream, long streams, int window, FaultScript script) throws Exception {
+    public StandinServer startServer(long upstream, long streams, int window, FaultScript script) throws Exception {
         StandinServer server = new StandinServer(
                 serverLoop,
                 local(0),
@@ -68,7 +68,7 @@
                         window,
                         script,
                         ledger,
-                        new KeyMemory()));
+                        new IdempotencyKeyStore()));
         listed(upstream, server.address(), true);
         return server;
     }
@@ -88,7 +88,7 @@
     }
 
     void listed(long upstream, InetSocketAddress address, boolean ready) throws Exception {
-        loop.submit(() -> transport.listed(upstream, address, 0, ready)).get();
+        loop.submit(() -> transport.updateEndpoint(upstream, address, 0, ready)).get();
     }
 
     /** Sends a request of class {@code order-book} with a body. */
@@ -110,7 +110,7 @@
     }
 
     private Transport.Attempt start(long upstream, String id, long timeoutNanos) {
-        ledger.asked(id, OrderClass.named("order-book"), "", LONG_TIMEOUT_NANOS);
+        ledger.requestSent(id, StandinRequestClass.named("order-book"), "", LONG_TIMEOUT_NANOS);
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set("Host", "app.svc")
                 .set("Req-Id", id)
@@ -130,12 +130,12 @@
     }
 
     Result nextResult() throws InterruptedException {
-        return Stub.next(results);
+        return StubServer.awaitNext(results);
     }
 
     /** Waits until a condition holds. */
-    public static void until(BooleanSupplier condition, String description) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+    public static void waitUntil(BooleanSupplier condition, String description) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - deadline > 0) {
                 throw new AssertionError("timed out waiting for: " + description);
--- a/src/test/java/pondridge/pool/PoolModelTest.java
+++ b/src/test/java/pondridge/pool/ConnectionPoolModelTest.java
@@ -20,11 +20,11 @@
  * Runs random events against pools with a shared connection limit and checks each decision against a model of
  * connections that are established, change their credit, drain and fail.
  */
-class PoolModelTest {
+class ConnectionPoolModelTest {
     private static final int SEEDS = 5_000;
     private static final int STEPS = 250;
 
-    private static final class FakeConnection implements Member {
+    private static final class FakeConnection implements PooledConnection {
         private final PoolModel model;
         private int limit;
         private int used;
@@ -45,26 +45,26 @@
         }
 
         @Override
-        public boolean usable() {
+        public boolean isUsable() {
             return up && !draining && !ended;
         }
 
         @Override
-        public boolean idle() {
+        public boolean isIdle() {
             return used == 0;
         }
 
         @Override
-        public long idleSince() {
+        public long idleSinceNanos() {
             return idleSince;
         }
     }
 
     /** One pool and the expected state that the model keeps of it. */
-    private static final class PoolModel implements Pool.Actions<FakeConnection, Integer> {
+    private static final class PoolModel implements ConnectionPool.Actions<FakeConnection, Integer> {
         private final Simulation simulation;
         private final PoolLimits limits;
-        private final Pool<FakeConnection, Integer> pool;
+        private final ConnectionPool<FakeConnection, Integer> pool;
         private final List<FakeConnection> connections = new ArrayList<>();
         private final Map<Integer, Long> waiting = new LinkedHashMap<>();
         private boolean accepting;
@@ -77,7 +77,11 @@
         PoolModel(
                 Simulation simulation,
                 PoolLimits limits,
-                BiFunction<PoolLimits, Pool.Actions<FakeConnection, Integer>, Pool<FakeConnection, Integer>> factory) {
+                BiFunction<
+                                PoolLimits,
+                                ConnectionPool.Actions<FakeConnection, Integer>,
+                                ConnectionPool<FakeConnection, Integer>>
+                        factory) {
             this.simulation = simulation;
             this.limits = limits;
             this.pool = factory.apply(limits, this);
@@ -91,7 +95,7 @@
         }
 
         private boolean hasConnectionOrConnecting() {
-            return connections.stream().anyMatch(each -> !each.closing && (each.usable() || !each.up));
+            return connections.stream().anyMatch(each -> !each.closing && (each.isUsable() || !each.up));
         }
 
         private long usableOrConnecting() {
@@ -116,7 +120,7 @@
                 updateBackoff(connection);
             }
             simulation.closing -= connection.closing ? 1 : 0;
-            pool.lost(connection, connection.useful, simulation.nowNanos);
+            pool.connectionEnded(connection, connection.useful, simulation.nowNanos);
         }
 
         private void offer() {
@@ -148,7 +152,7 @@
         }
 
         @Override
-        public void place(FakeConnection connection, Integer attempt) {
+        public void assign(FakeConnection connection, Integer attempt) {
             assertTrue(connection.credit() > 0 && !connection.closing, "connection has no credit or is closing");
             assertTrue(
                     waiting.isEmpty()
@@ -165,7 +169,7 @@
         }
 
         @Override
-        public void end(Integer attempt, Turned reason) {
+        public void reject(Integer attempt, RejectionReason reason) {
             Long enqueuedAt = waiting.remove(attempt);
             assertNull(simulation.outcomes.put(attempt, reason.toString()), "ended twice");
             switch (reason) {
@@ -188,7 +192,7 @@
                         simulation.maxConnections,
                         simulation.connectionCount(),
                         "evicted although the shared limit is not reached");
-                assertTrue(connection.up && connection.idle(), "evicted while in use");
+                assertTrue(connection.up && connection.isIdle(), "evicted while in use");
                 simulation.models.forEach(model -> model.connections.stream()
                         .filter(model::evictable)
                         .forEach(each -> assertTrue(
@@ -203,24 +207,24 @@
         }
 
         private boolean evictable(FakeConnection connection) {
-            return connection.usable()
+            return connection.isUsable()
                     && !connection.closing
-                    && connection.idle()
+                    && connection.isIdle()
                     && (waiting.isEmpty() || connection.credit() == 0);
         }
 
         @Override
-        public void retire(FakeConnection connection) {
+        public void drain(FakeConnection connection) {
             connection.draining = true;
         }
 
         @Override
-        public void turn() {
+        public void scheduleDispatch() {
             assertFalse(dispatchPending, "dispatch requested twice");
             dispatchPending = true;
             simulation.tasks.add(() -> {
                 dispatchPending = false;
-                pool.turn(simulation.nowNanos);
+                pool.dispatch(simulation.nowNanos);
             });
         }
 
@@ -238,7 +242,8 @@
             if (!dispatchPending) {
                 assertTrue(waiting.isEmpty() || credit() == 0, "attempts wait although credit is available");
                 boolean noDispatchPending = simulation.models.stream().noneMatch(each -> each.dispatchPending);
-                boolean noTickDue = pool.due() == Pool.NEVER || pool.due() > simulation.nowNanos;
+                boolean noTickDue =
+                        pool.nextTickNanos() == ConnectionPool.NEVER || pool.nextTickNanos() > simulation.nowNanos;
                 if (noDispatchPending && noTickDue && shouldDial()) {
                     assertEquals(
                             simulation.maxConnections,
@@ -269,7 +274,7 @@
         Simulation(long seed, boolean injectFault) {
             random = new Random(seed);
             maxConnections = 1 + random.nextInt(6);
-            SharedRoom sharedLimit = new SharedRoom(maxConnections);
+            SharedConnectionLimit sharedLimit = new SharedConnectionLimit(maxConnections);
             for (int i = 1 + random.nextInt(4); i > 0; i--) {
                 PoolLimits limits = new PoolLimits(
                         1 + random.nextInt(3), random.nextInt(9), 1 + random.nextInt(60), 1 + random.nextInt(30));
@@ -277,13 +282,13 @@
                         this,
                         limits,
                         (poolLimits, actions) -> injectFault
-                                ? new Pool<>(poolLimits, sharedLimit, actions, nowNanos) {
+                                ? new ConnectionPool<>(poolLimits, sharedLimit, actions, nowNanos) {
                                     @Override
                                     boolean needsMoreCredit() {
                                         return true;
                                     }
                                 }
-                                : new Pool<>(poolLimits, sharedLimit, actions, nowNanos)));
+                                : new ConnectionPool<>(poolLimits, sharedLimit, actions, nowNanos)));
             }
             models.forEach(this::open);
         }
@@ -318,7 +323,7 @@
                 closing++;
                 tasks.add(() -> connection.model.endConnection(connection));
             }
-            connection.model.pool.freed(nowNanos);
+            connection.model.pool.creditChanged(nowNanos);
         }
 
         private FakeConnection randomConnection(PoolModel model, boolean up) {
@@ -332,7 +337,7 @@
             connection.up = true;
             connection.limit = random.nextInt(5);
             connection.idleSince = nowNanos;
-            connection.model.pool.cameUp(connection, nowNanos);
+            connection.model.pool.connectionEstablished(connection, nowNanos);
         }
 
         void step() {
@@ -354,11 +359,11 @@
                 completeAttempt(up);
             } else if (choice < 76 && up != null) {
                 up.limit = random.nextInt(6);
-                model.pool.freed(nowNanos);
+                model.pool.creditChanged(nowNanos);
             } else if (choice < 78 && up != null && !up.draining) {
                 model.updateBackoff(up);
                 up.draining = true;
-                model.pool.leaving(up, up.useful, nowNanos);
+                model.pool.connectionDraining(up, up.useful, nowNanos);
             } else if (choice < 80 && up != null) {
                 model.endConnection(up);
             } else if (choice < 83 && !model.waiting.isEmpty()) {
@@ -381,19 +386,19 @@
                     if (model.accepting) {
                         model.pool.open();
                     } else {
-                        model.pool.shut();
+                        model.pool.close();
                     }
                 }
                 case 1 -> {
                     model.consecutiveFailures = 0;
                     model.earliestDialNanos = nowNanos;
-                    model.pool.renewed(nowNanos);
+                    model.pool.upstreamRestarted(nowNanos);
                 }
                 case 2 -> model.pool.closeIdle(random.nextInt(50), nowNanos);
                 default -> {
                     model.connectionRequested = true;
-                    model.pool.ask(nowNanos);
-                    model.connectionRequested = model.pool.asked();
+                    model.pool.requestConnection(nowNanos);
+                    model.connectionRequested = model.pool.isConnectionRequested();
                 }
             }
         }
@@ -401,9 +406,9 @@
         private void advanceTime(long nanos) {
             nowNanos += nanos;
             for (PoolModel model : models) {
-                if (model.pool.due() <= nowNanos) {
+                if (model.pool.nextTickNanos() <= nowNanos) {
                     model.pool.tick(nowNanos);
-                    assertTrue(model.pool.due() > nowNanos, "tick due again at the same time");
+                    assertTrue(model.pool.nextTickNanos() > nowNanos, "tick due again at the same time");
                 }
             }
         }
@@ -457,7 +462,7 @@
             simulate(seed, false).forEach((outcome, count) -> all.merge(outcome, count, Integer::sum));
         }
         System.out.println("pool model: " + all);
-        for (Turned reason : Turned.values()) {
+        for (RejectionReason reason : RejectionReason.values()) {
             assertTrue(all.get(reason.toString()) > 500, "each rejection reason must occur often: " + all);
         }
         assertTrue(all.get("assigned") > 100_000, all::toString);
--- a/src/test/java/pondridge/rig/Fleet.java
+++ b/src/test/java/pondridge/rig/Fleet.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
-import pondridge.Options;
-import pondridge.core.Directory;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
+import pondridge.BalancerOptions;
+import pondridge.core.EndpointDiscovery;
 import pondridge.core.Engine;
 import pondridge.core.Target;
 import pondridge.core.Transport;
-import pondridge.demo.Usual;
+import pondridge.demo.StandinOptions;
 import pondridge.http1.Frontend;
-import pondridge.standin.EffectLedger;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger;
+import pondridge.standin.ExecutionLedger.Verdict;
 import pondridge.standin.FaultScript;
-import pondridge.standin.KeyMemory;
-import pondridge.standin.OpenLoad;
+import pondridge.standin.IdempotencyKeyStore;
+import pondridge.standin.OpenLoopLoadGenerator;
 import pondridge.standin.StandinServer;
 import pondridge.standin.StandinServer.Protocol;
 import pondridge.standin.StandinServer.Setup;
@@ -37,7 +37,7 @@
  */
 public final class Fleet implements AutoCloseable {
     /** Long enough for an overloaded machine; a passing test never waits this long. */
-    public static final long LIMIT_S = 90;
+    public static final long TIMEOUT_SECONDS = 90;
 
     private static final long NANOS_PER_MS = 1_000_000;
     /** The limit of open requests and of client connections of each front end. */
@@ -47,19 +47,19 @@
     private final EventLoop frontLoop = group.next();
     private final EventLoop serverLoop = group.next();
     private final EventLoop clientLoop = group.next();
-    private final EffectLedger ledger;
-    private final KeyMemory keyMemory = new KeyMemory();
+    private final ExecutionLedger ledger;
+    private final IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
     private final Map<String, StandinServer> serversByName = new LinkedHashMap<>();
     private final Map<String, Long> startTimes = new LinkedHashMap<>();
-    private final Options options;
+    private final BalancerOptions options;
     private final List<Engine> engines = new ArrayList<>();
     private final List<InetSocketAddress> frontAddresses = new ArrayList<>();
 
     /** Creates a fleet without servers. */
-    public Fleet(Options options) {
+    public Fleet(BalancerOptions options) {
         this.options = options;
         // The slack is generous: on an overloaded machine responses are late without a fault of the program.
-        this.ledger = new EffectLedger(500 * NANOS_PER_MS, (long) options.number("rules.stopSendingWithin", 2e9));
+        this.ledger = new ExecutionLedger(500 * NANOS_PER_MS, (long) options.number("rules.stopSendingWithin", 2e9));
     }
 
     /**
@@ -68,15 +68,15 @@
      * @param deadlineMs the deadline of each class
      * @param more additional settings lines
      */
-    public static Options options(long deadlineMs, String... more) {
-        return Usual.options(deadlineMs, more);
+    public static BalancerOptions defaultOptions(long deadlineMs, String... more) {
+        return StandinOptions.withDeadline(deadlineMs, more);
     }
 
-    public EffectLedger ledger() {
+    public ExecutionLedger ledger() {
         return ledger;
     }
 
-    public Options settings() {
+    public BalancerOptions settings() {
         return options;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** The address of the first front end. */
-    public InetSocketAddress door() {
+    public InetSocketAddress frontAddress() {
         return frontAddresses.get(0);
     }
 
@@ -113,12 +113,12 @@
     }
 
     /** Starts a front end with a transport created on its loop; all servers are listed as ready. */
-    public Fleet start(BiFunction<EventLoop, Options, Transport> transportFactory) throws Exception {
+    public Fleet start(BiFunction<EventLoop, BalancerOptions, Transport> transportFactory) throws Exception {
         return start(transportFactory, engine -> {});
     }
 
     /** The same; {@code before} gets the engine before it starts. Each call starts one more front end. */
-    public Fleet start(BiFunction<EventLoop, Options, Transport> transportFactory, Consumer<Engine> before)
+    public Fleet start(BiFunction<EventLoop, BalancerOptions, Transport> transportFactory, Consumer<Engine> before)
             throws Exception {
         Frontend frontend = frontLoop
                 .submit(() -> {
@@ -130,7 +130,7 @@
                             transportFactory.apply(frontLoop, options));
                     before.accept(engine);
                     engine.start(
-                            new Directory() {
+                            new EndpointDiscovery() {
                                 @Override
                                 public void watch(boolean on) {}
 
@@ -138,7 +138,7 @@
                                 public void fetch() {}
                             },
                             serversByName.keySet().stream()
-                                    .map(name -> target(name, State.READY))
+                                    .map(name -> target(name, UpstreamState.READY))
                                     .toList());
                     engines.add(engine);
                     return new Frontend(engine, options, MAX_OPEN);
@@ -152,39 +152,39 @@
         return this;
     }
 
-    private Target target(String name, State state) {
+    private Target target(String name, UpstreamState state) {
         StandinServer server = serversByName.get(name);
         return new Target(name, server.address(), server.zone(), "m", 0, state, 1, startTimes.get(name));
     }
 
     /** Publishes a server's state to the front ends and records in the ledger whether it drains. */
-    public void list(String name, State state) throws Exception {
+    public void publishState(String name, UpstreamState state) throws Exception {
         frontLoop
                 .submit(() -> {
-                    engines.forEach(each -> each.listed(ListKind.DELTA, List.of(target(name, state))));
-                    ledger.draining(name, state != State.READY);
+                    engines.forEach(each -> each.updateEndpoints(EndpointListKind.DELTA, List.of(target(name, state))));
+                    ledger.setDraining(name, state != UpstreamState.READY);
                 })
                 .get();
     }
 
     /** Publishes to the front ends that a server has restarted. */
-    public void listRestarted(String name) throws Exception {
+    public void publishRestart(String name) throws Exception {
         startTimes.put(name, System.currentTimeMillis());
-        list(name, State.READY);
+        publishState(name, UpstreamState.READY);
     }
 
     /** Starts load on the front ends. */
-    public CompletableFuture<Void> load(OpenLoad.Plan plan, long seed, String idPrefix) {
-        return new OpenLoad(clientLoop, frontAddresses, ledger, seed, idPrefix).start(plan);
+    public CompletableFuture<Void> load(OpenLoopLoadGenerator.Plan plan, long seed, String idPrefix) {
+        return new OpenLoopLoadGenerator(clientLoop, frontAddresses, ledger, seed, idPrefix).start(plan);
     }
 
     /** A load that the caller starts and evaluates. */
-    public OpenLoad load(long seed, String idPrefix) {
-        return new OpenLoad(clientLoop, frontAddresses, ledger, seed, idPrefix);
+    public OpenLoopLoadGenerator load(long seed, String idPrefix) {
+        return new OpenLoopLoadGenerator(clientLoop, frontAddresses, ledger, seed, idPrefix);
     }
 
     /** Load of all classes with the same client timeout. */
-    public static OpenLoad.Plan mixed(int requests, double perSecond, long timeoutMs) {
+    public static OpenLoopLoadGenerator.Plan mixedPlan(int requests, double perSecond, long timeoutMs) {
         Map<String, Double> shares = new LinkedHashMap<>();
         shares.put("stock-check", 0.3);
         shares.put("stock-hold", 0.25);
@@ -194,21 +194,25 @@
     }
 
     /** Load of these classes, with the same client timeout. */
-    public static OpenLoad.Plan plan(int requests, double perSecond, long timeoutMs, Map<String, Double> shares) {
+    public static OpenLoopLoadGenerator.Plan plan(
+            int requests, double perSecond, long timeoutMs, Map<String, Double> shares) {
         Map<String, Long> timeouts = new LinkedHashMap<>();
         shares.keySet().forEach(name -> timeouts.put(name, timeoutMs * NANOS_PER_MS));
-        return new OpenLoad.Plan(requests, perSecond, shares, timeouts, 120);
+        return new OpenLoopLoadGenerator.Plan(requests, perSecond, shares, timeouts, 120);
     }
 
     /** Waits until the load has ended. */
     public static void await(CompletableFuture<Void> load) throws Exception {
-        load.get(LIMIT_S, TimeUnit.SECONDS);
+        load.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** The verdict, after all engines have become idle. */
     public Verdict verdict() throws Exception {
-        long limit = System.nanoTime() + LIMIT_S * 1_000 * NANOS_PER_MS;
-        while (!frontLoop.submit(() -> engines.stream().allMatch(Engine::idle)).get() && System.nanoTime() < limit) {
+        long limit = System.nanoTime() + TIMEOUT_SECONDS * 1_000 * NANOS_PER_MS;
+        while (!frontLoop
+                        .submit(() -> engines.stream().allMatch(Engine::isIdle))
+                        .get()
+                && System.nanoTime() < limit) {
             Thread.sleep(5);
         }
         return ledger.verdict();
--- a/src/test/java/pondridge/scale/ScaleTest.java
+++ b/src/test/java/pondridge/scale/ScaleTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pondridge.Balancer.State;
+import pondridge.Balancer.UpstreamState;
 import pondridge.settings.SettingsException;
 import pondridge.settings.SettingsFile;
 
@@ -79,7 +79,7 @@
     private static ScalePlan plan(String text) {
         SettingsFile file = SettingsFile.parse("scale.toml", text);
         ScalePlan plan = ScalePlan.of(file);
-        file.finish();
+        file.rejectUnknownKeys();
         return plan;
     }
 
@@ -92,7 +92,8 @@
     void shortRunReachesAllFollowers() throws Exception {
         long seed = Long.getLong("seed", System.nanoTime() & 0xffff);
         System.out.println("scale run, seed " + seed);
-        ScaleReport report = new ScaleRun(plan(SHORT.formatted(seed)), ScaleRun.Source.DISCOVERY, line -> {}).play();
+        ScaleReport report =
+                new ScaleRun(plan(SHORT.formatted(seed)), ScaleRun.DistributionFactory.DISCOVERY, line -> {}).run();
         String lines = String.join("\n", report.lines());
         assertTrue(report.clean(), lines);
         assertEquals(12, report.results().size(), lines);
@@ -148,7 +149,8 @@
     void shortRunThroughRelaysReachesAllFollowers() throws Exception {
         long seed = Long.getLong("seed", System.nanoTime() & 0xffff);
         System.out.println("scale run through relays, seed " + seed);
-        ScaleReport report = new ScaleRun(plan(RELAYED.formatted(seed)), ScaleRun.Source.PLANNED, line -> {}).play();
+        ScaleReport report =
+                new ScaleRun(plan(RELAYED.formatted(seed)), ScaleRun.DistributionFactory.FROM_PLAN, line -> {}).run();
         String lines = String.join("\n", report.lines());
         assertTrue(report.clean(), lines);
         assertEquals(6, report.results().size(), lines);
@@ -195,7 +197,7 @@
     /** A follower that skips versions counts as having all of them once it has the last. */
     @Test
     void laterVersionSupersedesEarlierOnes() {
-        Knowledge tracker = new Knowledge(2);
+        PropagationTracker tracker = new PropagationTracker(2);
         tracker.recordPublished(1, 0);
         tracker.recordPublished(2, 1_000_000_000);
         tracker.recordReceived(0, 1, 2_000_000);
@@ -237,7 +239,8 @@
                 assertTrue(change.atNanos() >= previousNanos && change.atNanos() < step.durationNanos());
                 previousNanos = change.atNanos();
                 for (int entry : change.entries()) {
-                    assertTrue(change.state() == State.READY ? unavailable.remove(entry) : unavailable.add(entry));
+                    assertTrue(
+                            change.state() == UpstreamState.READY ? unavailable.remove(entry) : unavailable.add(entry));
                 }
             }
             assertEquals(unavailable, Set.copyOf(schedule.unavailable()));
--- a/src/test/java/pondridge/sidecar/ClientDisconnectTest.java
+++ b/src/test/java/pondridge/sidecar/ClientDisconnectTest.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.Balancer.Outcome;
 import pondridge.core.Target;
-import pondridge.http1.LateConnection;
-import pondridge.http1.Stub;
-import pondridge.platform.Discovery.EndpointList;
+import pondridge.http1.SaturatedListener;
+import pondridge.http1.StubServer;
+import pondridge.platform.DiscoveryClient.EndpointList;
 
 /** Requests whose client disconnects, or whose time for a retry ends, before they are written. */
 class ClientDisconnectTest {
@@ -26,14 +26,14 @@
         return new SidecarFixture(json, engine -> engine.observe((uid, kind, outcome, took) -> outcomes.add(outcome)));
     }
 
-    private static String endpoint(LateConnection late) {
+    private static String endpoint(SaturatedListener late) {
         return "127.0.0.1:" + late.address().getPort();
     }
 
     /** Even if attempts may not be cancelled, none may start after the client has disconnected. */
     @Test
     void anUnwrittenRequestIsWithdrawnEvenIfAttemptsMayNotBeCancelled() throws Exception {
-        try (LateConnection late = new LateConnection()) {
+        try (SaturatedListener late = new SaturatedListener()) {
             ObjectNode json = SidecarFixture.config();
             ((ObjectNode) json.at("/settings/caps")).put("mayCancel", false).put("connectTimeout", 600_000_000_000L);
             json.withObject("/known")
@@ -41,15 +41,15 @@
                     .add(SidecarFixture.target("s-0", endpoint(late), "SERVING"));
             try (SidecarFixture sidecar = startSidecar(json);
                     SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
-                while (sidecar.loop.submit(sidecar.engine::asked).get() == 0) {
+                StubServer.write(client.socket, SidecarFixture.safeRequest("a"));
+                while (sidecar.loop.submit(sidecar.engine::requestCount).get() == 0) {
                     Thread.onSpinWait();
                 }
                 // Runs after the loop iteration in which the balancer receives the request.
                 sidecar.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
                 assertEquals(0, outcomes.size(), "the attempt waits for its connection");
                 client.socket.close();
-                assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+                assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
             }
         }
     }
@@ -58,17 +58,17 @@
     @Test
     void aRetryIsNotWrittenAfterItsKeyHasExpired() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
-        try (LateConnection late = new LateConnection();
-                Stub first = new Stub((socket, head) -> {
-                    return Stub.await(listed) && Stub.reply(socket, "500 Error", "", "may have run");
+        try (SaturatedListener late = new SaturatedListener();
+                StubServer first = new StubServer((socket, head) -> {
+                    return StubServer.await(listed) && StubServer.reply(socket, "500 Error", "", "may have run");
                 })) {
             ObjectNode json = SidecarFixture.config(first);
             ((ObjectNode) json.at("/settings/caps")).put("connectTimeout", 600_000_000_000L);
             ((ObjectNode) json.at("/settings/profiles/1")).put("keyTtl", 2_000_000_000L);
             try (SidecarFixture sidecar = startSidecar(json);
                     SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-                Stub.write(client.socket, SidecarFixture.postRequest("hold", "Idempotency-Key: k\r\n", "x"));
-                Stub.next(first.heads);
+                StubServer.write(client.socket, SidecarFixture.postRequest("hold", "Idempotency-Key: k\r\n", "x"));
+                StubServer.awaitNext(first.requestHeads);
                 List<Target> added = EndpointList.of(SidecarFixture.endpointList(
                                 42,
                                 false,
@@ -76,14 +76,14 @@
                                         .put("boot_ms", 1)))
                         .targets();
                 sidecar.loop
-                        .submit(() -> sidecar.engine.listed(ListKind.DELTA, added))
+                        .submit(() -> sidecar.engine.updateEndpoints(EndpointListKind.DELTA, added))
                         .sync();
                 // Timers of one event loop fire in order: the key's expiry, then this one, then the deadline.
                 sidecar.loop.execute(
                         () -> sidecar.loop.schedule(() -> outcomes.add(Outcome.TIMEOUT), 8, TimeUnit.SECONDS));
                 listed.countDown();
-                assertEquals(Outcome.ERROR, Stub.next(outcomes));
-                assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes), "when the key expires");
+                assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes));
+                assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes), "when the key expires");
                 assertNotEquals(200, client.readResponse().status());
             }
         }
@@ -93,23 +93,23 @@
     @Test
     void aDisconnectIsDetectedBehindPipelinedRequests() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-                    return Stub.await(go) && Stub.reply(socket, "200 OK", "", "x");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+                    return StubServer.await(go) && StubServer.reply(socket, "200 OK", "", "x");
                 });
                 SidecarFixture sidecar = startSidecar(SidecarFixture.config(upstream));
                 SidecarFixture.Client pipelining = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(
+            StubServer.write(
                     pipelining.socket,
                     SidecarFixture.safeRequest("a")
                             + SidecarFixture.safeRequest("b")
                             + SidecarFixture.safeRequest("c"));
-            Stub.next(upstream.heads);
+            StubServer.awaitNext(upstream.requestHeads);
             // Timers of one event loop fire in order: this one before the deadline, which would cancel the attempt,
             // too.
             sidecar.loop.execute(
                     () -> sidecar.loop.schedule(() -> outcomes.add(Outcome.TIMEOUT), 10, TimeUnit.SECONDS));
             pipelining.socket.close();
-            assertEquals(Outcome.CANCELLED, Stub.next(outcomes), "before any response");
+            assertEquals(Outcome.CANCELLED, StubServer.awaitNext(outcomes), "before any response");
             go.countDown();
             // The balancer counts a disconnect as a late response, so it may refuse some requests first.
             for (int i = 0;
@@ -117,7 +117,10 @@
                     i++) {
                 assertTrue(i < 1000, "never served again");
             }
-            assertTrue(Stub.header(Stub.next(upstream.heads), "Req-Id").startsWith("d"), "not a pipelined request");
+            assertTrue(
+                    StubServer.header(StubServer.awaitNext(upstream.requestHeads), "Req-Id")
+                            .startsWith("d"),
+                    "not a pipelined request");
         }
     }
 
@@ -125,18 +128,18 @@
     @Test
     void timeSpentBehindAnotherRequestCountsTowardsTheDeadline() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-                    return Stub.await(go) && Stub.reply(socket, "200 OK", "", "x");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+                    return StubServer.await(go) && StubServer.reply(socket, "200 OK", "", "x");
                 });
                 SidecarFixture sidecar = startSidecar(SidecarFixture.config(upstream));
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(client.socket, SidecarFixture.safeRequest("a") + SidecarFixture.safeRequest("b"));
-            Stub.next(upstream.heads);
+            StubServer.write(client.socket, SidecarFixture.safeRequest("a") + SidecarFixture.safeRequest("b"));
+            StubServer.awaitNext(upstream.requestHeads);
             Thread.sleep(300);
             go.countDown();
             assertEquals(200, client.readResponse().status());
             assertEquals(200, client.readResponse().status());
-            String remaining = Stub.header(Stub.next(upstream.heads), "Req-Deadline-Ms");
+            String remaining = StubServer.header(StubServer.awaitNext(upstream.requestHeads), "Req-Deadline-Ms");
             assertTrue(
                     Integer.parseInt(remaining) <= SidecarFixture.CLIENT_TIMEOUT_MS - 300,
                     remaining + " of " + SidecarFixture.CLIENT_TIMEOUT_MS);
--- a/src/test/java/pondridge/sidecar/ConnectionCloseTest.java
+++ b/src/test/java/pondridge/sidecar/ConnectionCloseTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 
 /** Closing a client connection while bytes from that client are still unread. */
 class ConnectionCloseTest {
@@ -28,10 +28,10 @@
         CountDownLatch go = new CountDownLatch(1);
         sidecar.loop.execute(() -> {
             blocked.countDown();
-            assertTrue(Stub.await(go));
+            assertTrue(StubServer.await(go));
             inSameIteration.run();
         });
-        assertTrue(blocked.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(blocked.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         action.run();
         go.countDown();
     }
@@ -40,7 +40,7 @@
     @Test
     void aConnectionWithAnUnreadRequestIsNotEvicted() throws Exception {
         List<SidecarFixture.Client> idle = new ArrayList<>();
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (int i = 0; i < SidecarFixture.MAX_OPEN; i++) {
                 idle.add(new SidecarFixture.Client(sidecar.address));
@@ -55,8 +55,8 @@
                     sidecar,
                     () -> {
                         additional[0] = new SidecarFixture.Client(sidecar.address);
-                        Stub.write(additional[0].socket, SidecarFixture.safeRequest("new"));
-                        Stub.write(idle.get(0).socket, SidecarFixture.safeRequest("unread"));
+                        StubServer.write(additional[0].socket, SidecarFixture.safeRequest("new"));
+                        StubServer.write(idle.get(0).socket, SidecarFixture.safeRequest("unread"));
                     },
                     () -> {});
             assertEquals(200, idle.get(0).readResponse().status());
@@ -74,30 +74,32 @@
     /** A request is unread on a reused connection when draining starts. */
     @Test
     void anUnreadRequestIsAnsweredWhenDrainingStarts() throws Exception {
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
             assertEquals(200, client.exchange(SidecarFixture.safeRequest("a")).status());
             whileBlocked(
-                    sidecar, () -> Stub.write(client.socket, SidecarFixture.safeRequest("b")), sidecar.frontend::drain);
+                    sidecar,
+                    () -> StubServer.write(client.socket, SidecarFixture.safeRequest("b")),
+                    sidecar.frontend::drain);
             SidecarFixture.Response response = client.readResponse();
             assertEquals(200, response.status());
-            assertEquals("close", Stub.header(response.head(), "Connection"));
+            assertEquals("close", StubServer.header(response.head(), "Connection"));
         }
     }
 
     /** A slow reader sends more data after its last request: a reset would truncate its response. */
     @Test
     void aLastResponseIsNotTruncatedByFurtherInput() throws Exception {
-        try (Stub upstream = Stub.serving("x".repeat(LARGE_RESPONSE));
+        try (StubServer upstream = StubServer.serving("x".repeat(LARGE_RESPONSE));
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 Socket slow = new Socket()) {
             slow.setReceiveBufferSize(4096);
-            slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+            slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
             slow.connect(sidecar.address);
-            Stub.write(slow, SidecarFixture.safeRequest("a").replace("Host:", "Connection: close\r\nHost:"));
+            StubServer.write(slow, SidecarFixture.safeRequest("a").replace("Host:", "Connection: close\r\nHost:"));
             InputStream in = new BufferedInputStream(slow.getInputStream());
-            int remaining = Stub.length(Stub.head(in));
+            int remaining = StubServer.contentLength(StubServer.readHead(in));
             assertEquals(LARGE_RESPONSE, remaining);
             while (remaining > 0) {
                 int read = in.read(new byte[10_000]);
@@ -110,7 +112,7 @@
 
     private static void sendLineEnd(Socket socket) {
         try {
-            Stub.write(socket, "\r\n");
+            StubServer.write(socket, "\r\n");
         } catch (IOException e) {
             // The sidecar may have closed the connection by now; only the response that can be read matters.
         }
--- a/src/test/java/pondridge/sidecar/DeployCommandIT.java
+++ b/src/test/java/pondridge/sidecar/DeployCommandIT.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pondridge.grpc.GrpcProbe;
-import pondridge.http1.Stub;
+import pondridge.grpc.GrpcFrontendFixture;
+import pondridge.http1.StubServer;
 import pondridge.standin.DiscoveryStandin;
 import pondridge.standin.DiscoveryStandin.Entry;
 
@@ -78,7 +78,7 @@
     }
 
     private int awaitExit() throws InterruptedException {
-        assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
+        assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "still running");
         return process.exitValue();
     }
 
@@ -112,16 +112,16 @@
     @Test
     void runServesAndShutsDownGracefullyAtSigterm() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-            return Stub.await(go) && Stub.reply(socket, "200 OK", "", "held");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+            return StubServer.await(go) && StubServer.reply(socket, "200 OK", "", "held");
         })) {
             InetSocketAddress address = freeAddress();
             start("run", SidecarFixture.config(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
             try (SidecarFixture.Client client = new SidecarFixture.Client(address);
                     SidecarFixture.Client other = new SidecarFixture.Client(address)) {
-                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
-                Stub.next(upstream.heads);
+                StubServer.write(client.socket, SidecarFixture.safeRequest("a"));
+                StubServer.awaitNext(upstream.requestHeads);
                 assertEquals(200, other.exchange(UP).status());
                 process.destroy();
                 // Shutdown has started once /up responds with an error on an existing connection, or closes it.
@@ -143,13 +143,13 @@
     /** At most 3 s of a deadline count at shutdown: a request with 20 s left is still answered before SIGKILL. */
     @Test
     void aLongDeadlineIsShortenedAtSigterm() throws Exception {
-        try (Stub hung = new Stub((socket, head) -> true)) {
+        try (StubServer hung = new StubServer((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
             start("run", SidecarFixture.config(hung).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
             try (SidecarFixture.Client client = new SidecarFixture.Client(address)) {
-                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
-                Stub.next(hung.heads);
+                StubServer.write(client.socket, SidecarFixture.safeRequest("a"));
+                StubServer.awaitNext(hung.requestHeads);
                 process.destroy();
                 long sigtermNanos = System.nanoTime();
                 assertEquals(503, client.readResponse().status());
@@ -169,7 +169,7 @@
                 "[grpc]\nsecurity = \"plain\"\nlisten = " + "\"127.0.0.1:" + grpc.getPort() + "\"\n");
         start("run", SidecarFixture.config().put("listen", "127.0.0.1:" + address.getPort()), " --settings " + file);
         awaitUp(address);
-        assertTrue(GrpcProbe.healthy(grpc));
+        assertTrue(GrpcFrontendFixture.isServing(grpc));
         process.destroy();
         assertEquals(0, awaitExit());
     }
@@ -177,10 +177,10 @@
     /** The JVM exits at SIGHUP by default; here each one applies the file's discovery address while running. */
     @Test
     void sighupReloadsTheDiscoveryAddressAndAnInvalidFileChangesNothing() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Stub first = new Stub((socket, head) -> true);
-                Stub second = new Stub((socket, head) -> true);
-                Stub third = new Stub((socket, head) -> true)) {
+        try (StubServer upstream = StubServer.serving("x");
+                StubServer first = new StubServer((socket, head) -> true);
+                StubServer second = new StubServer((socket, head) -> true);
+                StubServer third = new StubServer((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
             ObjectNode json = SidecarFixture.config(upstream)
                     .put("listen", "127.0.0.1:" + address.getPort())
@@ -188,11 +188,11 @@
             json.withObject("/settings").put("discovery", "subscribe");
             start("run", json);
             awaitUp(address);
-            Stub.next(first.heads);
+            StubServer.awaitNext(first.requestHeads);
             write(json.put("discovery", second.endpoint()).toString());
             sendSighup();
-            assertTrue(Stub.next(second.heads).contains("watch=1"));
-            Stub.next(first.ended);
+            assertTrue(StubServer.awaitNext(second.requestHeads).contains("watch=1"));
+            StubServer.awaitNext(first.closedConnections);
             write("{\"listen\":");
             sendSighup();
             BufferedReader log = process.errorReader();
@@ -202,19 +202,19 @@
             }
             write(json.put("discovery", third.endpoint()).toString());
             sendSighup();
-            assertTrue(Stub.next(third.heads).contains("watch=1"));
+            assertTrue(StubServer.awaitNext(third.requestHeads).contains("watch=1"));
             try (SidecarFixture.Client client = new SidecarFixture.Client(address)) {
                 assertEquals(
                         200, client.exchange(SidecarFixture.safeRequest("a")).status());
             }
-            assertEquals(0, second.heads.size(), "an invalid file causes no new call");
+            assertEquals(0, second.requestHeads.size(), "an invalid file causes no new call");
         }
     }
 
     /** Under nohup the JVM does not handle the signal; the log must show the sender why nothing happens. */
     @Test
     void anIgnoredSighupIsReportedAtStartup() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
+        try (StubServer upstream = StubServer.serving("x")) {
             InetSocketAddress address = freeAddress();
             shellPrefix = "trap '' HUP; ";
             start("run", SidecarFixture.config(upstream).put("listen", "127.0.0.1:" + address.getPort()));
@@ -291,9 +291,9 @@
         throw new AssertionError("not served: " + id);
     }
 
-    private static void awaitServedBy(InetSocketAddress address, Stub server) {
-        server.heads.clear();
-        for (int i = 0; server.heads.isEmpty(); i++) {
+    private static void awaitServedBy(InetSocketAddress address, StubServer server) {
+        server.requestHeads.clear();
+        for (int i = 0; server.requestHeads.isEmpty(); i++) {
             assertTrue(i < 2000, "the server never got a request");
             awaitServed(address, "to-" + i);
         }
@@ -303,8 +303,8 @@
     @Test
     void idleClientsDoNotExhaustFileDescriptors() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Stub one = Stub.serving("x");
-                Stub two = Stub.serving("x")) {
+        try (StubServer one = StubServer.serving("x");
+                StubServer two = StubServer.serving("x")) {
             InetSocketAddress address = freeAddress();
             InetSocketAddress discovery = freeAddress();
             ObjectNode json = SidecarFixture.config(one)
@@ -325,11 +325,11 @@
                                 new Entry("s-1", two.address(), "a", "SERVING", 0)))) {
                     assertEquals(discovery, recovered.address());
                     awaitServedBy(address, two);
-                    one.heads.clear();
+                    one.requestHeads.clear();
                     for (int i = 0; i < 10; i++) {
                         awaitServed(address, "kept-" + i);
                     }
-                    assertEquals(0, one.heads.size(), "the draining server gets no new requests");
+                    assertEquals(0, one.requestHeads.size(), "the draining server gets no new requests");
                     try (DiscoveryStandin newDiscovery = new DiscoveryStandin(
                             group.next(),
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
--- a/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryClientTest.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.ListKind;
-import pondridge.Balancer.State;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.UpstreamState;
 import pondridge.core.Target;
-import pondridge.http1.Stub;
-import pondridge.platform.Discovery;
+import pondridge.http1.StubServer;
+import pondridge.platform.DiscoveryClient;
 
 /** The discovery client against services with slow, split, invalid and outdated responses. */
 class DiscoveryClientTest {
@@ -27,7 +27,7 @@
     private static final String CHANGE_FIRST_HALF = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
     private static final String CHANGE_SECOND_HALF = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
-    private record ListEvent(ListKind kind, List<Target> targets) {}
+    private record ListEvent(EndpointListKind kind, List<Target> targets) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -46,36 +46,42 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private Discovery discovery(Stub service) {
+    private DiscoveryClient discovery(StubServer service) {
         return discovery(service, false);
     }
 
-    private Discovery discovery(Stub service, boolean pushed) {
-        return new Discovery(
+    private DiscoveryClient discovery(StubServer service, boolean pushed) {
+        return new DiscoveryClient(
                 loop, service.address(), pushed, 41, (kind, targets) -> events.add(new ListEvent(kind, targets)));
     }
 
     /** A line may span several chunks and a chunk may hold several lines; only an invalid entry itself is skipped. */
     @Test
     void watchIsReadLineByLineAndReportsFailureWhenItEnds() throws Exception {
-        try (Stub service = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("\n") + chunk(CHANGE_FIRST_HALF));
-            Stub.write(socket, chunk(CHANGE_SECOND_HALF + "{\"rev\":44,\"all\":true,\"targets\":[]}\n"));
+        try (StubServer service = new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("\n") + chunk(CHANGE_FIRST_HALF));
+            StubServer.write(socket, chunk(CHANGE_SECOND_HALF + "{\"rev\":44,\"all\":true,\"targets\":[]}\n"));
             return false;
         })) {
-            Discovery discovery = discovery(service);
+            DiscoveryClient discovery = discovery(service);
             loop.execute(() -> discovery.watch(true));
-            assertTrue(Stub.next(service.heads).startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
-            assertEquals(new ListEvent(ListKind.DELTA, List.of()), Stub.next(events), "an empty line means no change");
-            ListEvent delta = Stub.next(events);
-            assertEquals(ListKind.DELTA, delta.kind);
+            assertTrue(StubServer.awaitNext(service.requestHeads)
+                    .startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
             assertEquals(
-                    List.of(State.DRAINING),
+                    new ListEvent(EndpointListKind.DELTA, List.of()),
+                    StubServer.awaitNext(events),
+                    "an empty line means no change");
+            ListEvent delta = StubServer.awaitNext(events);
+            assertEquals(EndpointListKind.DELTA, delta.kind);
+            assertEquals(
+                    List.of(UpstreamState.DRAINING),
                     delta.targets.stream().map(Target::state).toList());
-            assertEquals(new ListEvent(ListKind.FULL, List.of()), Stub.next(events));
-            assertEquals(new ListEvent(ListKind.FAILED, List.of()), Stub.next(events));
+            assertEquals(new ListEvent(EndpointListKind.FULL, List.of()), StubServer.awaitNext(events));
+            assertEquals(new ListEvent(EndpointListKind.FAILED, List.of()), StubServer.awaitNext(events));
             loop.execute(() -> discovery.watch(true));
-            assertTrue(Stub.next(service.heads).contains("from=44 "), "continues from the last revision");
+            assertTrue(
+                    StubServer.awaitNext(service.requestHeads).contains("from=44 "),
+                    "continues from the last revision");
         }
     }
 
@@ -89,15 +95,15 @@
                 CHUNKED + chunk("{\"rev\":\n"),
                 CHUNKED + chunk("[]\n"),
                 CHUNKED + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
-            try (Stub service = new Stub((socket, head) -> {
-                Stub.write(socket, rawResponse);
+            try (StubServer service = new StubServer((socket, head) -> {
+                StubServer.write(socket, rawResponse);
                 return false;
             })) {
-                Discovery discovery = discovery(service);
+                DiscoveryClient discovery = discovery(service);
                 loop.execute(() -> discovery.watch(true));
-                assertEquals(ListKind.FAILED, Stub.next(events).kind, rawResponse);
+                assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events).kind, rawResponse);
                 loop.execute(discovery::fetch);
-                assertEquals(ListKind.FAILED, Stub.next(events).kind, rawResponse);
+                assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events).kind, rawResponse);
                 loop.submit(() -> {}).sync();
                 assertEquals(0, events.size(), rawResponse);
             }
@@ -107,14 +113,14 @@
     @Test
     void fullListIsFetchedOnce() throws Exception {
         String body = "{\"rev\":41,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (Stub service = new Stub((socket, head) -> Stub.reply(socket, "200 OK", "", body))) {
-            Discovery discovery = discovery(service);
+        try (StubServer service = new StubServer((socket, head) -> StubServer.reply(socket, "200 OK", "", body))) {
+            DiscoveryClient discovery = discovery(service);
             loop.execute(discovery::fetch);
-            assertTrue(Stub.next(service.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
-            ListEvent list = Stub.next(events);
-            assertEquals(ListKind.FULL, list.kind);
+            assertTrue(StubServer.awaitNext(service.requestHeads).startsWith("GET /discovery/hosts HTTP/1.1"));
+            ListEvent list = StubServer.awaitNext(events);
+            assertEquals(EndpointListKind.FULL, list.kind);
             assertEquals(9, list.targets.get(0).endpoint().getPort());
-            Stub.next(service.ended);
+            StubServer.awaitNext(service.closedConnections);
             assertEquals(0, events.size());
         }
     }
@@ -122,26 +128,27 @@
     /** After a switch the new service's list applies, whatever its revision, and the old service is ignored. */
     @Test
     void switchedWatchRequestsTheFullListAndClosesTheOldWatch() throws Exception {
-        Stub.Script openWatch = (socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("{\"rev\":50,\"all\":true,\"targets\":[]}\n"));
+        StubServer.Script openWatch = (socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("{\"rev\":50,\"all\":true,\"targets\":[]}\n"));
             return true;
         };
         String fullList = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
-        try (Stub oldService = new Stub(openWatch);
-                Stub newService = new Stub((socket, head) -> {
-                    Stub.write(socket, CHUNKED + chunk(fullList));
+        try (StubServer oldService = new StubServer(openWatch);
+                StubServer newService = new StubServer((socket, head) -> {
+                    StubServer.write(socket, CHUNKED + chunk(fullList));
                     return true;
                 })) {
-            Discovery discovery = discovery(oldService);
+            DiscoveryClient discovery = discovery(oldService);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(ListKind.FULL, Stub.next(events).kind);
+            assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events).kind);
             loop.execute(() -> discovery.switchTo(newService.address()));
-            assertEquals("end", Stub.next(oldService.ended), "the old watch is closed");
-            assertTrue(Stub.next(newService.heads).startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
-            ListEvent list = Stub.next(events);
-            assertEquals(ListKind.FULL, list.kind);
+            assertEquals("end", StubServer.awaitNext(oldService.closedConnections), "the old watch is closed");
+            assertTrue(StubServer.awaitNext(newService.requestHeads)
+                    .startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
+            ListEvent list = StubServer.awaitNext(events);
+            assertEquals(EndpointListKind.FULL, list.kind);
             assertEquals(1, list.targets.size());
-            oldService.die();
+            oldService.kill();
             loop.submit(() -> {}).sync();
             assertEquals(0, events.size(), "neither a failure nor a list of the old service");
         }
@@ -152,21 +159,26 @@
     void aPendingCallCompletesBeforeTheNewServiceIsCalled() throws Exception {
         CountDownLatch configured = new CountDownLatch(1);
         String emptyList = "{\"rev\":43,\"all\":true,\"targets\":[]}\n";
-        try (Stub oldService = new Stub((socket, head) -> {
-                    assertTrue(Stub.await(configured));
-                    Stub.write(socket, CHUNKED + chunk(emptyList));
+        try (StubServer oldService = new StubServer((socket, head) -> {
+                    assertTrue(StubServer.await(configured));
+                    StubServer.write(socket, CHUNKED + chunk(emptyList));
                     return true;
                 });
-                Stub newService = new Stub((socket, head) -> Stub.reply(socket, "503 No", "", ""))) {
-            Discovery discovery = discovery(oldService);
+                StubServer newService = new StubServer((socket, head) -> StubServer.reply(socket, "503 No", "", ""))) {
+            DiscoveryClient discovery = discovery(oldService);
             loop.execute(() -> discovery.watch(true));
-            Stub.next(oldService.heads);
+            StubServer.awaitNext(oldService.requestHeads);
             loop.submit(() -> discovery.switchTo(newService.address())).sync();
-            assertEquals(0, newService.heads.size());
+            assertEquals(0, newService.requestHeads.size());
             configured.countDown();
-            assertEquals(new ListEvent(ListKind.FULL, List.of()), Stub.next(events), "the old service's response");
-            assertEquals(ListKind.FAILED, Stub.next(events).kind, "then the new service refuses");
-            assertTrue(Stub.next(newService.heads).contains("from=0 "), "must not use a revision of the old service");
+            assertEquals(
+                    new ListEvent(EndpointListKind.FULL, List.of()),
+                    StubServer.awaitNext(events),
+                    "the old service's response");
+            assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events).kind, "then the new service refuses");
+            assertTrue(
+                    StubServer.awaitNext(newService.requestHeads).contains("from=0 "),
+                    "must not use a revision of the old service");
         }
     }
 
@@ -174,23 +186,25 @@
     @Test
     void theNewServiceIsCalledInTimeIfTheOldOneDoesNotRespond() throws Exception {
         String fullList = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
-        try (Stub oldService = new Stub((socket, head) -> true);
-                Stub newService = new Stub((socket, head) -> {
-                    Stub.write(socket, CHUNKED + chunk(fullList));
+        try (StubServer oldService = new StubServer((socket, head) -> true);
+                StubServer newService = new StubServer((socket, head) -> {
+                    StubServer.write(socket, CHUNKED + chunk(fullList));
                     return true;
                 })) {
-            Discovery discovery = discovery(oldService);
+            DiscoveryClient discovery = discovery(oldService);
             loop.execute(() -> discovery.watch(true));
-            Stub.next(oldService.heads);
+            StubServer.awaitNext(oldService.requestHeads);
             // Timers of one event loop fire in order, whatever the speed of the machine.
             loop.execute(() -> {
                 discovery.switchTo(newService.address());
                 loop.schedule(
-                        () -> events.add(new ListEvent(ListKind.CACHED, List.of())), 2_300, TimeUnit.MILLISECONDS);
+                        () -> events.add(new ListEvent(EndpointListKind.CACHED, List.of())),
+                        2_300,
+                        TimeUnit.MILLISECONDS);
             });
-            assertEquals(ListKind.FULL, Stub.next(events).kind, "before 2.3 s are over");
-            assertEquals(ListKind.CACHED, Stub.next(events).kind);
-            assertEquals("end", Stub.next(oldService.ended));
+            assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events).kind, "before 2.3 s are over");
+            assertEquals(EndpointListKind.CACHED, StubServer.awaitNext(events).kind);
+            assertEquals("end", StubServer.awaitNext(oldService.closedConnections));
         }
     }
 
@@ -198,18 +212,18 @@
     @Test
     void aWatchWithoutAFirstResponseIsNotReplaced() throws Exception {
         CountDownLatch repeated = new CountDownLatch(1);
-        try (Stub service = new Stub((socket, head) -> {
-            assertTrue(Stub.await(repeated));
-            Stub.write(socket, CHUNKED + chunk("\n"));
+        try (StubServer service = new StubServer((socket, head) -> {
+            assertTrue(StubServer.await(repeated));
+            StubServer.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
-            Discovery discovery = discovery(service);
+            DiscoveryClient discovery = discovery(service);
             loop.execute(() -> discovery.watch(true));
-            Stub.next(service.heads);
+            StubServer.awaitNext(service.requestHeads);
             loop.submit(() -> discovery.watch(true)).sync();
             repeated.countDown();
-            assertEquals(ListKind.DELTA, Stub.next(events).kind);
-            assertEquals(0, service.heads.size());
+            assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events).kind);
+            assertEquals(0, service.requestHeads.size());
             assertEquals(0, events.size());
         }
     }
@@ -219,23 +233,23 @@
     void closureByTheOldServiceAfterASwitchIsNoFailure() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         String fullList = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
-        try (Stub oldService = new Stub((socket, head) -> true);
-                Stub newService = new Stub((socket, head) -> {
-                    assertTrue(Stub.await(ended));
-                    Stub.write(socket, CHUNKED + chunk(fullList));
+        try (StubServer oldService = new StubServer((socket, head) -> true);
+                StubServer newService = new StubServer((socket, head) -> {
+                    assertTrue(StubServer.await(ended));
+                    StubServer.write(socket, CHUNKED + chunk(fullList));
                     return true;
                 })) {
-            Discovery discovery = discovery(oldService);
+            DiscoveryClient discovery = discovery(oldService);
             loop.execute(() -> discovery.watch(true));
-            Stub.next(oldService.heads);
+            StubServer.awaitNext(oldService.requestHeads);
             loop.execute(() -> discovery.switchTo(newService.address()));
-            Stub.next(newService.heads);
-            oldService.die();
-            Stub.next(oldService.ended);
+            StubServer.awaitNext(newService.requestHeads);
+            oldService.kill();
+            StubServer.awaitNext(oldService.closedConnections);
             ended.countDown();
-            assertEquals(ListKind.FULL, Stub.next(events).kind);
+            assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events).kind);
             assertEquals(0, events.size());
-            assertEquals(0, newService.heads.size());
+            assertEquals(0, newService.requestHeads.size());
         }
     }
 
@@ -243,20 +257,20 @@
     @Test
     void switchedWatchWithOnlyChangesIsFollowedByAFetchOfTheFullList() throws Exception {
         String fullList = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (Stub oldService = new Stub((socket, head) -> true);
-                Stub newService = new Stub((socket, head) -> {
+        try (StubServer oldService = new StubServer((socket, head) -> true);
+                StubServer newService = new StubServer((socket, head) -> {
                     if (!head.contains("watch=1")) {
-                        return Stub.reply(socket, "200 OK", "", fullList);
+                        return StubServer.reply(socket, "200 OK", "", fullList);
                     }
-                    Stub.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
+                    StubServer.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
                     return true;
                 })) {
-            Discovery discovery = discovery(oldService);
+            DiscoveryClient discovery = discovery(oldService);
             loop.execute(() -> discovery.watch(true));
-            Stub.next(oldService.heads);
+            StubServer.awaitNext(oldService.requestHeads);
             loop.execute(() -> discovery.switchTo(newService.address()));
-            assertEquals(ListKind.DELTA, Stub.next(events).kind);
-            assertEquals(ListKind.FULL, Stub.next(events).kind);
+            assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events).kind);
+            assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events).kind);
         }
     }
 
@@ -265,18 +279,18 @@
     void indentedListsAreRead() throws Exception {
         String quoted = entry("DRAINING").replace("s-1", "s}\\\"{1");
         String change = ("{\n \"rev\": 43,\n \"all\": false,\n \"targets\": [\n  " + quoted + "\n ]\n}");
-        try (Stub service = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk(change.substring(0, 30)) + chunk(change.substring(30)));
+        try (StubServer service = new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk(change.substring(0, 30)) + chunk(change.substring(30)));
             return true;
         })) {
-            Discovery discovery = discovery(service);
+            DiscoveryClient discovery = discovery(service);
             loop.execute(() -> discovery.watch(true));
-            ListEvent delta = Stub.next(events);
-            assertEquals(ListKind.DELTA, delta.kind);
+            ListEvent delta = StubServer.awaitNext(events);
+            assertEquals(EndpointListKind.DELTA, delta.kind);
             assertEquals(
                     List.of("s}\"{1"), delta.targets.stream().map(Target::uid).toList());
             loop.execute(discovery::fetch);
-            assertEquals(ListKind.DELTA, Stub.next(events).kind);
+            assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events).kind);
         }
     }
 
@@ -287,21 +301,26 @@
         AtomicInteger fetches = new AtomicInteger();
         String ready = "{\"rev\":42,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
         String draining = "{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}";
-        try (Stub service = new Stub((socket, head) -> {
+        try (StubServer service = new StubServer((socket, head) -> {
             if (head.contains("watch=1")) {
-                Stub.write(socket, CHUNKED + chunk(draining + "\n"));
+                StubServer.write(socket, CHUNKED + chunk(draining + "\n"));
                 return true;
             }
-            return Stub.await(watched)
-                    && Stub.reply(socket, "200 OK", "", fetches.getAndIncrement() == 0 ? ready : draining);
+            return StubServer.await(watched)
+                    && StubServer.reply(socket, "200 OK", "", fetches.getAndIncrement() == 0 ? ready : draining);
         })) {
-            Discovery discovery = discovery(service);
+            DiscoveryClient discovery = discovery(service);
             loop.execute(discovery::fetch);
-            Stub.next(service.heads);
+            StubServer.awaitNext(service.requestHeads);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(State.DRAINING, Stub.next(events).targets.get(0).state());
+            assertEquals(
+                    UpstreamState.DRAINING,
+                    StubServer.awaitNext(events).targets.get(0).state());
             watched.countDown();
-            assertEquals(State.DRAINING, Stub.next(events).targets.get(0).state(), "it is fetched again");
+            assertEquals(
+                    UpstreamState.DRAINING,
+                    StubServer.awaitNext(events).targets.get(0).state(),
+                    "it is fetched again");
             assertEquals(2, fetches.get());
         }
     }
@@ -310,10 +329,10 @@
     @Test
     void revisionsMayStartAgain() throws Exception {
         String fullList = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (Stub service = new Stub((socket, head) -> Stub.reply(socket, "200 OK", "", fullList))) {
-            Discovery discovery = discovery(service);
+        try (StubServer service = new StubServer((socket, head) -> StubServer.reply(socket, "200 OK", "", fullList))) {
+            DiscoveryClient discovery = discovery(service);
             loop.execute(discovery::fetch);
-            assertEquals(ListKind.FULL, Stub.next(events).kind);
+            assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events).kind);
         }
     }
 
@@ -325,40 +344,47 @@
     void pushedListsAreWatchedWithoutRequest() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         String change = "{\"rev\":44,\"all\":false,\"targets\":[" + entry("DRAINING") + "]}\n";
-        try (Stub service = new Stub((socket, head) -> {
+        try (StubServer service = new StubServer((socket, head) -> {
             int call = calls.getAndIncrement();
             if (call == 1) {
                 return true;
             }
-            Stub.write(socket, call == 0 ? "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n" : CHUNKED + chunk(change));
+            StubServer.write(
+                    socket, call == 0 ? "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n" : CHUNKED + chunk(change));
             return call != 2;
         })) {
-            Discovery discovery = discovery(service, true);
-            loop.execute(discovery::follow);
-            List<ListKind> kinds = new ArrayList<>();
+            DiscoveryClient discovery = discovery(service, true);
+            loop.execute(discovery::startIfPushed);
+            List<EndpointListKind> kinds = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
-                kinds.add(Stub.next(events).kind);
+                kinds.add(StubServer.awaitNext(events).kind);
             }
             assertEquals(
-                    List.of(ListKind.FAILED, ListKind.FAILED, ListKind.DELTA, ListKind.FAILED, ListKind.DELTA), kinds);
-            assertTrue(service.heads.stream().allMatch(head -> head.contains("watch=1")));
+                    List.of(
+                            EndpointListKind.FAILED,
+                            EndpointListKind.FAILED,
+                            EndpointListKind.DELTA,
+                            EndpointListKind.FAILED,
+                            EndpointListKind.DELTA),
+                    kinds);
+            assertTrue(service.requestHeads.stream().allMatch(head -> head.contains("watch=1")));
         }
     }
 
     /** A silent watch is closed early enough for two further calls before missed changes count as received. */
     @Test
     void silenceIsDetectedInHalfTheDeliveryTime() throws Exception {
-        try (Stub service = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":[]}\n"));
+        try (StubServer service = new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":[]}\n"));
             return true;
         })) {
-            Discovery discovery = discovery(service);
+            DiscoveryClient discovery = discovery(service);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(ListKind.FULL, Stub.next(events).kind);
+            assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events).kind);
             // Both are timers of one event loop, so their order does not depend on the speed of the machine.
-            loop.execute(() ->
-                    loop.schedule(() -> events.add(new ListEvent(ListKind.CACHED, List.of())), 4, TimeUnit.SECONDS));
-            assertEquals(ListKind.FAILED, Stub.next(events).kind, "before 4 s of the 6 s are over");
+            loop.execute(() -> loop.schedule(
+                    () -> events.add(new ListEvent(EndpointListKind.CACHED, List.of())), 4, TimeUnit.SECONDS));
+            assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events).kind, "before 4 s of the 6 s are over");
         }
     }
 
@@ -370,49 +396,50 @@
     void aSlowFirstResponseTimesOutOnceAndThenGetsMoreTime() throws Exception {
         String fullList = "{\"rev\":43,\"all\":true,\"targets\":[]}\n";
         AtomicInteger calls = new AtomicInteger();
-        try (Stub service = new Stub((socket, head) -> {
+        try (StubServer service = new StubServer((socket, head) -> {
             boolean first = calls.getAndIncrement() == 0;
             for (int i = 0; first && i < 9; i++) {
                 pause();
             }
-            Stub.write(socket, CHUNKED);
+            StubServer.write(socket, CHUNKED);
             int slowBytes = first ? 30 : 17;
             for (int i = 0; i < slowBytes; i++) {
-                Stub.write(socket, chunk(fullList.substring(i, i + 1)));
+                StubServer.write(socket, chunk(fullList.substring(i, i + 1)));
                 pause();
             }
-            Stub.write(socket, chunk(fullList.substring(slowBytes)));
+            StubServer.write(socket, chunk(fullList.substring(slowBytes)));
             return true;
         })) {
-            Discovery discovery = discovery(service);
+            DiscoveryClient discovery = discovery(service);
             loop.execute(() -> {
                 discovery.watch(true);
-                loop.schedule(() -> events.add(new ListEvent(ListKind.CACHED, List.of())), 4, TimeUnit.SECONDS);
+                loop.schedule(() -> events.add(new ListEvent(EndpointListKind.CACHED, List.of())), 4, TimeUnit.SECONDS);
             });
-            assertEquals(ListKind.FAILED, Stub.next(events).kind, "before 4 s of the 6 s are over");
-            assertEquals(ListKind.CACHED, Stub.next(events).kind);
+            assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events).kind, "before 4 s of the 6 s are over");
+            assertEquals(EndpointListKind.CACHED, StubServer.awaitNext(events).kind);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(ListKind.FULL, Stub.next(events).kind, "complete 3.4 s after its first byte");
+            assertEquals(
+                    EndpointListKind.FULL, StubServer.awaitNext(events).kind, "complete 3.4 s after its first byte");
         }
     }
 
     /** A change that trickles in on an open watch times out as early as a silent watch. */
     @Test
     void aSlowChangeTimesOutLikeASilentWatch() throws Exception {
-        try (Stub service = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("\n"));
+        try (StubServer service = new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("\n"));
             for (int i = 0; i < 30; i++) {
-                Stub.write(socket, chunk(CHANGE_FIRST_HALF.substring(i, i + 1)));
+                StubServer.write(socket, chunk(CHANGE_FIRST_HALF.substring(i, i + 1)));
                 pause();
             }
             return true;
         })) {
-            Discovery discovery = discovery(service);
+            DiscoveryClient discovery = discovery(service);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(ListKind.DELTA, Stub.next(events).kind);
-            loop.execute(() ->
-                    loop.schedule(() -> events.add(new ListEvent(ListKind.CACHED, List.of())), 4, TimeUnit.SECONDS));
-            assertEquals(ListKind.FAILED, Stub.next(events).kind);
+            assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events).kind);
+            loop.execute(() -> loop.schedule(
+                    () -> events.add(new ListEvent(EndpointListKind.CACHED, List.of())), 4, TimeUnit.SECONDS));
+            assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events).kind);
         }
     }
 
@@ -431,10 +458,10 @@
         for (boolean pushed : new boolean[] {false, true}) {
             AtomicInteger fetches = new AtomicInteger();
             String fullList = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-            try (Stub oldService = new Stub((socket, head) -> true);
-                    Stub newService = new Stub((socket, head) -> {
+            try (StubServer oldService = new StubServer((socket, head) -> true);
+                    StubServer newService = new StubServer((socket, head) -> {
                         if (head.contains("watch=1")) {
-                            Stub.write(
+                            StubServer.write(
                                     socket,
                                     CHUNKED
                                             + chunk(
@@ -443,19 +470,20 @@
                                                             : "\n"));
                             return true;
                         }
-                        return Stub.reply(socket, fetches.getAndIncrement() == 0 ? "503 No" : "200 OK", "", fullList);
+                        return StubServer.reply(
+                                socket, fetches.getAndIncrement() == 0 ? "503 No" : "200 OK", "", fullList);
                     })) {
-                Discovery discovery = discovery(oldService, pushed);
+                DiscoveryClient discovery = discovery(oldService, pushed);
                 loop.execute(() -> discovery.watch(true));
-                Stub.next(oldService.heads);
+                StubServer.awaitNext(oldService.requestHeads);
                 loop.execute(() -> discovery.switchTo(newService.address()));
-                assertEquals(ListKind.DELTA, Stub.next(events).kind);
-                assertEquals(ListKind.FAILED, Stub.next(events).kind);
+                assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events).kind);
+                assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events).kind);
                 if (!pushed) {
                     loop.execute(() -> discovery.watch(true));
-                    assertEquals(ListKind.DELTA, Stub.next(events).kind, "an empty line");
+                    assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events).kind, "an empty line");
                 }
-                assertEquals(ListKind.FULL, Stub.next(events).kind);
+                assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events).kind);
                 loop.submit(() -> discovery.watch(false)).sync();
                 events.clear();
             }
--- a/src/test/java/pondridge/sidecar/DiscoveryRetryTest.java
+++ b/src/test/java/pondridge/sidecar/DiscoveryRetryTest.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.EndpointListKind;
 import pondridge.core.Engine;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 import pondridge.http1.Upstreams;
-import pondridge.platform.Config;
-import pondridge.platform.Discovery;
+import pondridge.platform.DiscoveryClient;
+import pondridge.platform.PlatformConfig;
 
 /** In subscribe mode the balancer calls discovery again in time after each kind of failure, on real sockets. */
 class DiscoveryRetryTest {
@@ -52,29 +52,31 @@
     }
 
     /** Starts a balancer and its discovery client, with settings that allow ten minutes without a call. */
-    private Discovery startDiscovery(Stub service, BlockingQueue<ListKind> events) throws Exception {
+    private DiscoveryClient startDiscovery(StubServer service, BlockingQueue<EndpointListKind> events)
+            throws Exception {
         ObjectNode json = SidecarFixture.config();
         json.withObject("/settings").put("discovery", "subscribe");
         json.withObject("/settings/rules").put("askWithin", 600_000_000_000L);
-        Config config = Config.of(json);
+        PlatformConfig config = PlatformConfig.of(json);
         Engine engine = new Engine(
                 loop,
                 config.options(),
                 config.seed(),
                 SidecarFixture.MAX_OPEN,
-                new Upstreams(loop, config.options(), config.mostUpstream()));
-        Discovery discovery = new Discovery(loop, service.address(), config.pushed(), 41, (kind, targets) -> {
-            events.add(kind);
-            engine.listed(kind, targets);
-        });
+                new Upstreams(loop, config.options(), config.maxUpstreamConnections()));
+        DiscoveryClient discovery =
+                new DiscoveryClient(loop, service.address(), config.isDiscoveryPushed(), 41, (kind, targets) -> {
+                    events.add(kind);
+                    engine.updateEndpoints(kind, targets);
+                });
         loop.submit(() -> engine.start(discovery, List.of())).sync();
         return discovery;
     }
 
     private static boolean injectFault(Fault fault, Socket socket) throws IOException {
         switch (fault) {
-            case REJECTED -> Stub.write(socket, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-            case HEADERS_ONLY -> Stub.write(socket, CHUNKED);
+            case REJECTED -> StubServer.write(socket, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+            case HEADERS_ONLY -> StubServer.write(socket, CHUNKED);
             default -> {}
         }
         return fault == Fault.NO_RESPONSE || fault == Fault.HEADERS_ONLY;
@@ -83,32 +85,32 @@
     /** One call fails, just before discovery recovers or as the first one afterwards: a list must arrive within 6 s. */
     @Test
     void discoveryIsCalledAgainInTimeAfterEachKindOfFailure() throws Exception {
-        Map<Fault, BlockingQueue<ListKind>> events = new EnumMap<>(Fault.class);
-        List<Stub> services = new ArrayList<>();
+        Map<Fault, BlockingQueue<EndpointListKind>> events = new EnumMap<>(Fault.class);
+        List<StubServer> services = new ArrayList<>();
         try {
             for (Fault fault : Fault.values()) {
                 AtomicInteger calls = new AtomicInteger();
-                BlockingQueue<ListKind> queue = new LinkedBlockingQueue<>();
+                BlockingQueue<EndpointListKind> queue = new LinkedBlockingQueue<>();
                 events.put(fault, queue);
-                Stub service = new Stub((socket, head) -> {
+                StubServer service = new StubServer((socket, head) -> {
                     if (calls.getAndIncrement() == 0) {
                         // Both are timers of one event loop, so their order does not depend on the speed of the
                         // machine.
-                        loop.schedule(() -> queue.add(ListKind.CACHED), 6, TimeUnit.SECONDS);
+                        loop.schedule(() -> queue.add(EndpointListKind.CACHED), 6, TimeUnit.SECONDS);
                         return injectFault(fault, socket);
                     }
-                    Stub.write(socket, CHUNKED + EMPTY_LINE);
+                    StubServer.write(socket, CHUNKED + EMPTY_LINE);
                     return true;
                 });
                 services.add(service);
                 startDiscovery(service, queue);
             }
             for (Fault fault : Fault.values()) {
-                assertEquals(ListKind.FAILED, Stub.next(events.get(fault)), fault.name());
-                assertEquals(ListKind.DELTA, Stub.next(events.get(fault)), fault.name());
+                assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events.get(fault)), fault.name());
+                assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events.get(fault)), fault.name());
             }
         } finally {
-            for (Stub service : services) {
+            for (StubServer service : services) {
                 service.close();
             }
         }
@@ -123,37 +125,37 @@
         CountDownLatch fetching = new CountDownLatch(1);
         CountDownLatch broken = new CountDownLatch(1);
         AtomicInteger watches = new AtomicInteger();
-        BlockingQueue<ListKind> events = new LinkedBlockingQueue<>();
-        try (Stub oldService = new Stub((socket, head) -> true);
-                Stub newService = new Stub((socket, head) -> {
+        BlockingQueue<EndpointListKind> events = new LinkedBlockingQueue<>();
+        try (StubServer oldService = new StubServer((socket, head) -> true);
+                StubServer newService = new StubServer((socket, head) -> {
                     try {
                         if (!head.contains("watch=1")) {
                             fetching.countDown();
-                            return broken.await(Stub.LIMIT_S, TimeUnit.SECONDS)
-                                    && Stub.reply(
+                            return broken.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                                    && StubServer.reply(
                                             socket,
                                             "200 OK",
                                             "",
                                             SidecarFixture.endpointList(3, true).toString());
                         }
                         if (watches.getAndIncrement() == 0) {
-                            Stub.write(socket, CHUNKED + chunk(SidecarFixture.endpointList(3, false)));
-                            return !fetching.await(Stub.LIMIT_S, TimeUnit.SECONDS);
+                            StubServer.write(socket, CHUNKED + chunk(SidecarFixture.endpointList(3, false)));
+                            return !fetching.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                         }
-                        Stub.write(socket, CHUNKED + EMPTY_LINE);
+                        StubServer.write(socket, CHUNKED + EMPTY_LINE);
                         return true;
                     } catch (InterruptedException e) {
                         return false;
                     }
                 })) {
-            Discovery discovery = startDiscovery(oldService, events);
-            Stub.next(oldService.heads);
+            DiscoveryClient discovery = startDiscovery(oldService, events);
+            StubServer.awaitNext(oldService.requestHeads);
             loop.execute(() -> discovery.switchTo(newService.address()));
-            assertEquals(ListKind.DELTA, Stub.next(events));
-            assertEquals(ListKind.FAILED, Stub.next(events));
+            assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events));
+            assertEquals(EndpointListKind.FAILED, StubServer.awaitNext(events));
             broken.countDown();
-            assertEquals(ListKind.FULL, Stub.next(events));
-            assertEquals(ListKind.DELTA, Stub.next(events), "the first response of the new watch");
+            assertEquals(EndpointListKind.FULL, StubServer.awaitNext(events));
+            assertEquals(EndpointListKind.DELTA, StubServer.awaitNext(events), "the first response of the new watch");
             assertEquals(2, watches.get(), "one more watch");
         }
     }
