--- a/src/test/java/pondridge/sidecar/EventLoopStallTest.java
+++ b/src/test/java/pondridge/sidecar/EventLoopStallTest.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import pondridge.Balancer.Outcome;
-import pondridge.http1.LateConnection;
-import pondridge.http1.Stub;
+import pondridge.http1.SaturatedListener;
+import pondridge.http1.StubServer;
 
 /**
  * The event loop stalls while a client disconnects and another event for its request arrives. The loop may process that
@@ -42,22 +42,22 @@
         CountDownLatch go = new CountDownLatch(1);
         sidecar.loop.execute(() -> {
             stalled.countDown();
-            assertTrue(Stub.await(go));
+            assertTrue(StubServer.await(go));
         });
-        assertTrue(stalled.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(stalled.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         action.run();
         Thread.sleep(STALL_MS);
         go.countDown();
     }
 
     private static void reset(Socket socket) throws IOException {
-        Stub.reset(socket);
+        StubServer.reset(socket);
         socket.close();
     }
 
     @Test
     void aNewConnectionCarriesNoRequestOfADisconnectedClient() throws Exception {
-        try (LateConnection late = new LateConnection()) {
+        try (SaturatedListener late = new SaturatedListener()) {
             ObjectNode json = SidecarFixture.config();
             ((ObjectNode) json.at("/settings/caps")).put("mayCancel", false).put("connectTimeout", 600_000_000_000L);
             json.withObject("/known")
@@ -66,8 +66,8 @@
                             "s-0", "127.0.0.1:" + late.address().getPort(), "SERVING"));
             try (SidecarFixture sidecar = startSidecar(json);
                     SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
-                while (sidecar.loop.submit(sidecar.engine::asked).get() == 0) {
+                StubServer.write(client.socket, SidecarFixture.safeRequest("a"));
+                while (sidecar.loop.submit(sidecar.engine::requestCount).get() == 0) {
                     Thread.onSpinWait();
                 }
                 // Runs after the loop iteration in which the balancer receives the request.
@@ -78,7 +78,7 @@
                     client.socket.close();
                 });
                 assertEquals(-1, accepted[0].getInputStream().read(), "nothing is written to it");
-                assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+                assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
             }
         }
     }
@@ -86,36 +86,36 @@
     /** The response is read before the client's disconnect, and the second server has an idle connection. */
     private void retryAfterDisconnect(boolean reset) throws Exception {
         BlockingQueue<Socket> received = new LinkedBlockingQueue<>();
-        Stub.Script script = (socket, head) -> {
-            if (Stub.header(head, "Req-Id").startsWith("warm")) {
-                return Stub.reply(socket, "200 OK", "", "x");
+        StubServer.Script script = (socket, head) -> {
+            if (StubServer.header(head, "Req-Id").startsWith("warm")) {
+                return StubServer.reply(socket, "200 OK", "", "x");
             }
             received.add(socket);
             return true;
         };
-        try (Stub one = new Stub(script);
-                Stub two = new Stub(script);
+        try (StubServer one = new StubServer(script);
+                StubServer two = new StubServer(script);
                 SidecarFixture sidecar = startSidecar(SidecarFixture.config(one, two));
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-            for (int i = 0; one.heads.isEmpty() || two.heads.isEmpty(); i++) {
+            for (int i = 0; one.requestHeads.isEmpty() || two.requestHeads.isEmpty(); i++) {
                 assertTrue(i < 1000, "one server never gets a request");
                 assertEquals(
                         200,
                         sidecar.exchange(SidecarFixture.safeRequest("warm" + i)).status());
-                assertEquals(Outcome.OK, Stub.next(outcomes));
+                assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             }
-            Stub.write(client.socket, SidecarFixture.safeRequest("a"));
-            Socket first = Stub.next(received);
+            StubServer.write(client.socket, SidecarFixture.safeRequest("a"));
+            Socket first = StubServer.awaitNext(received);
             whileStalled(sidecar, () -> {
-                Stub.reply(first, "500 Error", "", "x");
+                StubServer.reply(first, "500 Error", "", "x");
                 if (reset) {
                     reset(client.socket);
                 } else {
                     client.socket.close();
                 }
             });
-            assertEquals(Outcome.ERROR, Stub.next(outcomes));
-            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes), "the retry");
+            assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes));
+            assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes), "the retry");
             assertEquals(
                     200, sidecar.exchange(SidecarFixture.safeRequest("warm")).status());
             assertEquals(0, received.size());
@@ -135,22 +135,25 @@
     /** A complete request and its client's disconnect are read together: the request is not forwarded. */
     @Test
     void aRequestOfADisconnectedClientIsNotSent() throws Exception {
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = startSidecar(SidecarFixture.config(upstream));
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
             assertEquals(200, client.exchange(SidecarFixture.safeRequest("a")).status());
-            Stub.next(upstream.heads);
+            StubServer.awaitNext(upstream.requestHeads);
             whileStalled(sidecar, () -> {
-                Stub.write(client.socket, SidecarFixture.safeRequest("b"));
+                StubServer.write(client.socket, SidecarFixture.safeRequest("b"));
                 client.socket.close();
             });
             while (!sidecar.loop
-                    .submit(() -> sidecar.engine.asked() == 2 && sidecar.engine.idle())
+                    .submit(() -> sidecar.engine.requestCount() == 2 && sidecar.engine.isIdle())
                     .get()) {
                 Thread.onSpinWait();
             }
             assertEquals(200, sidecar.exchange(SidecarFixture.safeRequest("c")).status());
-            assertEquals("c", Stub.header(Stub.next(upstream.heads), "Req-Id"), "not the previous request");
+            assertEquals(
+                    "c",
+                    StubServer.header(StubServer.awaitNext(upstream.requestHeads), "Req-Id"),
+                    "not the previous request");
         }
     }
 
@@ -158,22 +161,22 @@
     @Test
     void aDisconnectIsDetectedBehindManyPipelinedRequests() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-                    return Stub.await(go) && Stub.reply(socket, "200 OK", "", "x");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+                    return StubServer.await(go) && StubServer.reply(socket, "200 OK", "", "x");
                 });
                 SidecarFixture sidecar = startSidecar(SidecarFixture.config(upstream));
                 SidecarFixture.Client pipelining = new SidecarFixture.Client(sidecar.address);
                 SidecarFixture.Client flooding = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(pipelining.socket, pipelined(200));
-            Stub.next(upstream.heads);
+            StubServer.write(pipelining.socket, pipelined(200));
+            StubServer.awaitNext(upstream.requestHeads);
             // Timers of one event loop fire in order: this one before the deadline, which would cancel the attempt,
             // too.
             sidecar.loop.execute(
                     () -> sidecar.loop.schedule(() -> outcomes.add(Outcome.TIMEOUT), 10, TimeUnit.SECONDS));
             pipelining.socket.close();
-            assertEquals(Outcome.CANCELLED, Stub.next(outcomes), "before any response");
+            assertEquals(Outcome.CANCELLED, StubServer.awaitNext(outcomes), "before any response");
             IOException end = assertThrows(IOException.class, () -> {
-                Stub.write(flooding.socket, pipelined(2500));
+                StubServer.write(flooding.socket, pipelined(2500));
                 while (true) {
                     flooding.readResponse();
                 }
--- a/src/test/java/pondridge/sidecar/GatewayIT.java
+++ b/src/test/java/pondridge/sidecar/GatewayIT.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 
 /** Two gateway processes, started by the command line from the packaged jar. */
 class GatewayIT {
@@ -66,7 +66,7 @@
 
     /** Sends requests until a response has this status: links take time to open and to be detected as closed. */
     private static String awaitStatus(int status, InetSocketAddress frontendAddress) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         for (int i = 0; System.nanoTime() - deadline < 0; i++) {
             try (SidecarFixture.Client client = new SidecarFixture.Client(frontendAddress)) {
                 String request = SidecarFixture.safeRequest("x" + i)
@@ -85,7 +85,7 @@
 
     @Test
     void aSiteWithoutServersIsServedByAnotherSiteAndShutsDownCleanly() throws Exception {
-        try (Stub server = Stub.serving("y")) {
+        try (StubServer server = StubServer.serving("y")) {
             InetSocketAddress frontendAddressA = freeAddress();
             InetSocketAddress frontendAddressB = freeAddress();
             InetSocketAddress linkAddressA = freeAddress();
@@ -97,7 +97,7 @@
             b.destroyForcibly();
             awaitStatus(503, frontendAddressA);
             a.destroy();
-            assertTrue(a.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
+            assertTrue(a.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "still running");
             assertEquals(0, a.exitValue());
         }
     }
--- a/src/test/java/pondridge/sidecar/PlatformConfigTest.java
+++ b/src/test/java/pondridge/sidecar/PlatformConfigTest.java
@@ -8,24 +8,24 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
 import pondridge.Balancer.Settings;
-import pondridge.platform.Config;
+import pondridge.platform.PlatformConfig;
 
 /** The platform's configuration file and the balancer settings in it. */
 class PlatformConfigTest {
 
     @Test
     void settingsAreReadAsInTheSimulatorsWireFormat() throws Exception {
-        Config config = Config.of(SidecarFixture.config());
+        PlatformConfig config = PlatformConfig.of(SidecarFixture.config());
         Settings settings = config.options().settings();
-        assertEquals(List.of("rate", "q"), settings.reportFields());
-        assertEquals(Semantics.ONCE, settings.classes().get(2).semantics());
-        assertEquals(750_000_000, settings.allowed().maxRetryAfter());
-        assertEquals(List.of("look", "hold", "book"), config.options().names("profiles"));
-        assertEquals(List.of("acme"), config.options().names("parties"));
+        assertEquals(List.of("rate", "q"), settings.loadReportFields());
+        assertEquals(RetrySemantics.ONCE, settings.classes().get(2).retrySemantics());
+        assertEquals(750_000_000, settings.capabilities().maxRetryAfterNanos());
+        assertEquals(List.of("look", "hold", "book"), config.options().objectNames("profiles"));
+        assertEquals(List.of("acme"), config.options().objectNames("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(41, config.known().rev());
+        assertEquals(41, config.cachedEndpoints().revision());
     }
 
     /** An operator must see from one line which key to fix. */
@@ -54,16 +54,18 @@
             ObjectNode json = SidecarFixture.config();
             json.withObject("/settings").put("discovery", discovery);
             json.withObject("/settings/rules").remove("askWithin");
-            assertTrue(Config.of(json).options().settings().limits().askWithin() >= 1_000_000_000);
+            assertTrue(
+                    PlatformConfig.of(json).options().settings().safetyLimits().endpointRefreshNanos()
+                            >= 1_000_000_000);
             json.withObject("/settings/rules").put("askWithin", 0);
-            Config config = Config.of(json);
-            assertTrue(config.options().settings().limits().askWithin() >= 1_000_000_000);
-            assertEquals(discovery.equals("automatic"), config.pushed());
+            PlatformConfig config = PlatformConfig.of(json);
+            assertTrue(config.options().settings().safetyLimits().endpointRefreshNanos() >= 1_000_000_000);
+            assertEquals(discovery.equals("automatic"), config.isDiscoveryPushed());
         }
     }
 
     private static void assertErrorNames(String key, ObjectNode json) {
-        String message = assertThrows(IllegalArgumentException.class, () -> Config.of(json))
+        String message = assertThrows(IllegalArgumentException.class, () -> PlatformConfig.of(json))
                 .getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
@@ -71,9 +73,9 @@
     /** There is no DNS: a host name would block the event loop until the resolver times out. */
     @Test
     void onlyNumericAddressesAreAccepted() {
-        assertEquals(8080, Config.parseAddress("127.0.0.1:8080").getPort());
+        assertEquals(8080, PlatformConfig.parseAddress("127.0.0.1:8080").getPort());
         for (String bad : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":80")) {
-            assertNull(Config.parseAddress(bad), bad);
+            assertNull(PlatformConfig.parseAddress(bad), bad);
         }
     }
 }
--- a/src/test/java/pondridge/sidecar/RequestLogTest.java
+++ b/src/test/java/pondridge/sidecar/RequestLogTest.java
@@ -9,7 +9,7 @@
 import pondridge.Balancer.Outcome;
 import pondridge.core.Job;
 import pondridge.core.RequestLog;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 
 class RequestLogTest {
     @Test
@@ -17,7 +17,7 @@
         List<String> events = new ArrayList<>();
         RequestLog log = new RequestLog() {
             @Override
-            public void taken(long number, Job job) {
+            public void requestReceived(long number, Job job) {
                 events.add("taken " + job.headers().get("Req-Id"));
             }
 
@@ -32,13 +32,13 @@
             }
 
             @Override
-            public void answered(long number, String answer) {
+            public void responseSent(long number, String answer) {
                 events.add(answer);
             }
         };
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar =
-                        new SidecarFixture(SidecarFixture.config(upstream), engine -> engine.log(log))) {
+                        new SidecarFixture(SidecarFixture.config(upstream), engine -> engine.setRequestLog(log))) {
             assertEquals(200, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
             List<String> logged = sidecar.loop.submit(() -> List.copyOf(events)).get();
             assertEquals(List.of("taken a", "sent s-0", "ended s-0 OK", "served"), logged);
--- a/src/test/java/pondridge/sidecar/ShutdownTest.java
+++ b/src/test/java/pondridge/sidecar/ShutdownTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 
 /** Shutdown while a new connection sends its request, a response is being written, or a server hangs. */
 class ShutdownTest {
@@ -20,7 +20,7 @@
     /** Closing a new connection at once would lose the request that its client is sending. */
     @Test
     void aNewConnectionMaySendItsFirstRequest() throws Exception {
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 SidecarFixture.Client silent = new SidecarFixture.Client(sidecar.address)) {
             SidecarFixture.Client fresh = new SidecarFixture.Client(sidecar.address);
@@ -32,14 +32,14 @@
                 sidecar.frontend.drain();
                 drained.countDown();
                 // In the same loop iteration, so the client's request is in transit when draining starts.
-                assertTrue(Stub.await(written));
+                assertTrue(StubServer.await(written));
             });
-            assertTrue(drained.await(Stub.LIMIT_S, TimeUnit.SECONDS));
-            Stub.write(fresh.socket, SidecarFixture.safeRequest("b"));
+            assertTrue(drained.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            StubServer.write(fresh.socket, SidecarFixture.safeRequest("b"));
             written.countDown();
             SidecarFixture.Response response = fresh.readResponse();
             assertEquals(200, response.status());
-            assertEquals("close", Stub.header(response.head(), "Connection"));
+            assertEquals("close", StubServer.header(response.head(), "Connection"));
             assertEquals(-1, silent.socket.getInputStream().read(), "a silent connection is closed");
             fresh.close();
         }
@@ -49,27 +49,27 @@
     @Test
     void aResponseBeingWrittenClosesItsConnection() throws Exception {
         int size = 1_000_000;
-        try (Stub upstream = Stub.serving("x".repeat(size));
+        try (StubServer upstream = StubServer.serving("x".repeat(size));
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 Socket slow = new Socket()) {
             slow.setReceiveBufferSize(4096);
-            slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+            slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
             slow.connect(sidecar.address);
-            Stub.write(slow, SidecarFixture.safeRequest("a"));
-            Stub.next(upstream.heads);
+            StubServer.write(slow, SidecarFixture.safeRequest("a"));
+            StubServer.awaitNext(upstream.requestHeads);
             while (!sidecar.loop
-                    .submit(() -> sidecar.engine.asked() > 0 && sidecar.engine.idle())
+                    .submit(() -> sidecar.engine.requestCount() > 0 && sidecar.engine.isIdle())
                     .get()) {
                 Thread.onSpinWait();
             }
             sidecar.loop.submit(sidecar.frontend::drain).sync();
             InputStream in = new BufferedInputStream(slow.getInputStream());
-            assertEquals(size, in.readNBytes(Stub.length(Stub.head(in))).length);
+            assertEquals(size, in.readNBytes(StubServer.contentLength(StubServer.readHead(in))).length);
             assertThrows(
                     IOException.class,
                     () -> {
-                        Stub.write(slow, SidecarFixture.safeRequest("b"));
-                        if (Stub.head(in).isEmpty()) {
+                        StubServer.write(slow, SidecarFixture.safeRequest("b"));
+                        if (StubServer.readHead(in).isEmpty()) {
                             throw new IOException("connection closed");
                         }
                     },
@@ -81,34 +81,36 @@
     @Test
     void pipelinedRequestsAreStillAnswered() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-                    return Stub.await(go) && Stub.reply(socket, "200 OK", "", "x");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+                    return StubServer.await(go) && StubServer.reply(socket, "200 OK", "", "x");
                 });
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(client.socket, SidecarFixture.safeRequest("a") + SidecarFixture.safeRequest("b"));
-            Stub.next(upstream.heads);
+            StubServer.write(client.socket, SidecarFixture.safeRequest("a") + SidecarFixture.safeRequest("b"));
+            StubServer.awaitNext(upstream.requestHeads);
             sidecar.loop.submit(sidecar.frontend::drain).sync();
             go.countDown();
             assertEquals(200, client.readResponse().status());
             SidecarFixture.Response last = client.readResponse();
             assertEquals(200, last.status());
-            assertEquals("close", Stub.header(last.head(), "Connection"));
+            assertEquals("close", StubServer.header(last.head(), "Connection"));
         }
     }
 
     /** A request whose deadline is after the shutdown deadline still gets its response. */
     @Test
     void openRequestsAreAnsweredBeforeTheShutdownDeadline() throws Exception {
-        try (Stub hung = new Stub((socket, head) -> true);
+        try (StubServer hung = new StubServer((socket, head) -> true);
                 SidecarFixture sidecar = SidecarFixture.with(hung);
                 SidecarFixture.Client safe = new SidecarFixture.Client(sidecar.address);
                 SidecarFixture.Client unsafe = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(safe.socket, SidecarFixture.safeRequest("a"));
-            Stub.write(unsafe.socket, SidecarFixture.postRequest("book", "", "x"));
-            Stub.next(hung.heads);
-            Stub.next(hung.heads);
-            sidecar.loop.submit(() -> sidecar.engine.endWithin(SHUTDOWN_NANOS)).sync();
+            StubServer.write(safe.socket, SidecarFixture.safeRequest("a"));
+            StubServer.write(unsafe.socket, SidecarFixture.postRequest("book", "", "x"));
+            StubServer.awaitNext(hung.requestHeads);
+            StubServer.awaitNext(hung.requestHeads);
+            sidecar.loop
+                    .submit(() -> sidecar.engine.announceShutdown(SHUTDOWN_NANOS))
+                    .sync();
             // A timer of the same event loop, long after the shutdown and long before the request deadlines.
             CountDownLatch timerFired = new CountDownLatch(1);
             sidecar.loop.execute(() -> sidecar.loop.schedule(timerFired::countDown, 10, TimeUnit.SECONDS));
@@ -118,7 +120,7 @@
                     503,
                     sidecar.exchange(SidecarFixture.safeRequest("b")).status(),
                     "later requests are answered at once");
-            assertTrue(sidecar.loop.submit(sidecar.engine::idle).get());
+            assertTrue(sidecar.loop.submit(sidecar.engine::isIdle).get());
             assertEquals(1, timerFired.getCount(), "by the shutdown, not by the deadline");
         }
     }
--- a/src/test/java/pondridge/sidecar/SidecarFixture.java
+++ b/src/test/java/pondridge/sidecar/SidecarFixture.java
@@ -17,10 +17,10 @@
 import pondridge.core.Engine;
 import pondridge.core.Json;
 import pondridge.http1.Frontend;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 import pondridge.http1.Upstreams;
-import pondridge.platform.Config;
-import pondridge.platform.Discovery;
+import pondridge.platform.DiscoveryClient;
+import pondridge.platform.PlatformConfig;
 
 /** A sidecar within the test process, with a cached list of its upstreams, and a client for it. */
 final class SidecarFixture implements AutoCloseable {
@@ -32,7 +32,7 @@
     final EventLoop loop = group.next();
     final Frontend frontend;
     final Engine engine;
-    final Discovery discovery;
+    final DiscoveryClient discovery;
     final InetSocketAddress address;
 
     /** A response as the client received it. */
@@ -48,28 +48,33 @@
      * @param beforeStart receives the engine before it starts
      */
     SidecarFixture(ObjectNode json, Consumer<Engine> beforeStart) throws Exception {
-        Config config = Config.of(json);
+        PlatformConfig config = PlatformConfig.of(json);
         engine = new Engine(
                 loop,
                 config.options(),
                 config.seed(),
                 MAX_OPEN,
-                new Upstreams(loop, config.options(), config.mostUpstream()));
+                new Upstreams(loop, config.options(), config.maxUpstreamConnections()));
         beforeStart.accept(engine);
-        discovery = new Discovery(
-                loop, config.discovery(), config.pushed(), config.known().rev(), engine::listed);
+        discovery = new DiscoveryClient(
+                loop,
+                config.discoveryAddress(),
+                config.isDiscoveryPushed(),
+                config.cachedEndpoints().revision(),
+                engine::updateEndpoints);
         frontend = new Frontend(engine, config.options(), MAX_OPEN);
-        loop.submit(() -> engine.start(discovery, config.known().targets())).sync();
+        loop.submit(() -> engine.start(discovery, config.cachedEndpoints().targets()))
+                .sync();
         address = (InetSocketAddress)
-                frontend.listen(group, config.listen()).sync().channel().localAddress();
+                frontend.listen(group, config.listenAddress()).sync().channel().localAddress();
     }
 
-    static SidecarFixture with(Stub... upstreams) throws Exception {
+    static SidecarFixture with(StubServer... upstreams) throws Exception {
         return new SidecarFixture(config(upstreams));
     }
 
     /** A configuration with the classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
-    static ObjectNode config(Stub... upstreams) throws IOException {
+    static ObjectNode config(StubServer... upstreams) throws IOException {
         ObjectNode root = (ObjectNode)
                 Json.MAPPER.readTree(
                         """
@@ -140,21 +145,21 @@
 
         Client(InetSocketAddress address) throws IOException {
             socket = new Socket(address.getAddress(), address.getPort());
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
             in = new BufferedInputStream(socket.getInputStream());
         }
 
         Response exchange(String request) throws IOException {
-            Stub.write(socket, request);
+            StubServer.write(socket, request);
             return readResponse();
         }
 
         Response readResponse() throws IOException {
-            String head = Stub.head(in);
+            String head = StubServer.readHead(in);
             if (head.isEmpty()) {
                 throw new IOException("connection closed without a response");
             }
-            String body = new String(in.readNBytes(Stub.length(head)), StandardCharsets.ISO_8859_1);
+            String body = new String(in.readNBytes(StubServer.contentLength(head)), StandardCharsets.ISO_8859_1);
             return new Response(Integer.parseInt(head.substring(9, 12)), head, body);
         }
 
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -16,35 +16,35 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import pondridge.core.Answer;
 import pondridge.core.Client;
 import pondridge.core.Job;
-import pondridge.http1.Stub;
+import pondridge.core.UpstreamResponse;
+import pondridge.http1.StubServer;
 
 /** The complete sidecar between a client and upstreams on loopback sockets. */
 class SidecarTest {
 
     @Test
     void requestAndResponseAreForwardedUnchanged() throws Exception {
-        try (Stub upstream = Stub.serving("{\"parts\":7}");
+        try (StubServer upstream = StubServer.serving("{\"parts\":7}");
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             SidecarFixture.Response response = sidecar.exchange(
                     SidecarFixture.postRequest("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
             assertEquals(200, response.status());
             assertEquals("{\"parts\":7}", response.body());
-            assertEquals("text/x-part", Stub.header(response.head(), "Content-Type"));
-            String head = Stub.next(upstream.heads);
+            assertEquals("text/x-part", StubServer.header(response.head(), "Content-Type"));
+            String head = StubServer.awaitNext(upstream.requestHeads);
             assertTrue(head.startsWith("POST /api/7f3a HTTP/1.1\r\n"), head);
-            assertEquals("9b1f", Stub.header(head, "Req-Id"));
-            assertEquals("5c0f", Stub.header(head, "Idempotency-Key"));
-            assertEquals("t1", Stub.header(head, "X-Trace"));
-            int wait = Integer.parseInt(Stub.header(head, "Req-Deadline-Ms"));
+            assertEquals("9b1f", StubServer.header(head, "Req-Id"));
+            assertEquals("5c0f", StubServer.header(head, "Idempotency-Key"));
+            assertEquals("t1", StubServer.header(head, "X-Trace"));
+            int wait = Integer.parseInt(StubServer.header(head, "Req-Deadline-Ms"));
             assertTrue(
                     wait > 0 && wait < SidecarFixture.CLIENT_TIMEOUT_MS,
                     "less than the client's deadline, for the response's return: " + wait);
-            assertEquals("two", Stub.next(upstream.bodies));
+            assertEquals("two", StubServer.awaitNext(upstream.requestBodies));
             assertEquals(200, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
-            assertTrue(Stub.next(upstream.heads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
+            assertTrue(StubServer.awaitNext(upstream.requestHeads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
 
@@ -52,13 +52,13 @@
     @Test
     void largestBodiesAreForwarded() throws Exception {
         String body = "x".repeat(1 << 16);
-        try (Stub upstream = Stub.serving(body);
+        try (StubServer upstream = StubServer.serving(body);
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             assertEquals(
                     body,
                     sidecar.exchange(SidecarFixture.postRequest("book", "", body))
                             .body());
-            assertEquals(body, Stub.next(upstream.bodies));
+            assertEquals(body, StubServer.awaitNext(upstream.requestBodies));
         }
     }
 
@@ -66,17 +66,17 @@
     @Test
     void largeResponseIsForwarded() throws Exception {
         String body = "x".repeat(400_000);
-        try (Stub upstream = Stub.serving(body);
+        try (StubServer upstream = StubServer.serving(body);
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             assertEquals(body, sidecar.exchange(SidecarFixture.safeRequest("a")).body());
-            assertEquals(1, upstream.heads.size());
+            assertEquals(1, upstream.requestHeads.size());
         }
     }
 
     /** A malformed request must not reach an upstream, where it could invalidate other requests as well. */
     @Test
     void malformedRequestsAreRejectedAndNotForwarded() throws Exception {
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (String bad : List.of(
                     "NONSENSE\r\n\r\n",
@@ -102,24 +102,24 @@
                             .status());
             assertEquals(
                     200, sidecar.exchange(SidecarFixture.safeRequest("good")).status());
-            assertEquals("good", Stub.header(Stub.next(upstream.heads), "Req-Id"));
-            assertNull(upstream.heads.poll(), "no other request reached the upstream");
+            assertEquals("good", StubServer.header(StubServer.awaitNext(upstream.requestHeads), "Req-Id"));
+            assertNull(upstream.requestHeads.poll(), "no other request reached the upstream");
         }
     }
 
     /** A refused connection proves that nothing was executed, so even an unsafe request may go to another server. */
     @Test
     void unsafeRequestIsRetriedWhenNoConnectionIsEstablished() throws Exception {
-        try (Stub stopped = Stub.serving("x");
-                Stub upstream = Stub.serving("y");
+        try (StubServer stopped = StubServer.serving("x");
+                StubServer upstream = StubServer.serving("y");
                 SidecarFixture sidecar = SidecarFixture.with(stopped, upstream)) {
-            stopped.die();
+            stopped.kill();
             for (int i = 0; i < 4; i++) {
                 String request = SidecarFixture.postRequest("book", "", "b" + i).replace("9b1f", "9b1f" + i);
                 assertEquals("y", sidecar.exchange(request).body());
-                assertEquals("b" + i, Stub.next(upstream.bodies), "each once");
+                assertEquals("b" + i, StubServer.awaitNext(upstream.requestBodies), "each once");
             }
-            assertNull(upstream.bodies.poll());
+            assertNull(upstream.requestBodies.poll());
         }
     }
 
@@ -127,26 +127,26 @@
     @Test
     void unsafeRequestIsNotRetriedAfterAReset() throws Exception {
         for (String failure : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
-            Stub.Script script = (socket, head) -> {
+            StubServer.Script script = (socket, head) -> {
                 if (failure.startsWith("5")) {
-                    return Stub.reply(socket, failure, "", "");
+                    return StubServer.reply(socket, failure, "", "");
                 }
                 if (failure.equals("cut short")) {
-                    Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+                    StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
                 } else if (failure.equals("nonsense")) {
-                    Stub.write(socket, "what is this\r\n\r\n");
+                    StubServer.write(socket, "what is this\r\n\r\n");
                 }
-                return failure.equals("reset") && Stub.reset(socket);
+                return failure.equals("reset") && StubServer.reset(socket);
             };
-            try (Stub one = new Stub(script);
-                    Stub two = new Stub(script);
+            try (StubServer one = new StubServer(script);
+                    StubServer two = new StubServer(script);
                     SidecarFixture sidecar = SidecarFixture.with(one, two)) {
                 assertEquals(
                         502,
                         sidecar.exchange(SidecarFixture.postRequest("book", "", "b"))
                                 .status(),
                         failure);
-                assertEquals(1, one.heads.size() + two.heads.size(), failure);
+                assertEquals(1, one.requestHeads.size() + two.requestHeads.size(), failure);
             }
         }
     }
@@ -154,15 +154,15 @@
     /** A retry is harmless for a safe request and for one whose idempotency key the upstreams know. */
     @Test
     void safeAndKeyedRequestsAreRetriedAfterAReset() throws Exception {
-        Stub.Script script = (socket, head) -> Stub.reset(socket);
+        StubServer.Script script = (socket, head) -> StubServer.reset(socket);
         for (String request : List.of(
                 SidecarFixture.safeRequest("a"), SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\n", "b"))) {
-            try (Stub one = new Stub(script);
-                    Stub two = new Stub(script);
+            try (StubServer one = new StubServer(script);
+                    StubServer two = new StubServer(script);
                     SidecarFixture sidecar = SidecarFixture.with(one, two)) {
                 assertEquals(503, sidecar.exchange(request).status(), "all tried, and a retry is harmless");
-                assertEquals(1, one.heads.size());
-                assertEquals(1, two.heads.size());
+                assertEquals(1, one.requestHeads.size());
+                assertEquals(1, two.requestHeads.size());
             }
         }
     }
@@ -170,50 +170,51 @@
     /** Srv-Declined proves that nothing was executed; a 503 without that header proves nothing (tested above). */
     @Test
     void declinedUnsafeRequestIsRetriedOnAnotherServer() throws Exception {
-        Stub.Script declines = (socket, head) -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-        try (Stub one = new Stub(declines);
-                Stub two = new Stub(declines);
+        StubServer.Script declines = (socket, head) -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
+        try (StubServer one = new StubServer(declines);
+                StubServer two = new StubServer(declines);
                 SidecarFixture sidecar = SidecarFixture.with(one, two)) {
             SidecarFixture.Response response = sidecar.exchange(SidecarFixture.postRequest("book", "", "b"));
             assertEquals(503, response.status());
-            assertEquals("0.750", Stub.header(response.head(), "Retry-After"), "the wait that the balancer set");
-            assertEquals(1, one.heads.size());
-            assertEquals(1, two.heads.size());
+            assertEquals("0.750", StubServer.header(response.head(), "Retry-After"), "the wait that the balancer set");
+            assertEquals(1, one.requestHeads.size());
+            assertEquals(1, two.requestHeads.size());
         }
     }
 
     /** A client that disconnects cancels its attempt: the upstream connection must be closed, not reused. */
     @Test
     void clientDisconnectClosesTheAttemptsConnection() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true);
+        try (StubServer silent = new StubServer((socket, head) -> true);
                 SidecarFixture sidecar = SidecarFixture.with(silent)) {
             try (SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-                Stub.write(client.socket, SidecarFixture.safeRequest("a"));
-                Stub.next(silent.heads);
+                StubServer.write(client.socket, SidecarFixture.safeRequest("a"));
+                StubServer.awaitNext(silent.requestHeads);
             }
-            Stub.next(silent.ended);
+            StubServer.awaitNext(silent.closedConnections);
         }
     }
 
     /** The client gets a response before its deadline even if the upstreams send nothing. */
     @Test
     void clientIsAnsweredBeforeItsDeadlineIfUpstreamsAreSilent() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true);
+        try (StubServer silent = new StubServer((socket, head) -> true);
                 SidecarFixture sidecar = SidecarFixture.with(silent)) {
             String shorter =
                     SidecarFixture.postRequest("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
             assertEquals(502, sidecar.exchange(shorter).status());
-            Stub.next(silent.ended);
+            StubServer.awaitNext(silent.closedConnections);
         }
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        Stub.Script echo = (socket, head) -> Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
-        try (Stub upstream = new Stub(echo);
+        StubServer.Script echo =
+                (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
+        try (StubServer upstream = new StubServer(echo);
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(
+            StubServer.write(
                     client.socket,
                     SidecarFixture.safeRequest("a")
                             + SidecarFixture.safeRequest("b")
@@ -227,13 +228,13 @@
     /** A stale connection causes resets, so it is closed before the upstream's own idle timeout. */
     @Test
     void idleConnectionIsClosed() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
+        try (StubServer upstream = StubServer.serving("x")) {
             ObjectNode json = SidecarFixture.config(upstream);
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
             try (SidecarFixture sidecar = new SidecarFixture(json)) {
                 assertEquals(
                         200, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
-                Stub.next(upstream.ended);
+                StubServer.awaitNext(upstream.closedConnections);
                 assertEquals(
                         200, sidecar.exchange(SidecarFixture.safeRequest("b")).status());
             }
@@ -244,14 +245,14 @@
     void connectionIsReused() throws Exception {
         CountDownLatch connections = new CountDownLatch(2);
         ThreadLocal<Boolean> first = ThreadLocal.withInitial(() -> true);
-        Stub.Script counting = (socket, head) -> {
+        StubServer.Script counting = (socket, head) -> {
             if (first.get()) {
                 first.set(false);
                 connections.countDown();
             }
-            return Stub.reply(socket, "200 OK", "", "x");
+            return StubServer.reply(socket, "200 OK", "", "x");
         };
-        try (Stub upstream = new Stub(counting);
+        try (StubServer upstream = new StubServer(counting);
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
@@ -266,44 +267,45 @@
     @Test
     void drainIsAppliedAndABrokenWatchIsReopened() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub drained = Stub.serving("x");
-                Stub other = Stub.serving("y")) {
+        try (StubServer drained = StubServer.serving("x");
+                StubServer other = StubServer.serving("y")) {
             String line = "{\"rev\":42,\"all\":false,\"targets\":["
                     + SidecarFixture.target("s-0", drained.endpoint(), "DRAINING") + "]}\n";
-            try (Stub discovery = new Stub((socket, head) -> {
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            try (StubServer discovery = new StubServer((socket, head) -> {
+                StubServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
                     go.await();
                 } catch (InterruptedException e) {
                     return false;
                 }
                 if (head.contains("from=41 ")) {
-                    Stub.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                    StubServer.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                 }
                 return false;
             })) {
                 ObjectNode json = SidecarFixture.config(drained, other).put("discovery", discovery.endpoint());
                 json.withObject("/settings").put("discovery", "subscribe");
                 try (SidecarFixture sidecar = new SidecarFixture(json)) {
-                    for (int i = 0; drained.heads.isEmpty(); i++) {
+                    for (int i = 0; drained.requestHeads.isEmpty(); i++) {
                         assertEquals(
                                 200,
                                 sidecar.exchange(SidecarFixture.safeRequest("a" + i))
                                         .status());
                     }
                     go.countDown();
-                    Stub.next(drained.ended);
-                    int before = drained.heads.size();
+                    StubServer.awaitNext(drained.closedConnections);
+                    int before = drained.requestHeads.size();
                     for (int i = 0; i < 6; i++) {
                         assertEquals(
                                 "y",
                                 sidecar.exchange(SidecarFixture.safeRequest("b" + i))
                                         .body());
                     }
-                    assertEquals(before, drained.heads.size());
-                    assertTrue(Stub.next(discovery.heads).contains("from=41 "));
+                    assertEquals(before, drained.requestHeads.size());
+                    assertTrue(StubServer.awaitNext(discovery.requestHeads).contains("from=41 "));
                     assertTrue(
-                            Stub.next(discovery.heads).contains("from=42 "), "continues where the first watch ended");
+                            StubServer.awaitNext(discovery.requestHeads).contains("from=42 "),
+                            "continues where the first watch ended");
                 }
             }
         }
@@ -312,37 +314,37 @@
     @Test
     void drainingSidecarCompletesOpenRequestsAndClosesConnections() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Stub.Script delayed = (socket, head) -> {
+        StubServer.Script delayed = (socket, head) -> {
             try {
                 go.await();
             } catch (InterruptedException e) {
                 return false;
             }
-            return Stub.reply(socket, "200 OK", "", "late");
+            return StubServer.reply(socket, "200 OK", "", "late");
         };
-        try (Stub upstream = new Stub(delayed);
+        try (StubServer upstream = new StubServer(delayed);
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 SidecarFixture.Client busy = new SidecarFixture.Client(sidecar.address);
                 SidecarFixture.Client idle = new SidecarFixture.Client(sidecar.address)) {
             assertEquals(
                     503, idle.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            Stub.write(busy.socket, SidecarFixture.safeRequest("a"));
-            Stub.next(upstream.heads);
+            StubServer.write(busy.socket, SidecarFixture.safeRequest("a"));
+            StubServer.awaitNext(upstream.requestHeads);
             sidecar.loop.submit(sidecar.frontend::drain).sync();
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
             SidecarFixture.Response probeResponse = sidecar.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(503, probeResponse.status(), "its client can still connect");
-            assertEquals("close", Stub.header(probeResponse.head(), "Connection"));
+            assertEquals("close", StubServer.header(probeResponse.head(), "Connection"));
             sidecar.loop.submit(sidecar.frontend::close).sync();
             assertThrows(
                     IOException.class,
                     () -> sidecar.exchange(SidecarFixture.safeRequest("b")),
                     "after the listener is closed");
-            assertFalse(sidecar.loop.submit(sidecar.frontend::empty).get());
+            assertFalse(sidecar.loop.submit(sidecar.frontend::hasNoConnections).get());
             go.countDown();
             SidecarFixture.Response response = busy.readResponse();
             assertEquals("late", response.body());
-            assertEquals("close", Stub.header(response.head(), "Connection"));
+            assertEquals("close", StubServer.header(response.head(), "Connection"));
             assertEquals(-1, busy.socket.getInputStream().read());
         }
     }
@@ -356,7 +358,7 @@
     void ambiguousRequestsCloseTheirConnection() throws Exception {
         String smuggled = SidecarFixture.safeRequest("hidden");
         String post = SidecarFixture.postRequest("book", "", "");
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (String bad : List.of(
                     post.replace("Content-Length: 0", "Content-Length: 6\r\nTransfer-Encoding: chunked") + "0\r\n\r\n",
@@ -376,7 +378,7 @@
                     assertThrows(IOException.class, client::readResponse, bad);
                 }
             }
-            assertNull(upstream.heads.poll(), "nothing reached the upstream");
+            assertNull(upstream.requestHeads.poll(), "nothing reached the upstream");
         }
     }
 
@@ -384,17 +386,17 @@
     @Test
     void idOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-                    return Stub.await(go) && Stub.reply(socket, "200 OK", "", "own");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+                    return StubServer.await(go) && StubServer.reply(socket, "200 OK", "", "own");
                 });
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 SidecarFixture.Client first = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(first.socket, SidecarFixture.safeRequest("a"));
-            Stub.next(upstream.heads);
+            StubServer.write(first.socket, SidecarFixture.safeRequest("a"));
+            StubServer.awaitNext(upstream.requestHeads);
             assertEquals(409, sidecar.exchange(SidecarFixture.safeRequest("a")).status());
             go.countDown();
             assertEquals("own", first.readResponse().body());
-            assertEquals(0, upstream.heads.size());
+            assertEquals(0, upstream.requestHeads.size());
         }
     }
 
@@ -403,7 +405,7 @@
     void errorArrivesWhileTheClientStillSends() throws Exception {
         try (SidecarFixture sidecar = SidecarFixture.with();
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(client.socket, SidecarFixture.postRequest("book", "", "x".repeat(900_000)));
+            StubServer.write(client.socket, SidecarFixture.postRequest("book", "", "x".repeat(900_000)));
             assertEquals(413, client.readResponse().status());
             assertEquals(-1, client.socket.getInputStream().read());
         }
@@ -416,7 +418,8 @@
                 SidecarFixture.Client half = new SidecarFixture.Client(sidecar.address);
                 SidecarFixture.Client silent = new SidecarFixture.Client(sidecar.address);
                 SidecarFixture.Client idle = new SidecarFixture.Client(sidecar.address)) {
-            Stub.write(half.socket, SidecarFixture.postRequest("book", "", "xx").replaceFirst("x$", ""));
+            StubServer.write(
+                    half.socket, SidecarFixture.postRequest("book", "", "xx").replaceFirst("x$", ""));
             assertEquals(
                     503, idle.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
             assertEquals(408, half.readResponse().status());
@@ -429,7 +432,7 @@
     @Test
     void silentConnectionsAreEvicted() throws Exception {
         List<SidecarFixture.Client> silent = new ArrayList<>();
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             for (int i = 0; i < 3 * SidecarFixture.MAX_OPEN; i++) {
                 silent.add(new SidecarFixture.Client(sidecar.address));
@@ -445,10 +448,10 @@
     /** The memory of a request is released with its response and not held by its deadline timer. */
     @Test
     void answeredRequestIsReleasedBeforeItsDeadline() throws Exception {
-        try (Stub upstream = Stub.serving("x");
+        try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             WeakReference<byte[]> body = completeRequest(sidecar);
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
             while (body.get() != null && System.nanoTime() < end) {
                 System.gc();
                 Thread.sleep(20);
@@ -464,7 +467,7 @@
         Job job = new Job(2, 0, 0, 600_000, 0, false, HttpMethod.POST, "/api/x", new DefaultHttpHeaders(), body);
         sidecar.loop.execute(() -> sidecar.engine.submit(job, new Client() {
             @Override
-            public void served(Answer response) {
+            public void served(UpstreamResponse response) {
                 done.countDown();
             }
 
@@ -474,7 +477,7 @@
             @Override
             public void failed() {}
         }));
-        assertTrue(done.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(done.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return new WeakReference<>(body);
     }
 }
--- a/src/test/java/pondridge/sidecar/StartupIT.java
+++ b/src/test/java/pondridge/sidecar/StartupIT.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pondridge.http1.Stub;
+import pondridge.http1.StubServer;
 
 /**
  * Startup of real sidecar processes with the {@code run} command of the deploy file. Nine in ten must be ready within
@@ -87,7 +87,7 @@
     }
 
     private static Startup awaitUp(Process process, InetSocketAddress address, long startNanos) {
-        long deadline = startNanos + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        long deadline = startNanos + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         boolean up = up(address);
         while (!up && process.isAlive() && System.nanoTime() < deadline) {
             try {
@@ -106,7 +106,9 @@
 
     /** Half of the processes call discovery, half have lists pushed; each has a cached list of four servers. */
     private void startTwenty(String name, String discovery) throws Exception {
-        Stub[] servers = {Stub.serving("x"), Stub.serving("x"), Stub.serving("x"), Stub.serving("x")};
+        StubServer[] servers = {
+            StubServer.serving("x"), StubServer.serving("x"), StubServer.serving("x"), StubServer.serving("x")
+        };
         List<ServerSocket> reservedPorts = new ArrayList<>();
         for (int i = 0; i < PROCESS_COUNT; i++) {
             reservedPorts.add(anyPort());
@@ -127,7 +129,7 @@
         }
         List<Startup> startups = starts.stream().map(CompletableFuture::join).toList();
         pollers.shutdown();
-        for (Stub each : servers) {
+        for (StubServer each : servers) {
             each.close();
         }
         long[] ready = startups.stream().mapToLong(Startup::readyMs).sorted().toArray();
@@ -160,9 +162,9 @@
 
     @Test
     void twentyConcurrentStartsAreReadyWithASilentDiscovery() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true)) {
+        try (StubServer silent = new StubServer((socket, head) -> true)) {
             startTwenty("silent", silent.endpoint());
-            assertFalse(silent.heads.isEmpty(), "discovery was not called");
+            assertFalse(silent.requestHeads.isEmpty(), "discovery was not called");
         }
     }
 
@@ -171,7 +173,7 @@
     void twentyConcurrentStartsAreReadyWithAnOverloadedDiscovery() throws Exception {
         Object lock = new Object();
         String list = SidecarFixture.endpointList(42, true).toString();
-        try (Stub slow = new Stub((socket, head) -> {
+        try (StubServer slow = new StubServer((socket, head) -> {
             synchronized (lock) {
                 try {
                     Thread.sleep(DISCOVERY_DELAY_MS);
@@ -179,10 +181,10 @@
                     return false;
                 }
             }
-            return Stub.reply(socket, "200 OK", "", list);
+            return StubServer.reply(socket, "200 OK", "", list);
         })) {
             startTwenty("late", slow.endpoint());
-            assertFalse(slow.heads.isEmpty(), "discovery was not called");
+            assertFalse(slow.requestHeads.isEmpty(), "discovery was not called");
         }
     }
 
@@ -190,7 +192,7 @@
     @Test
     void aPortStillInUseIsBoundAsSoonAsItIsReleased() throws Exception {
         ServerSocket previous = anyPort();
-        try (Stub discovery = new Stub((socket, head) -> true)) {
+        try (StubServer discovery = new StubServer((socket, head) -> true)) {
             InetSocketAddress address = (InetSocketAddress) previous.getLocalSocketAddress();
             Process process = start(
                     0,
@@ -198,7 +200,7 @@
                             .put("listen", "127.0.0.1:" + address.getPort())
                             .put("discovery", discovery.endpoint()));
             // The first call to discovery and the first attempt to bind are in the same loop iteration.
-            Stub.next(discovery.heads);
+            StubServer.awaitNext(discovery.requestHeads);
             Thread.sleep(500);
             assertTrue(process.isAlive(), "exited at once");
             previous.close();
@@ -213,7 +215,7 @@
     void aPortThatStaysInUseEndsTheProcessWithOneLine() throws Exception {
         try (ServerSocket other = anyPort()) {
             Process process = start(0, SidecarFixture.config().put("listen", "127.0.0.1:" + other.getLocalPort()));
-            assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
+            assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "still running");
             assertEquals(1, process.exitValue());
             String output = Files.readString(log(0));
             assertEquals(1, output.lines().count(), output);
--- a/src/test/java/pondridge/siteloss/LossPlannerTest.java
+++ b/src/test/java/pondridge/siteloss/SiteLossPlannerTest.java
@@ -15,19 +15,19 @@
 import org.junit.jupiter.api.Test;
 import pondridge.settings.SettingsException;
 import pondridge.settings.SettingsFile;
-import pondridge.siteloss.Topology.Kind;
 import pondridge.siteloss.Topology.Site;
-import pondridge.siteloss.Topology.Way;
+import pondridge.siteloss.Topology.SiteLink;
+import pondridge.siteloss.Topology.TrafficClass;
 
 /** Compares plans with the optimum, which is the minimum cut found by enumerating all cuts. */
-class LossPlannerTest {
+class SiteLossPlannerTest {
     private static final int SEEDS = 3_000;
     private static final double TOLERANCE = 1e-6;
 
     private static Topology randomTopology(Random random) {
-        List<Kind> classes = new ArrayList<>();
+        List<TrafficClass> classes = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(3); i++) {
-            classes.add(new Kind(
+            classes.add(new TrafficClass(
                     "k" + i, 1 + random.nextInt(10), 0.01 + random.nextDouble() / 10, 0.1 + random.nextDouble()));
         }
         List<Site> sites = new ArrayList<>();
@@ -37,11 +37,11 @@
                     demand.put(trafficClass.name(), random.nextInt(4) == 0 ? 0 : random.nextDouble() * 100));
             sites.add(new Site("s" + i, random.nextInt(5) == 0 ? 0 : random.nextDouble() * 30, demand));
         }
-        List<Way> links = new ArrayList<>();
+        List<SiteLink> links = new ArrayList<>();
         for (Site from : sites) {
             for (Site to : sites) {
                 if (from != to && random.nextInt(5) > 0) {
-                    links.add(new Way(
+                    links.add(new SiteLink(
                             from.name(), to.name(), random.nextDouble() * 150, random.nextInt(6) == 0 ? 1 : 0.02));
                 }
             }
@@ -82,8 +82,8 @@
                         .get(random.nextInt(topology.sites().size()))
                         .name());
             }
-            LossPlan plan = LossPlanner.plan(topology, lostNames);
-            assertEquals(plan, LossPlanner.plan(topology, lostNames), "seed " + seed);
+            SiteLossPlan plan = SiteLossPlanner.plan(topology, lostNames);
+            assertEquals(plan, SiteLossPlanner.plan(topology, lostNames), "seed " + seed);
             plansWithRefusals += plan.refused().isEmpty() ? 0 : 1;
             check(topology, plan, "seed " + seed);
         }
@@ -92,47 +92,48 @@
                 "plans with refusals: " + plansWithRefusals);
     }
 
-    private static void check(Topology topology, LossPlan plan, String seed) {
+    private static void check(Topology topology, SiteLossPlan plan, String seed) {
         List<Site> lost = topology.sites().stream()
-                .filter(s -> plan.lost().contains(s.name()))
+                .filter(s -> plan.lostSites().contains(s.name()))
                 .toList();
         List<Site> survivors = topology.sites().stream()
-                .filter(s -> !plan.lost().contains(s.name()))
+                .filter(s -> !plan.lostSites().contains(s.name()))
                 .toList();
         double[] freeWork = survivors.stream()
-                .mapToDouble(
-                        site -> Math.max(0, site.capacity() * (1 - topology.reserve()) - topology.ownWork(site, 0)))
+                .mapToDouble(site ->
+                        Math.max(0, site.capacity() * (1 - topology.reserveFraction()) - topology.ownWork(site, 0)))
                 .toArray();
         Map<String, Double> residualLinkRate = new HashMap<>();
-        topology.ways().forEach(link -> residualLinkRate.put(link.from() + link.to(), link.requestsPerSecond()));
-        for (Kind trafficClass : topology.classes().stream()
-                .sorted((a, b) -> Double.compare(b.worth(), a.worth()))
+        topology.links().forEach(link -> residualLinkRate.put(link.from() + link.to(), link.requestsPerSecond()));
+        for (TrafficClass trafficClass : topology.classes().stream()
+                .sorted((a, b) -> Double.compare(b.utility(), a.utility()))
                 .toList()) {
             double[] demand = lost.stream()
-                    .mapToDouble(site -> site.asked().get(trafficClass.name()))
+                    .mapToDouble(site -> site.demandPerSecond().get(trafficClass.name()))
                     .toArray();
             double[] freeRate = new double[survivors.size()];
             double[][] links = new double[lost.size()][survivors.size()];
             double accepted = 0;
             for (int j = 0; j < survivors.size(); j++) {
-                freeRate[j] = freeWork[j] / trafficClass.work();
+                freeRate[j] = freeWork[j] / trafficClass.workSeconds();
                 for (int i = 0; i < lost.size(); i++) {
                     String pair = lost.get(i).name() + survivors.get(j).name();
-                    Way link = topology.ways().stream()
+                    SiteLink link = topology.links().stream()
                             .filter(w -> (w.from() + w.to()).equals(pair))
                             .findFirst()
                             .orElse(null);
-                    boolean useful = link != null && trafficClass.aim() - link.roundTripSeconds() > trafficClass.work();
+                    boolean useful = link != null
+                            && trafficClass.sloSeconds() - link.roundTripSeconds() > trafficClass.workSeconds();
                     links[i][j] = useful ? residualLinkRate.get(pair) : 0;
                 }
             }
             double maximum = minCut(demand, links, freeRate);
-            for (LossPlan.Flow flow : plan.flows()) {
-                if (flow.kind().equals(trafficClass.name())) {
-                    accepted += flow.perSecond();
+            for (SiteLossPlan.Flow flow : plan.flows()) {
+                if (flow.trafficClass().equals(trafficClass.name())) {
+                    accepted += flow.requestsPerSecond();
                     int j = survivors.stream().map(Site::name).toList().indexOf(flow.to());
-                    freeWork[j] -= flow.perSecond() * trafficClass.work();
-                    residualLinkRate.merge(flow.from() + flow.to(), -flow.perSecond(), Double::sum);
+                    freeWork[j] -= flow.requestsPerSecond() * trafficClass.workSeconds();
+                    residualLinkRate.merge(flow.from() + flow.to(), -flow.requestsPerSecond(), Double::sum);
                     assertTrue(freeWork[j] > -TOLERANCE, seed + ": " + flow + " exceeds the capacity");
                     assertTrue(
                             residualLinkRate.get(flow.from() + flow.to()) > -TOLERANCE,
@@ -143,12 +144,12 @@
             for (Site site : lost) {
                 double all = plan.acceptedPerSecond(site.name(), trafficClass.name())
                         + plan.refused().stream()
-                                .filter(r ->
-                                        r.from().equals(site.name()) && r.kind().equals(trafficClass.name()))
-                                .mapToDouble(LossPlan.Refused::perSecond)
+                                .filter(r -> r.from().equals(site.name())
+                                        && r.trafficClass().equals(trafficClass.name()))
+                                .mapToDouble(SiteLossPlan.RefusedLoad::requestsPerSecond)
                                 .sum();
                 assertEquals(
-                        site.asked().get(trafficClass.name()),
+                        site.demandPerSecond().get(trafficClass.name()),
                         all,
                         TOLERANCE,
                         seed + ": all demand is accepted or refused");
@@ -160,18 +161,20 @@
     @Test
     void plansForTheExampleTopology() {
         Topology topology = SitePlanSettings.read(Path.of("deploy/site-plan.toml"));
-        LossPlan plan = LossPlanner.plan(topology, Set.of("ebene"));
-        assertEquals(1, plan.admitted("ebene", "order-confirm"));
-        assertTrue(plan.admitted("ebene", "stock-check") < plan.admitted("ebene", "stock-hold") + TOLERANCE);
+        SiteLossPlan plan = SiteLossPlanner.plan(topology, Set.of("ebene"));
+        assertEquals(1, plan.admittedFraction("ebene", "order-confirm"));
+        assertTrue(plan.admittedFraction("ebene", "stock-check")
+                < plan.admittedFraction("ebene", "stock-hold") + TOLERANCE);
         // Free capacity is 0.95 * 9 less 5.985 of own work, and 0.95 * 12 less 3.78; shares are proportional to it.
         double[] shares = plan.flows().stream()
-                .filter(flow -> flow.kind().equals("order-confirm"))
-                .mapToDouble(LossPlan.Flow::perSecond)
+                .filter(flow -> flow.trafficClass().equals("order-confirm"))
+                .mapToDouble(SiteLossPlan.Flow::requestsPerSecond)
                 .toArray();
         assertEquals(2.565 / 7.62, shares[0] / shares[1], TOLERANCE);
-        LossPlan two = LossPlanner.plan(topology, Set.of("ebene", "rose-belle"));
-        assertEquals(two.slack() > 1, two.admitted("ebene", "order-confirm") < 1, two.toString());
-        assertThrows(IllegalArgumentException.class, () -> LossPlanner.plan(topology, Set.of("nowhere")));
+        SiteLossPlan two = SiteLossPlanner.plan(topology, Set.of("ebene", "rose-belle"));
+        assertEquals(
+                two.requiredCapacityFraction() > 1, two.admittedFraction("ebene", "order-confirm") < 1, two.toString());
+        assertThrows(IllegalArgumentException.class, () -> SiteLossPlanner.plan(topology, Set.of("nowhere")));
     }
 
     @Test
@@ -195,7 +198,7 @@
                     () -> {
                         SettingsFile file = SettingsFile.parse("plan.toml", toml);
                         SitePlanSettings.of(file);
-                        file.finish();
+                        file.rejectUnknownKeys();
                     },
                     toml);
             assertTrue(
@@ -213,13 +216,13 @@
         int admittedInBothEpochs = 0;
         for (int i = 0; i < 20_000; i++) {
             long key = random.nextLong();
-            boolean admitted = RefusalOrder.admits(key, 1, 0.3);
+            boolean admitted = RequestAdmission.admits(key, 1, 0.3);
             admittedCount += admitted ? 1 : 0;
-            admittedInBothEpochs += admitted && RefusalOrder.admits(key, 2, 0.3) ? 1 : 0;
+            admittedInBothEpochs += admitted && RequestAdmission.admits(key, 2, 0.3) ? 1 : 0;
             assertTrue(
-                    !admitted || RefusalOrder.admits(key, 1, 0.31),
+                    !admitted || RequestAdmission.admits(key, 1, 0.31),
                     "an admitted key stays admitted at a greater fraction");
-            assertTrue(RefusalOrder.admits(key, 1, 1) && !RefusalOrder.admits(key, 1, 0));
+            assertTrue(RequestAdmission.admits(key, 1, 1) && !RequestAdmission.admits(key, 1, 0));
         }
         assertEquals(0.3, admittedCount / 20_000.0, 0.015);
         assertEquals(0.09, admittedInBothEpochs / 20_000.0, 0.01, "epochs are independent");
--- a/src/test/java/pondridge/standin/redis/RedisStandinTest.java
+++ b/src/test/java/pondridge/standin/redis/RedisStandinTest.java
@@ -32,8 +32,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pondridge.http1.Stub;
-import pondridge.http2.Direct;
+import pondridge.http1.StubServer;
+import pondridge.http2.TransportHarness;
 import pondridge.standin.redis.RedisStandin.Setup;
 import redis.clients.jedis.Jedis;
 import redis.clients.jedis.exceptions.JedisConnectionException;
@@ -44,7 +44,7 @@
 
 /** The stand-in store with two public client libraries, its faults, and a seeded fuzz test of its parser. */
 class RedisStandinTest {
-    private static final int LIMIT_MS = (int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S);
+    private static final int LIMIT_MS = (int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private RedisStandin store;
 
@@ -114,7 +114,7 @@
                 });
                 subscriber.sync().subscribe("news");
                 assertEquals(1, redis.publish("news", "hi"));
-                assertEquals("news=hi", receivedMessages.poll(Stub.LIMIT_S, TimeUnit.SECONDS));
+                assertEquals("news=hi", receivedMessages.poll(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             }
         } finally {
             client.shutdown(0, 2, TimeUnit.SECONDS);
@@ -149,11 +149,11 @@
                     })
                     .getMessage()
                     .startsWith("OOM"));
-            store.readOnly(true);
+            store.setReadOnly(true);
             assertTrue(assertThrows(JedisDataException.class, () -> redis.set("k", "w"))
                     .getMessage()
                     .startsWith("READONLY"));
-            store.faults().loading(true);
+            store.faults().setLoadingErrors(true);
             assertTrue(assertThrows(JedisDataException.class, () -> redis.get("k"))
                     .getMessage()
                     .startsWith("LOADING"));
@@ -166,19 +166,19 @@
         start(new Setup("default", "", 1 << 20, true, 3_600_000, 100));
         try (Jedis redis = jedis()) {
             redis.set("k", "new");
-            store.faults().stale(true);
+            store.faults().setStaleReads(true);
             assertNull(redis.get("k"));
-            store.faults().stale(false);
+            store.faults().setStaleReads(false);
             assertEquals("new", redis.get("k"));
             redis.set("short", "v", SetParams.setParams().px(5_000));
-            store.faults().clock(10_000);
+            store.faults().setClockOffsetMillis(10_000);
             assertNull(redis.get("short"));
         }
         store.failOver();
         try (Jedis redis = jedis()) {
             assertNull(redis.get("k"));
         }
-        store.faults().halfReplies(true);
+        store.faults().setTruncateReplies(true);
         assertThrows(JedisConnectionException.class, () -> {
             try (Jedis redis = jedis()) {
                 redis.get("k");
@@ -192,7 +192,7 @@
      */
     @Test
     void parserHandlesAnySplitAndMalformedInput() throws Exception {
-        start(Setup.usual());
+        start(Setup.defaults());
         int errors = 0;
         for (long seed = 0; seed < 3_000; seed++) {
             Random random = new Random(seed);
@@ -236,7 +236,7 @@
             try (Socket socket =
                     new Socket(store.address().getAddress(), store.address().getPort())) {
                 socket.setSoTimeout(LIMIT_MS);
-                Stub.write(socket, malformed);
+                StubServer.write(socket, malformed);
                 String reply = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
                 assertTrue(reply.startsWith("-ERR Protocol error: "), reply);
             }
@@ -262,28 +262,28 @@
     /** Output to a client that does not read is bounded, and a subscriber that does not read is disconnected. */
     @Test
     void slowReadersAreBounded() throws Exception {
-        start(Setup.usual());
+        start(Setup.defaults());
         try (Socket slowClient =
                         new Socket(store.address().getAddress(), store.address().getPort());
                 Socket stuckSubscriber =
                         new Socket(store.address().getAddress(), store.address().getPort());
                 Jedis redis = jedis()) {
             redis.set("big", "x".repeat(100_000));
-            Stub.write(stuckSubscriber, "SUBSCRIBE news\r\n");
-            Direct.until(() -> redis.publish("news", "x") > 0, "the subscription");
-            Stub.thread(() -> {
+            StubServer.write(stuckSubscriber, "SUBSCRIBE news\r\n");
+            TransportHarness.waitUntil(() -> redis.publish("news", "x") > 0, "the subscription");
+            StubServer.startThread(() -> {
                 try {
                     for (int i = 0; i < 5_000; i++) {
-                        Stub.write(slowClient, "GET big\r\n");
+                        StubServer.write(slowClient, "GET big\r\n");
                     }
                 } catch (IOException e) {
                     // The test has ended and closed the connection.
                     return;
                 }
             });
-            Direct.until(
+            TransportHarness.waitUntil(
                     () -> redis.publish("news", "x".repeat(100_000)) == 0, "the disconnection of the stuck subscriber");
-            assertTrue(store.commands() < 5_000, "requests of the slow client are no longer read");
+            assertTrue(store.commandCount() < 5_000, "requests of the slow client are no longer read");
             assertEquals("PONG", redis.ping());
         }
     }
--- a/src/test/java/pondridge/store/LeasesTest.java
+++ b/src/test/java/pondridge/store/LeasesTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pondridge.store.Budgets.Budget;
+import pondridge.store.LeaseHolder.Budget;
 import pondridge.store.Leases.Grant;
 import pondridge.store.Leases.LeaseRequest;
 
@@ -51,7 +51,7 @@
             double lossProbability = seed % 3 == 0 ? 0.2 : 0;
             int count = 1 + random.nextInt(64);
             double capacity = 1 + random.nextInt(400);
-            Members fleet = new Members(30 * SECOND, 0);
+            FleetMembership fleet = new FleetMembership(30 * SECOND, 0);
             fleet.recordCount(count, 0);
             List<Member> members = new ArrayList<>();
             double weights = 0;
@@ -138,7 +138,7 @@
     /** A store that loses members makes no lease larger; a new member uses no count at first. */
     @Test
     void fleetSizeIsTheLargestRecentCount() {
-        Members fleet = new Members(30 * SECOND, 10 * SECOND);
+        FleetMembership fleet = new FleetMembership(30 * SECOND, 10 * SECOND);
         for (int i = 0; i < 20; i++) {
             fleet.recordCount(i < 5 ? 64 : 1, i * SECOND);
             assertEquals(64, fleet.size(i * SECOND));
@@ -153,7 +153,7 @@
 
     @Test
     void requestRateIsSmoothed() {
-        Demand requestRate = new Demand();
+        RequestRateEstimate requestRate = new RequestRateEstimate();
         for (long i = 0; i <= 100; i++) {
             requestRate.recordTotal(50 * i, i * SECOND);
         }
--- a/src/test/java/pondridge/store/HearsayTest.java
+++ b/src/test/java/pondridge/store/PeerOutlierDetectorTest.java
@@ -13,16 +13,16 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pondridge.store.Hearsay.ReceivedReport;
+import pondridge.store.PeerOutlierDetector.ReceivedReport;
 
 /**
  * Tests the decisions on peer reports in virtual time: which servers are suspected, how reports are parsed, and
  * when the circuit breaker lets the store be used.
  */
-class HearsayTest {
+class PeerOutlierDetectorTest {
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
-    private static final Hearsay.Limits LIMITS = new Hearsay.Limits(4_000, 6, 2, 0.25);
+    private static final PeerOutlierDetector.Limits LIMITS = new PeerOutlierDetector.Limits(4_000, 6, 2, 0.25);
 
     /** What the report of a simulated sidecar is worth. */
     private enum Reporter {
@@ -57,17 +57,17 @@
             List<ReceivedReport> reports = new ArrayList<>();
             for (int i = 0; i < sidecars; i++) {
                 Reporter reporter = Reporter.values()[i < 4 ? 1 + i : 0];
-                Report report = report(reporter, servers, slow, random);
+                PeerReport report = report(reporter, servers, slow, random);
                 long ageMillis = reporter == Reporter.STALE_REPORT
                         ? 3_600_000
                         : reporter == Reporter.CLOCK_AHEAD ? -60_000 : random.nextInt(4_000);
-                Report parsed = Report.parse(report.toJson(), 256);
+                PeerReport parsed = PeerReport.parse(report.toJson(), 256);
                 assertNotNull(parsed, "a report that was written can be parsed");
                 reports.add(new ReceivedReport("m" + i, ageMillis, parsed));
                 reports.add(new ReceivedReport(
                         "m" + i, ageMillis + 1_000, report(Reporter.FALSE_REPORT, servers, Set.of(), random)));
             }
-            Map<String, Double> suspects = new Hearsay(LIMITS).suspects(reports, readyServers);
+            Map<String, Double> suspects = new PeerOutlierDetector(LIMITS).suspects(reports, readyServers);
             String details = "seed " + seed + " slow " + slow + " suspects " + suspects;
             assertTrue(suspects.size() <= servers / 4, details);
             for (String each : suspects.keySet()) {
@@ -79,9 +79,9 @@
         assertTrue(suspected > 0.9 * detectable, suspected + " suspected of " + detectable);
     }
 
-    private static Report report(Reporter reporter, int servers, Set<Integer> slow, Random random) {
+    private static PeerReport report(Reporter reporter, int servers, Set<Integer> slow, Random random) {
         // Made by the production class; the baseline comes from an earlier window.
-        OwnSums stats = new OwnSums(2.5, SECOND, 256, 0);
+        LocalAttemptStats stats = new LocalAttemptStats(2.5, SECOND, 256, 0);
         for (int i = 0; i < 50; i++) {
             stats.attemptEnded("s" + i % servers, 0, true, 10 * MS, 0);
         }
@@ -102,7 +102,7 @@
                         now);
             }
         }
-        return new Report(1, 1, stats.recent(256, now));
+        return new PeerReport(1, 1, stats.recent(256, now));
     }
 
     /**
@@ -111,14 +111,14 @@
      */
     @Test
     void suspicionNeedsAQuorumThatOutweighsTheOthers() {
-        Hearsay detector = new Hearsay(new Hearsay.Limits(4_000, 1, 3, 0.5));
+        PeerOutlierDetector detector = new PeerOutlierDetector(new PeerOutlierDetector.Limits(4_000, 1, 3, 0.5));
         List<ReceivedReport> reports = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             assertEquals(i >= 3, !detector.suspects(reports, Set.of("a", "b")).isEmpty(), "reports: " + i);
-            reports.add(new ReceivedReport("m" + i, 10, new Report(0, 1, List.of(new ServerSum("a", 9, 90, 9)))));
+            reports.add(new ReceivedReport("m" + i, 10, new PeerReport(0, 1, List.of(new ServerStats("a", 9, 90, 9)))));
         }
         for (int i = 0; i < 6; i++) {
-            reports.add(new ReceivedReport("w" + i, 10, new Report(0, 1, List.of(new ServerSum("a", 9, 9, 0)))));
+            reports.add(new ReceivedReport("w" + i, 10, new PeerReport(0, 1, List.of(new ServerStats("a", 9, 9, 0)))));
         }
         assertEquals(Map.of(), detector.suspects(reports, Set.of("a", "b")), "as many find it fast");
     }
@@ -127,7 +127,7 @@
     @Test
     void invalidReportsAreRejected() {
         String good = "{\"v\":1,\"at\":5,\"s\":[[\"a\",4,8.5,1]]}";
-        assertEquals(0, Report.parse(good, 10).requestsPerSecond(), "from an older version");
+        assertEquals(0, PeerReport.parse(good, 10).requestsPerSecond(), "from an older version");
         for (String[] replacement : new String[][] {
             {"\"v\":1", "\"v\":2"},
             {"5,", "5,\"r\":-3,"},
@@ -145,26 +145,26 @@
             {"[[", "[[\"b\"],["}
         }) {
             assertNull(
-                    Report.parse(good.replace(replacement[0], replacement[1]), 10),
+                    PeerReport.parse(good.replace(replacement[0], replacement[1]), 10),
                     String.join(" replaced by ", replacement));
         }
-        assertNull(Report.parse(good, 0), "more servers than allowed");
-        assertNull(Report.parse("x".repeat(100_000), 10));
+        assertNull(PeerReport.parse(good, 0), "more servers than allowed");
+        assertNull(PeerReport.parse("x".repeat(100_000), 10));
         Random random = new Random(3);
         for (int i = 0; i < 20_000; i++) {
             StringBuilder text = new StringBuilder(good);
             for (int j = 0; j <= random.nextInt(3); j++) {
                 text.setCharAt(random.nextInt(text.length()), (char) (32 + random.nextInt(95)));
             }
-            Report parsed = Report.parse(text.toString(), 10);
-            assertTrue(parsed == null || parsed.servers().stream().allMatch(ServerSum::isValid), text.toString());
+            PeerReport parsed = PeerReport.parse(text.toString(), 10);
+            assertTrue(parsed == null || parsed.servers().stream().allMatch(ServerStats::isValid), text.toString());
         }
     }
 
     /** Attempts older than two windows are dropped, and the number of servers is limited. */
     @Test
     void statisticsAreRecentAndBounded() {
-        OwnSums stats = new OwnSums(2.5, SECOND, 100, 0);
+        LocalAttemptStats stats = new LocalAttemptStats(2.5, SECOND, 100, 0);
         for (int i = 0; i < 10_000; i++) {
             stats.attemptEnded("s" + i, 0, true, MS, 0);
         }
@@ -172,7 +172,7 @@
         assertEquals(10, stats.recent(10, SECOND).size());
         assertTrue(stats.recent(10, 2 * SECOND + 1).isEmpty());
         stats.attemptEnded("a", 0, false, MS, 3 * SECOND);
-        ServerSum server = stats.recent(10, 3 * SECOND).get(0);
+        ServerStats server = stats.recent(10, 3 * SECOND).get(0);
         assertTrue(server.badAttempts() == 1 && server.meanSlowdown() >= 2.5, server::toString);
     }
 
@@ -182,17 +182,17 @@
      */
     @Test
     void sidecarsDoNotReturnToTheStoreTogether() {
-        StoreCircuit.Limits limits = new StoreCircuit.Limits(100 * MS, 2, 500 * MS, 30 * SECOND);
-        List<StoreCircuit> circuits = new ArrayList<>();
+        StoreCircuitBreaker.Limits limits = new StoreCircuitBreaker.Limits(100 * MS, 2, 500 * MS, 30 * SECOND);
+        List<StoreCircuitBreaker> circuits = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            circuits.add(new StoreCircuit(limits, i));
+            circuits.add(new StoreCircuitBreaker(limits, i));
         }
         int[] triesByStep = new int[1_200];
         int[] returnsByStep = new int[1_200];
         for (int step = 0; step < triesByStep.length; step++) {
             long now = step * 100 * MS;
             boolean unavailable = step < 600;
-            for (StoreCircuit each : circuits) {
+            for (StoreCircuitBreaker each : circuits) {
                 if (each.allowsExchange(now) && (unavailable || each.isOpen())) {
                     triesByStep[step]++;
                     if (unavailable) {
@@ -215,7 +215,7 @@
         assertTrue(whileUnavailable < 200 * 12, "tries in 60 s: " + whileUnavailable);
         assertTrue(mostReturnsInAStep < 20, "returns in a tenth of a second: " + mostReturnsInAStep);
         assertEquals(200, returned);
-        StoreCircuit slow = new StoreCircuit(limits, 1);
+        StoreCircuitBreaker slow = new StoreCircuitBreaker(limits, 1);
         slow.recordCompletion(200 * MS, 0);
         assertFalse(slow.isOpen());
         slow.recordCompletion(200 * MS, 1);
--- a/src/test/java/pondridge/store/SharedStoreTest.java
+++ b/src/test/java/pondridge/store/SharedStoreTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import pondridge.demo.Certificates;
 import pondridge.http1.Upstreams;
-import pondridge.http2.Direct;
+import pondridge.http2.TransportHarness;
 import pondridge.rig.Fleet;
 import pondridge.settings.SettingsFile;
 import pondridge.standin.ColdStart;
-import pondridge.standin.EffectLedger.Verdict;
+import pondridge.standin.ExecutionLedger.Verdict;
 import pondridge.standin.Fault;
 import pondridge.standin.FaultScript;
 import pondridge.standin.StandinServer;
@@ -70,7 +70,7 @@
                         + "pause = \"20ms\"\nlongest_pause = \"100ms\"\ncold_per_second = 20\n"
                         + "settle = \"200ms\"\nslot = \"100ms\"\n");
         StoreSettings read = StoreSettings.of(file, Path.of("."));
-        file.finish();
+        file.rejectUnknownKeys();
         return new StoreSettings(
                 read.address(),
                 read.tls(),
@@ -132,7 +132,7 @@
     void noServerIsSuspectedWhileTheStoreIsUnavailable() throws Exception {
         startMemberReportingSlowServer("one");
         SharedStore listener = startListener();
-        Direct.until(() -> count(listener, "exchanges") > 20, "some exchanges");
+        TransportHarness.waitUntil(() -> count(listener, "exchanges") > 20, "some exchanges");
         assertEquals(Map.of(), suspects, "one member is not a quorum");
         startMemberReportingSlowServer("two");
         Map<String, Runnable> faults = new LinkedHashMap<>();
@@ -142,53 +142,53 @@
             store.restart();
         });
         faults.put("stalled", () -> {
-            store.faults().stall(true);
+            store.faults().setStallReplies(true);
             awaitNoSuspects();
-            store.faults().stall(false);
+            store.faults().setStallReplies(false);
         });
         faults.put("slow", () -> {
-            store.faults().delay(200);
+            store.faults().setReplyDelayMillis(200);
             awaitNoSuspects();
-            store.faults().delay(0);
+            store.faults().setReplyDelayMillis(0);
         });
         faults.put("partial replies", () -> {
-            store.faults().halfReplies(true);
+            store.faults().setTruncateReplies(true);
             awaitNoSuspects();
-            store.faults().halfReplies(false);
+            store.faults().setTruncateReplies(false);
         });
         faults.put("loading", () -> {
-            store.faults().loading(true);
+            store.faults().setLoadingErrors(true);
             awaitNoSuspects();
-            store.faults().loading(false);
+            store.faults().setLoadingErrors(false);
         });
         faults.put("wrong types", () -> {
-            store.faults().wrongTypes(true);
+            store.faults().setWrongTypeErrors(true);
             awaitNoSuspects();
-            store.faults().wrongTypes(false);
+            store.faults().setWrongTypeErrors(false);
         });
         faults.put("refusing", () -> {
-            store.faults().refuse(true);
+            store.faults().setRefuseConnections(true);
             store.stop();
             store.restart();
             awaitNoSuspects();
-            store.faults().refuse(false);
+            store.faults().setRefuseConnections(false);
         });
         faults.put("failover to a lagging replica", store::failOver);
-        faults.put("all keys lost", store::loseAll);
-        faults.put("clock an hour ahead", () -> store.faults().clock(3_600_000));
-        faults.put("clock an hour behind", () -> store.faults().clock(-3_600_000));
+        faults.put("all keys lost", store::loseAllKeys);
+        faults.put("clock an hour ahead", () -> store.faults().setClockOffsetMillis(3_600_000));
+        faults.put("clock an hour behind", () -> store.faults().setClockOffsetMillis(-3_600_000));
         for (Map.Entry<String, Runnable> each : faults.entrySet()) {
-            Direct.until(
+            TransportHarness.waitUntil(
                     () -> suspects.equals(Map.of("s0", suspects.getOrDefault("s0", 0.0))) && !suspects.isEmpty(),
                     "s0 is suspected, before: " + each.getKey());
             each.getValue().run();
         }
-        Direct.until(() -> suspects.containsKey("s0"), "s0 is suspected, at the end");
+        TransportHarness.waitUntil(() -> suspects.containsKey("s0"), "s0 is suspected, at the end");
     }
 
     private void awaitNoSuspects() {
         try {
-            Direct.until(() -> suspects.isEmpty(), "no server is suspected");
+            TransportHarness.waitUntil(() -> suspects.isEmpty(), "no server is suspected");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -196,7 +196,7 @@
 
     /** The fraction of a fleet's requests that s0 receives while it is slow, with or without reports of peers. */
     private double slowServerFraction(boolean shared, boolean stopped) throws Exception {
-        try (Fleet fleet = new Fleet(Fleet.options(WAIT_MS))) {
+        try (Fleet fleet = new Fleet(Fleet.defaultOptions(WAIT_MS))) {
             for (String each : List.of("s0", "s1", "s2", "s3")) {
                 fleet.server(
                         each,
@@ -208,21 +208,21 @@
             Set<String> reported = ConcurrentHashMap.newKeySet();
             fleet.start((front, options) -> new Upstreams(front, options, 500), engine -> {
                 if (stopped) {
-                    started[0] = Sharing.begin(
+                    started[0] = SharedStoreBinding.start(
                             fleet.loop(),
                             engine,
                             settings("fleet"),
-                            fleet.settings().settings().limits(),
+                            fleet.settings().settings().safetyLimits(),
                             3);
                 } else if (shared) {
                     engine.observe((uid, requestClass, outcome, took) -> {});
                     started[0] = new SharedStore(
                             fleet.loop(),
                             settings("fleet"),
-                            engine::asked,
-                            engine::ready,
+                            engine::requestCount,
+                            engine::readyServers,
                             suspected -> {
-                                engine.heard(suspected);
+                                engine.applySlowdownReports(suspected);
                                 // The baselines of the peers settle first; then s0 is a thousand times slower.
                                 if (suspected.getOrDefault("s0", 0.0) > 500) {
                                     reported.add("s0");
@@ -233,9 +233,9 @@
             });
             SharedStore member = started[0];
             if (shared && !stopped) {
-                Direct.until(() -> reported.contains("s0"), "s0 is reported as slow");
+                TransportHarness.waitUntil(() -> reported.contains("s0"), "s0 is reported as slow");
             } else if (shared) {
-                Direct.until(
+                TransportHarness.waitUntil(
                         () -> fleet.loop()
                                         .submit(() -> member.counts().getOrDefault("exchanges", 0L))
                                         .syncUninterruptibly()
@@ -243,11 +243,11 @@
                                 > 10,
                         "some exchanges");
             }
-            CompletableFuture<Void> load = fleet.load(Fleet.mixed(300, 300, WAIT_MS), 1, "share");
+            CompletableFuture<Void> load = fleet.load(Fleet.mixedPlan(300, 300, WAIT_MS), 1, "share");
             if (stopped) {
-                Direct.until(() -> fleet.ledger().answers() > 30, "load");
+                TransportHarness.waitUntil(() -> fleet.ledger().responseCount() > 30, "load");
                 store.stop();
-                Direct.until(
+                TransportHarness.waitUntil(
                         () -> fleet.loop()
                                         .submit(() -> member.counts().get("open"))
                                         .syncUninterruptibly()
@@ -257,12 +257,12 @@
             }
             Fleet.await(load);
             Verdict verdict = fleet.verdict();
-            assertTrue(verdict.clean(), verdict::toString);
+            assertTrue(verdict.passed(), verdict::toString);
             assertTrue(verdict.served() > 250, verdict::toString);
             if (member != null) {
                 fleet.loop().submit(member::close).get();
             }
-            return fleet.servers().get(0).runs() / 300.0;
+            return fleet.servers().get(0).executions() / 300.0;
         }
     }
 
@@ -290,8 +290,8 @@
     @Test
     void tlsRequiresTheConfiguredServerName(@TempDir Path folder) throws Exception {
         Certificates certificates = new Certificates(folder);
-        certificates.site("store");
-        certificates.site("other");
+        certificates.issue("store");
+        certificates.issue("other");
         for (String certificate : List.of("store", "other", "")) {
             SslContext tls = certificate.isEmpty()
                     ? null
@@ -317,14 +317,14 @@
                         .get();
                 members.add(member);
                 if (certificate.equals("store")) {
-                    Direct.until(() -> secured.commands() > 10, "exchanges");
+                    TransportHarness.waitUntil(() -> secured.commandCount() > 10, "exchanges");
                 } else {
-                    Direct.until(() -> count(member, "failures") > 3, "failures");
+                    TransportHarness.waitUntil(() -> count(member, "failures") > 3, "failures");
                     // A TLS handshake read as plain text may look like some lines, which are not commands.
                     assertTrue(
-                            secured.commands() == 0 || tls == null,
+                            secured.commandCount() == 0 || tls == null,
                             "commands sent to a store with the wrong certificate");
-                    assertEquals(0, secured.used());
+                    assertEquals(0, secured.usedMemoryBytes());
                 }
                 loop.submit(member::close).get();
             }
@@ -337,7 +337,9 @@
     @Test
     void rejectedLoginsAndOversizedRepliesFailTheExchange() throws Exception {
         try (RedisStandin open = new RedisStandin(
-                group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), RedisStandin.Setup.usual())) {
+                group.next(),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                RedisStandin.Setup.defaults())) {
             StoreSettings plain = StoreSettings.of(
                     SettingsFile.parse(
                             "x",
@@ -364,10 +366,10 @@
                     plain.leases());
             assertEquals("Login[app]", secret.login().toString());
             SharedStore two = startMember(secret);
-            Direct.until(() -> count(two, "failures") > 3, "the login is rejected");
-            assertEquals(0, open.used());
+            TransportHarness.waitUntil(() -> count(two, "failures") > 3, "the login is rejected");
+            assertEquals(0, open.usedMemoryBytes());
             SharedStore one = startMember(plain);
-            Direct.until(() -> open.used() > 0 && count(one, "exchanges") > 10, "exchanges");
+            TransportHarness.waitUntil(() -> open.usedMemoryBytes() > 0 && count(one, "exchanges") > 10, "exchanges");
             long before = count(one, "failures");
             try (Jedis other = new Jedis("127.0.0.1", open.address().getPort())) {
                 for (int i = 0; i < 16; i++) {
@@ -375,7 +377,7 @@
                     other.sadd("bankflow:1:members:" + System.currentTimeMillis() / 10_000, "m" + i);
                 }
             }
-            Direct.until(() -> count(one, "failures") > before + 2, "the replies exceed the limit");
+            TransportHarness.waitUntil(() -> count(one, "failures") > before + 2, "the replies exceed the limit");
         }
     }
 
@@ -399,7 +401,7 @@
             for (int i = 0; i < 20; i++) {
                 String report = i % 2 == 0
                         ? "{\"v\":1,\"at\":" + now + ",\"r\":NaN,\"s\":[[\"s0\",1e9,-1,7]]}"
-                        : new Report(now, 0.001, List.of(new ServerSum("s1", 50, 500_000, 50))).toJson();
+                        : new PeerReport(now, 0.001, List.of(new ServerStats("s1", 50, 500_000, 50))).toJson();
                 client.set("bankflow:1:report:liar" + i, report);
                 client.sadd("bankflow:1:members:" + now / 10_000, "liar" + i);
             }
@@ -410,14 +412,17 @@
         Map<String, StoreFault> storeFaults = new LinkedHashMap<>();
         storeFaults.put("none", new StoreFault(() -> {}, () -> {}));
         storeFaults.put("stopped", new StoreFault(store::stop, store::restart));
-        storeFaults.put("stalled", new StoreFault(() -> store.faults().stall(true), () -> store.faults()
-                .stall(false)));
-        storeFaults.put("replies after 2 s", new StoreFault(() -> store.faults().delay(2_000), () -> store.faults()
-                .delay(0)));
-        storeFaults.put("data an hour old", new StoreFault(() -> store.faults().stale(true), () -> store.faults()
-                .stale(false)));
+        storeFaults.put("stalled", new StoreFault(() -> store.faults().setStallReplies(true), () -> store.faults()
+                .setStallReplies(false)));
+        storeFaults.put(
+                "replies after 2 s",
+                new StoreFault(() -> store.faults().setReplyDelayMillis(2_000), () -> store.faults()
+                        .setReplyDelayMillis(0)));
+        storeFaults.put(
+                "data an hour old", new StoreFault(() -> store.faults().setStaleReads(true), () -> store.faults()
+                        .setStaleReads(false)));
         storeFaults.put("invalid reports", new StoreFault(this::writeInvalidReports, () -> {}));
-        storeFaults.put("all keys lost", new StoreFault(store::loseAll, () -> {}));
+        storeFaults.put("all keys lost", new StoreFault(store::loseAllKeys, () -> {}));
         storeFaults.put("failover to a lagging replica", new StoreFault(store::failOver, () -> {}));
         return storeFaults;
     }
@@ -430,7 +435,7 @@
     @Test
     void coldServersAreNotOverloadedWhenTheStoreFails() throws Exception {
         for (Map.Entry<String, StoreFault> storeFault : storeFaults().entrySet()) {
-            try (Fleet fleet = new Fleet(Fleet.options(WAIT_MS))) {
+            try (Fleet fleet = new Fleet(Fleet.defaultOptions(WAIT_MS))) {
                 for (int i = 0; i < 6; i++) {
                     fleet.server("s" + i, "a", StandinServer.Protocol.HTTP1, new FaultScript(i, Map.of(), 5 * MS, 0));
                 }
@@ -439,27 +444,27 @@
                     String name = "c" + i;
                     fleet.start((front, options) -> new Upstreams(front, options, 500), engine -> {
                         if (!name.equals("c2")) {
-                            stores.add(Sharing.begin(
+                            stores.add(SharedStoreBinding.start(
                                     fleet.loop(),
                                     engine,
                                     settings(name),
-                                    fleet.settings().settings().limits(),
+                                    fleet.settings().settings().safetyLimits(),
                                     3));
                         }
                     });
                 }
-                CompletableFuture<Void> load = fleet.load(Fleet.mixed(200, 200, WAIT_MS), 1, "before");
-                Direct.until(
+                CompletableFuture<Void> load = fleet.load(Fleet.mixedPlan(200, 200, WAIT_MS), 1, "before");
+                TransportHarness.waitUntil(
                         () -> stores.stream().allMatch(each -> count(fleet, each, "exchanges") > 8),
                         "some exchanges of each member");
                 Fleet.await(load);
                 storeFault.getValue().begin.run();
-                load = fleet.load(Fleet.mixed(700, 400, WAIT_MS), 2, "after");
+                load = fleet.load(Fleet.mixedPlan(700, 400, WAIT_MS), 2, "after");
                 for (String each : List.of("s4", "s5")) {
                     fleet.servers()
                             .get(each.charAt(1) - '0')
-                            .cold(new ColdStart(System.nanoTime(), 7_400 * MS, 0.39, 20, 4, 1_500 * MS));
-                    fleet.listRestarted(each);
+                            .setColdStart(new ColdStart(System.nanoTime(), 7_400 * MS, 0.39, 20, 4, 1_500 * MS));
+                    fleet.publishRestart(each);
                 }
                 Fleet.await(load);
                 Verdict verdict = fleet.verdict();
@@ -467,7 +472,7 @@
                         .mapToLong(each -> count(fleet, each, "parts"))
                         .sum();
                 System.out.println(storeFault.getKey() + ": " + leases + " leases, " + verdict);
-                assertTrue(verdict.clean() && verdict.served() > 450, storeFault.getKey() + verdict);
+                assertTrue(verdict.passed() && verdict.served() > 450, storeFault.getKey() + verdict);
                 assertTrue(leases > 0 || !storeFault.getKey().equals("none"), "no lease was granted");
                 fleet.loop().submit(() -> stores.forEach(SharedStore::close)).get();
                 storeFault.getValue().end.run();
--- a/src/test/java/pondridge/store/StoreModel.java
+++ b/src/test/java/pondridge/store/StoreModel.java
@@ -13,21 +13,21 @@
 import java.util.Set;
 import org.HdrHistogram.Histogram;
 import pondridge.Balancer.Actions;
-import pondridge.Balancer.Allowed;
-import pondridge.Balancer.Charges;
-import pondridge.Balancer.Discovery;
-import pondridge.Balancer.Limits;
-import pondridge.Balancer.ListKind;
+import pondridge.Balancer.DiscoveryMode;
+import pondridge.Balancer.EndpointListKind;
+import pondridge.Balancer.HostCapabilities;
+import pondridge.Balancer.KeyScope;
 import pondridge.Balancer.Outcome;
+import pondridge.Balancer.OverheadCosts;
 import pondridge.Balancer.Request;
 import pondridge.Balancer.RequestClass;
-import pondridge.Balancer.Scope;
-import pondridge.Balancer.Semantics;
+import pondridge.Balancer.RetrySemantics;
+import pondridge.Balancer.SafetyLimits;
 import pondridge.Balancer.Settings;
-import pondridge.Balancer.State;
 import pondridge.Balancer.Upstream;
-import pondridge.Balancer.Weights;
-import pondridge.Rules;
+import pondridge.Balancer.UpstreamState;
+import pondridge.Balancer.WeightKind;
+import pondridge.LoadBalancingPolicy;
 import pondridge.standin.ColdStart;
 
 /**
@@ -58,10 +58,10 @@
 
     private static final long RAMP_NANOS = 7_400 * MS;
     private static final double COLD_FRACTION = 0.39;
-    private static final Hearsay.Limits REPORT_LIMITS = new Hearsay.Limits(4_000, 6, 2, 0.25);
+    private static final PeerOutlierDetector.Limits REPORT_LIMITS = new PeerOutlierDetector.Limits(4_000, 6, 2, 0.25);
 
     /** The state of the store in the last two thirds of a run. */
-    public enum Store {
+    public enum StoreCondition {
         /** No store in the whole run. */
         NONE,
         GOOD,
@@ -91,7 +91,7 @@
     public record Plan(
             int sidecars,
             int servers,
-            Store store,
+            StoreCondition store,
             boolean allCold,
             boolean leases,
             boolean paused,
@@ -101,10 +101,10 @@
     /**
      * The results of a run.
      *
-     * @param inTime fraction of requests served within the objective
-     * @param slowSends attempts at slow servers, per sidecar
-     * @param avoidedMs time until the slow servers received less than a quarter of their even share
-     * @param coldUsed requests that a cold server received in its first 1.5 s, relative to the number that crashes
+     * @param inTimeFraction fraction of requests served within the objective
+     * @param slowSendsPerSidecar attempts at slow servers, per sidecar
+     * @param avoidanceDelayMillis time until the slow servers received less than a quarter of their even share
+     * @param coldLimitFraction requests that a cold server received in its first 1.5 s, relative to the number that crashes
      *     it; the largest of all servers
      * @param crashedServers cold servers that failed under too many requests
      */
@@ -112,11 +112,11 @@
             long requests,
             long responses,
             long duplicateResponses,
-            double inTime,
-            double slowSends,
-            double p99Ms,
-            long avoidedMs,
-            double coldUsed,
+            double inTimeFraction,
+            double slowSendsPerSidecar,
+            double p99Millis,
+            long avoidanceDelayMillis,
+            double coldLimitFraction,
             long crashedServers,
             long reportBytes) {
         @Override
@@ -126,11 +126,11 @@
                     "asked=%d in_time=%.4f slow_sends_per_sidecar=%.2f p99_ms=%.0f "
                             + "avoided_ms=%d cold_used=%.2f pushed_over=%d report_bytes=%d",
                     requests,
-                    inTime,
-                    slowSends,
-                    p99Ms,
-                    avoidedMs,
-                    coldUsed,
+                    inTimeFraction,
+                    slowSendsPerSidecar,
+                    p99Millis,
+                    avoidanceDelayMillis,
+                    coldLimitFraction,
                     crashedServers,
                     reportBytes);
         }
@@ -141,7 +141,7 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
     private final Random random;
-    private final Store store;
+    private final StoreCondition store;
     private final long endNanos;
     private final List<Server> servers = new ArrayList<>();
     private final List<Sidecar> sidecars = new ArrayList<>();
@@ -176,7 +176,7 @@
     }
 
     /** Simulates one run. */
-    public static Result play(Plan plan) {
+    public static Result simulate(Plan plan) {
         return new StoreModel(plan).run();
     }
 
@@ -204,7 +204,8 @@
             now = event.at;
             event.action.run();
         }
-        int bytes = new Report(now, 1, sidecars.get(0).reportedStats).toJson().length();
+        int bytes =
+                new PeerReport(now, 1, sidecars.get(0).reportedStats).toJson().length();
         return new Result(
                 requests,
                 responses,
@@ -253,7 +254,8 @@
         private void restart() {
             startedAtNanos = now;
             cold = new ColdStart(now, RAMP_NANOS, COLD_FRACTION, WARM_REQUESTS_PER_SECOND, 4, 1_500 * MS);
-            sidecars.forEach(each -> each.rules.listChanged(now, ListKind.DELTA, List.of(each.entry(this))));
+            sidecars.forEach(
+                    each -> each.rules.endpointListChanged(now, EndpointListKind.DELTA, List.of(each.entry(this))));
         }
 
         /** Adds a request that arrives now; returns when it finishes, or -1 if the server has crashed. */
@@ -286,38 +288,38 @@
                 replicas,
                 0,
                 MS,
-                Discovery.AUTOMATIC,
-                Weights.SILENT,
+                DiscoveryMode.AUTOMATIC,
+                WeightKind.SILENT,
                 List.of(new RequestClass(
-                        SLO_NANOS, 0, DEADLINE_NANOS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, false)),
+                        SLO_NANOS, 0, DEADLINE_NANOS, 1, 0, RetrySemantics.REPEATABLE, KeyScope.ALL, 0, false)),
                 List.of(),
-                new Allowed(true, false, false, false, true, 3, 1_000 * MS, 100 * MS),
-                new Limits(20 * MS, 10 * SECOND, 2 * SECOND, COLD_FRACTION, RAMP_NANOS, 4, 1_500 * MS),
+                new HostCapabilities(true, false, false, false, true, 3, 1_000 * MS, 100 * MS),
+                new SafetyLimits(20 * MS, 10 * SECOND, 2 * SECOND, COLD_FRACTION, RAMP_NANOS, 4, 1_500 * MS),
                 List.of(),
-                Charges.NONE,
+                OverheadCosts.NONE,
                 false,
                 1);
     }
 
     private final class Sidecar implements Actions {
         private final int number;
-        private final Rules rules;
-        private final OwnSums attemptStats = new OwnSums(2.5, SECOND, 1_024, 0);
-        private final Hearsay outlierDetector = new Hearsay(REPORT_LIMITS);
+        private final LoadBalancingPolicy rules;
+        private final LocalAttemptStats attemptStats = new LocalAttemptStats(2.5, SECOND, 1_024, 0);
+        private final PeerOutlierDetector outlierDetector = new PeerOutlierDetector(REPORT_LIMITS);
         private final Map<Long, long[]> openRequests = new HashMap<>();
         private final Set<Long> finished = new HashSet<>();
-        private List<ServerSum> reportedStats = List.of();
-        private final Members members = new Members(30 * SECOND, 4 * SECOND);
+        private List<ServerStats> reportedStats = List.of();
+        private final FleetMembership members = new FleetMembership(30 * SECOND, 4 * SECOND);
         private final Leases leases;
         private long pausedUntilNanos;
         private long writtenAtNanos;
         private double requestsPerSecond;
-        private final Demand requestRate = new Demand();
+        private final RequestRateEstimate requestRate = new RequestRateEstimate();
         private long lastId;
 
         Sidecar(int number, long seed) {
             this.number = number;
-            this.rules = new Rules(settings(1), seed, this);
+            this.rules = new LoadBalancingPolicy(settings(1), seed, this);
             this.leases = new Leases(SLOT_NANOS / MS, seed + 1);
         }
 
@@ -333,13 +335,15 @@
         }
 
         private Upstream entry(Server server) {
-            return new Upstream(servers.indexOf(server), 0, 0, 0, State.READY, 1, server.startedAtNanos);
+            return new Upstream(servers.indexOf(server), 0, 0, 0, UpstreamState.READY, 1, server.startedAtNanos);
         }
 
         private void begin() {
             rules.start(now);
-            rules.listChanged(
-                    now, ListKind.CACHED, servers.stream().map(this::entry).toList());
+            rules.endpointListChanged(
+                    now,
+                    EndpointListKind.CACHED,
+                    servers.stream().map(this::entry).toList());
             scheduleNextRequest();
             at(now + (long) (random.nextDouble() * SECOND), this::exchangeReports);
         }
@@ -358,7 +362,7 @@
                     requests++;
                     countedRequests += afterFirstThird() ? 1 : 0;
                     openRequests.put(id, new long[] {now, 0});
-                    rules.request(now, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
+                    rules.requestArrived(now, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
                 });
             }
         }
@@ -402,7 +406,7 @@
                     respond(request, true);
                 }
                 attemptStats.attemptEnded(server.name, 0, outcome == Outcome.OK, now - sentNanos, now);
-                rules.outcome(
+                rules.attemptEnded(
                         now,
                         request,
                         attempt,
@@ -420,8 +424,9 @@
                 at(now + (long) ((0.9 + 0.2 * random.nextDouble()) * SECOND), this::exchangeReports);
             }
             reportedStats = attemptStats.recent(256, now);
-            boolean storeUnavailable = store == Store.NONE
-                    || afterFirstThird() && (store == Store.AWAY || store == Store.HALF_SEE_IT && number % 2 == 0);
+            boolean storeUnavailable = store == StoreCondition.NONE
+                    || afterFirstThird()
+                            && (store == StoreCondition.AWAY || store == StoreCondition.HALF_SEE_IT && number % 2 == 0);
             if (storeUnavailable) {
                 return;
             }
@@ -431,24 +436,24 @@
             if (plan.leases) {
                 requestLeases();
             }
-            List<Hearsay.ReceivedReport> received = new ArrayList<>();
+            List<PeerOutlierDetector.ReceivedReport> received = new ArrayList<>();
             for (int i = 0; i < REPORTS_PER_EXCHANGE; i++) {
                 Sidecar other = sidecars.get(random.nextInt(sidecars.size()));
                 if (other != this && other.writtenAtNanos > 0) {
-                    Report report = new Report(0, other.requestsPerSecond, other.reportedStats);
+                    PeerReport report = new PeerReport(0, other.requestsPerSecond, other.reportedStats);
                     long ageMillis = (now - other.writtenAtNanos) / MS;
-                    if (afterFirstThird() && store == Store.POISON) {
-                        report = new Report(
+                    if (afterFirstThird() && store == StoreCondition.POISON) {
+                        report = new PeerReport(
                                 0,
                                 1,
                                 servers.stream()
                                         .map(each ->
-                                                new ServerSum(each.name, 10, 10_000, random.nextBoolean() ? 10 : 0))
+                                                new ServerStats(each.name, 10, 10_000, random.nextBoolean() ? 10 : 0))
                                         .toList());
                     }
-                    received.add(new Hearsay.ReceivedReport(
+                    received.add(new PeerOutlierDetector.ReceivedReport(
                             "m" + other.number,
-                            afterFirstThird() && store == Store.AN_HOUR_OLD ? 3_600_000 : ageMillis,
+                            afterFirstThird() && store == StoreCondition.AN_HOUR_OLD ? 3_600_000 : ageMillis,
                             report));
                 }
             }
@@ -462,7 +467,7 @@
             Map<String, Double> suspects = outlierDetector.suspects(received, ready);
             at(
                     now + 2 * MS,
-                    () -> suspects.forEach((uid, ratio) -> rules.peerMessage(
+                    () -> suspects.forEach((uid, ratio) -> rules.peerMessageReceived(
                             now,
                             0,
                             ByteBuffer.allocate(12)
@@ -476,18 +481,20 @@
             long activeMembers = sidecars.stream()
                     .filter(each -> each.writtenAtNanos > now - 20 * SECOND && each.writtenAtNanos > 0)
                     .count();
-            boolean keysLost = afterFirstThird() && store == Store.LOSES_KEYS;
+            boolean keysLost = afterFirstThird() && store == StoreCondition.LOSES_KEYS;
             members.recordCount(keysLost ? 1 : activeMembers, now);
             long clockErrorMillis =
-                    afterFirstThird() && store == Store.CLOCK_JUMPS && now / (2 * SECOND) % 2 == 0 ? 3_600_000 : 0;
+                    afterFirstThird() && store == StoreCondition.CLOCK_JUMPS && now / (2 * SECOND) % 2 == 0
+                            ? 3_600_000
+                            : 0;
             long storeMillis = now / MS + clockErrorMillis;
-            List<Budgets.Budget> wanted = new ArrayList<>();
+            List<LeaseHolder.Budget> wanted = new ArrayList<>();
             for (Server each : servers) {
                 if (each.startedAtNanos > 0 && now - each.startedAtNanos < RAMP_NANOS) {
-                    wanted.add(new Budgets.Budget(
+                    wanted.add(new LeaseHolder.Budget(
                             "cold:" + each.name,
                             ColdStartBudgets.capacity(
-                                    settings(1).limits(),
+                                    settings(1).safetyLimits(),
                                     LEASED_FRACTION * WARM_REQUESTS_PER_SECOND,
                                     now - each.startedAtNanos + leases.nanosUntilNextSlot(storeMillis) + SLOT_NANOS / 2,
                                     SLOT_NANOS)));
@@ -500,7 +507,7 @@
             for (Leases.LeaseRequest request :
                     leases.requests(wanted, members.size(now), members.trafficWeight(requestsPerSecond), storeMillis)) {
                 String key = request.name() + request.slot();
-                if (keysLost || afterFirstThird() && store == Store.LAGS && random.nextInt(10) == 0) {
+                if (keysLost || afterFirstThird() && store == StoreCondition.LAGS && random.nextInt(10) == 0) {
                     counters.remove(key);
                 }
                 long counter = counters.merge(key, request.amount(), Long::sum);
@@ -509,9 +516,9 @@
                     if (grant != null) {
                         at(grant.fromNanos(), () -> {
                             if (grant.untilNanos() > now) {
-                                rules.peerMessage(
+                                rules.peerMessageReceived(
                                         now,
-                                        Rules.LEASES,
+                                        LoadBalancingPolicy.COLD_START_LEASES,
                                         ByteBuffer.allocate(16)
                                                 .putLong(Long.parseLong(
                                                         request.name().substring(6)))
@@ -536,31 +543,31 @@
         }
 
         @Override
-        public void timer(long token, long at) {
+        public void setTimer(long token, long at) {
             if (now < endNanos + 2 * SECOND) {
-                at(Math.max(now + 1, at), () -> rules.timer(now, token));
+                at(Math.max(now + 1, at), () -> rules.timerFired(now, token));
             }
         }
 
         @Override
-        public void cancel(long request, int attempt) {}
+        public void cancelAttempt(long request, int attempt) {}
 
         @Override
         public void probe(long upstream) {}
 
         @Override
-        public void closeIdle(long upstream) {}
+        public void closeIdleConnections(long upstream) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
         public void log(String line) {}
 
         @Override
-        public void subscribe(boolean on) {}
+        public void setSubscription(boolean on) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpointList() {}
     }
 }
--- a/src/test/java/pondridge/store/StoreProbe.java
+++ b/src/test/java/pondridge/store/SyntheticMember.java
@@ -8,18 +8,18 @@
 import java.util.stream.IntStream;
 
 /** A member for measurements: records five attempts a second at each of its servers, and reports them. */
-public final class StoreProbe {
+public final class SyntheticMember {
     private static final long MS = 1_000_000;
     private final EventLoop loop;
     private final SharedStore store;
 
-    private StoreProbe(EventLoop loop, SharedStore store) {
+    private SyntheticMember(EventLoop loop, SharedStore store) {
         this.loop = loop;
         this.store = store;
     }
 
     /** Starts a member. Not to be called on the event loop. */
-    public static StoreProbe begin(EventLoop loop, StoreSettings settings, int servers, long seed) {
+    public static SyntheticMember start(EventLoop loop, StoreSettings settings, int servers, long seed) {
         Set<String> names =
                 IntStream.range(0, servers).mapToObj(each -> "server-" + each).collect(Collectors.toSet());
         List<String> orderedNames = List.copyOf(names);
@@ -30,7 +30,7 @@
                             0,
                             200,
                             TimeUnit.MILLISECONDS);
-                    return new StoreProbe(loop, store);
+                    return new SyntheticMember(loop, store);
                 })
                 .syncUninterruptibly()
                 .getNow();
