--- a/src/main/java/pondridge/cli/DemoCommand.java
+++ b/src/main/java/pondridge/cli/DemoCommand.java
@@ -83,10 +83,10 @@
         Path folder = Files.createTempDirectory("bankflow-demo");
         try {
             Certificates certificates = new Certificates(folder);
-            SiteTestbed.TestbedConfig shape =
+            SiteTestbed.TestbedConfig config =
                     new SiteTestbed.TestbedConfig(List.of("a", "b"), 4, 1, 5 * MS, delayMs * MS, delayMs * MS / 4, "");
             try (SiteTestbed sites = new SiteTestbed(
-                    shape,
+                    config,
                     StandinOptions.withDeadline(CLIENT_TIMEOUT_MS),
                     seed,
                     site -> securitySettings(certificates, site))) {
--- a/src/main/java/pondridge/cli/PlanCommand.java
+++ b/src/main/java/pondridge/cli/PlanCommand.java
@@ -79,32 +79,33 @@
         return losses;
     }
 
-    /** Prints a plan; returns false if requests of the classes of the highest worth are refused. */
+    /** Prints a plan; returns false if requests of the classes of the highest utility are refused. */
     private static boolean print(Topology topology, SiteLossPlan plan, PrintWriter out) {
         out.println("lost: " + String.join(" and ", plan.lostSites()));
         plan.overloadedSites()
                 .forEach(site -> out.println("  " + site + " can't do what its own clients ask; it takes nothing"));
-        double topWorth = topology.classes().stream()
+        double topUtility = topology.classes().stream()
                 .mapToDouble(TrafficClass::utility)
                 .max()
                 .orElse(0);
         boolean fits = true;
         for (String from : plan.lostSites()) {
-            for (TrafficClass kind : topology.classes()) {
-                double admitted = plan.admittedFraction(from, kind.name());
+            for (TrafficClass trafficClass : topology.classes()) {
+                double admitted = plan.admittedFraction(from, trafficClass.name());
                 List<String> parts = new ArrayList<>();
                 plan.flows().stream()
                         .filter(flow ->
-                                flow.from().equals(from) && flow.trafficClass().equals(kind.name()))
+                                flow.from().equals(from) && flow.trafficClass().equals(trafficClass.name()))
                         .forEach(flow -> parts.add(formatRate(flow.requestsPerSecond()) + " to " + flow.to()));
                 plan.refused().stream()
                         .filter(each ->
-                                each.from().equals(from) && each.trafficClass().equals(kind.name()))
+                                each.from().equals(from) && each.trafficClass().equals(trafficClass.name()))
                         .forEach(each -> parts.add(formatRate(each.requestsPerSecond()) + " refused"));
                 if (!parts.isEmpty()) {
-                    out.println("  " + from + ", " + kind.name() + ", requests a second: " + String.join(", ", parts));
+                    out.println("  " + from + ", " + trafficClass.name() + ", requests a second: "
+                            + String.join(", ", parts));
                 }
-                fits &= kind.utility() < topWorth || admitted > 1 - REFUSED_SHARE_TOLERANCE;
+                fits &= trafficClass.utility() < topUtility || admitted > 1 - REFUSED_SHARE_TOLERANCE;
             }
         }
         plan.bottlenecks().forEach(each -> out.println("  in the way: " + each));
--- a/src/main/java/pondridge/control/UpdateScheduler.java
+++ b/src/main/java/pondridge/control/UpdateScheduler.java
@@ -42,7 +42,7 @@
      *
      * @param update to send now; null for none
      * @param keepalive whether to send a keepalive message, because the watcher is waiting for its turn
-     * @param nextCheckNanos when to ask again
+     * @param nextCheckNanos when to call again
      * @param closeReason why to close the connection; null to keep it open
      */
     record Action(Update update, boolean keepalive, long nextCheckNanos, String closeReason) {
--- a/src/main/java/pondridge/demo/Drill.java
+++ b/src/main/java/pondridge/demo/Drill.java
@@ -41,7 +41,7 @@
     private static final long MS = 1_000_000;
     private static final int LOAD_TIMEOUT_MIN = 60;
     private static final long IDLE_CHECK_MS = 1_000;
-    /** Added to the plan's seed for the warm-up, so that its requests can be told from those that count. */
+    /** Added to the plan's seed for the warm-up, so that its requests can be distinguished from the measured ones. */
     private static final long WARM_UP_SEED_OFFSET = 1_000_000_007L;
     /** Behaviour of servers after a cold start, as specified by the operators. */
     private static final long RAMP_NANOS = 7_400 * MS;
--- a/src/main/java/pondridge/demo/DrillReport.java
+++ b/src/main/java/pondridge/demo/DrillReport.java
@@ -29,8 +29,8 @@
      * @param fromNanos start of the phase, from the end of the warm-up
      * @param after the steps that began the phase
      * @param requests number of requests, without retries
-     * @param servedWorth share of the requested worth that was served within the aim of its class
-     * @param servedTopWorth the same for the classes of the highest worth
+     * @param servedUtilityShare share of the requested utility that was served within the SLO of its class
+     * @param servedTopUtilityShare the same for the classes of the highest utility
      * @param rejected share of the requests whose last attempt was rejected
      * @param servedAfterRejection share of the attempts after a rejection that were served
      */
@@ -39,8 +39,8 @@
             String after,
             String site,
             int requests,
-            double servedWorth,
-            double servedTopWorth,
+            double servedUtilityShare,
+            double servedTopUtilityShare,
             double rejected,
             double servedAfterRejection) {}
 
@@ -48,9 +48,9 @@
      * Sums of one site's requests in one phase.
      *
      * @param count requests, rejected ones, last attempts after a rejection, served ones of these
-     * @param worth requested and served in time, of all classes; then of the classes of the highest worth
+     * @param utility requested and served in time, of all classes; then of the classes of the highest utility
      */
-    private record PhaseTotals(int[] count, double[] worth) {
+    private record PhaseTotals(int[] count, double[] utility) {
         PhaseTotals() {
             this(new int[4], new double[4]);
         }
@@ -90,13 +90,13 @@
             plan.sites().keySet().forEach(site -> totalsBySite.put(site, new PhaseTotals()));
             sums.put(from, totalsBySite);
         });
-        double topWorth = plan.topology().classes().stream()
+        double topUtility = plan.topology().classes().stream()
                 .mapToDouble(TrafficClass::utility)
                 .max()
                 .orElse(0);
         requests.forEach((id, attemptsOfRequest) -> {
             attemptsOfRequest.sort((one, two) -> Long.compare(one.sentAtNanos(), two.sentAtNanos()));
-            TrafficClass kind = plan.topology().classes().stream()
+            TrafficClass trafficClass = plan.topology().classes().stream()
                     .filter(each -> each.name()
                             .equals(attemptsOfRequest.get(0).requestClass().name()))
                     .findFirst()
@@ -106,34 +106,39 @@
                     .filter(each -> id.startsWith(each + '-'))
                     .findFirst()
                     .orElseThrow();
-            add(sums.get(phaseNames.floorKey(at)).get(site), attemptsOfRequest, kind, kind.utility() == topWorth);
+            add(
+                    sums.get(phaseNames.floorKey(at)).get(site),
+                    attemptsOfRequest,
+                    trafficClass,
+                    trafficClass.utility() == topUtility);
         });
         sums.forEach((from, totalsBySite) -> totalsBySite.forEach((site, sum) -> phases.add(new SitePhase(
                 from,
                 phaseNames.get(from),
                 site,
                 sum.count[0],
-                share(sum.worth[1], sum.worth[0]),
-                share(sum.worth[3], sum.worth[2]),
+                share(sum.utility[1], sum.utility[0]),
+                share(sum.utility[3], sum.utility[2]),
                 share(sum.count[1], sum.count[0]),
                 share(sum.count[3], sum.count[2])))));
     }
 
     private static void add(
-            PhaseTotals sum, List<ClientAttempt> attemptsOfRequest, TrafficClass kind, boolean topClass) {
+            PhaseTotals sum, List<ClientAttempt> attemptsOfRequest, TrafficClass trafficClass, boolean topClass) {
         ClientAttempt last = attemptsOfRequest.get(attemptsOfRequest.size() - 1);
         boolean servedInTime = last.status() == 200
-                && last.respondedAtNanos() - attemptsOfRequest.get(0).sentAtNanos() <= (long) (kind.sloSeconds() * 1e9);
+                && last.respondedAtNanos() - attemptsOfRequest.get(0).sentAtNanos()
+                        <= (long) (trafficClass.sloSeconds() * 1e9);
         sum.count[0]++;
         sum.count[1] += rejected(last) ? 1 : 0;
         boolean afterRejection =
                 attemptsOfRequest.size() > 1 && rejected(attemptsOfRequest.get(attemptsOfRequest.size() - 2));
         sum.count[2] += afterRejection ? 1 : 0;
         sum.count[3] += afterRejection && last.status() == 200 ? 1 : 0;
-        sum.worth[0] += kind.utility();
-        sum.worth[1] += servedInTime ? kind.utility() : 0;
-        sum.worth[2] += topClass ? kind.utility() : 0;
-        sum.worth[3] += topClass && servedInTime ? kind.utility() : 0;
+        sum.utility[0] += trafficClass.utility();
+        sum.utility[1] += servedInTime ? trafficClass.utility() : 0;
+        sum.utility[2] += topClass ? trafficClass.utility() : 0;
+        sum.utility[3] += topClass && servedInTime ? trafficClass.utility() : 0;
     }
 
     private static boolean rejected(ClientAttempt attempt) {
@@ -174,10 +179,10 @@
     }
 
     /**
-     * The highest share of a site's requested worth that can be served while these sites are lost, from the actual
+     * The highest share of a site's requested utility that can be served while these sites are lost, from the actual
      * capacities of the drill.
      */
-    public double bound(Set<String> lost, String site) {
+    public double maxServableUtilityShare(Set<String> lost, String site) {
         SiteLossPlan best = SiteLossPlanner.plan(
                 new Topology(
                         plan.topology().sites(),
@@ -186,14 +191,15 @@
                         0),
                 lost);
         double[] sum = new double[2];
-        Topology.Site its = plan.topology().sites().stream()
+        Topology.Site clientSite = plan.topology().sites().stream()
                 .filter(each -> each.name().equals(site))
                 .findFirst()
                 .orElseThrow();
-        plan.topology().classes().forEach(kind -> {
-            double asked = kind.utility() * its.demandPerSecond().getOrDefault(kind.name(), 0.0);
-            sum[0] += asked;
-            sum[1] += asked * (lost.contains(site) ? best.admittedFraction(site, kind.name()) : 1);
+        plan.topology().classes().forEach(trafficClass -> {
+            double requestedUtility =
+                    trafficClass.utility() * clientSite.demandPerSecond().getOrDefault(trafficClass.name(), 0.0);
+            sum[0] += requestedUtility;
+            sum[1] += requestedUtility * (lost.contains(site) ? best.admittedFraction(site, trafficClass.name()) : 1);
         });
         return share(sum[1], sum[0]);
     }
@@ -246,8 +252,8 @@
                 each.fromNanos / 1e9,
                 each.site,
                 each.requests,
-                each.servedWorth,
-                each.servedTopWorth,
+                each.servedUtilityShare,
+                each.servedTopUtilityShare,
                 each.rejected,
                 each.servedAfterRejection,
                 printedPhases.add(each.fromNanos) ? each.after : "")));
@@ -257,7 +263,7 @@
                         Locale.ROOT,
                         "were %s lost, its clients could get at most %.3f of their worth",
                         site,
-                        bound(Set.of(site), site))));
+                        maxServableUtilityShare(Set.of(site), site))));
         lines.addAll(siteViewLines);
         maxDisagreementNanos.forEach((site, nanos) -> lines.add(
                 String.format(Locale.ROOT, "gateways of %s differed for up to %d ms", site, nanos / 1_000_000)));
--- a/src/main/java/pondridge/demo/SiteTestbed.java
+++ b/src/main/java/pondridge/demo/SiteTestbed.java
@@ -184,13 +184,13 @@
 
         /** Ends a gateway as if its process were killed: its connections break and its state is lost. */
         public void killGateway(int number) {
-            endpointStatus.recordKill(clientAddresses.get(number));
+            endpointFaults.recordKill(clientAddresses.get(number));
             gateways.get(number).kill();
         }
 
         /** Records that a gateway is about to be paused, so that its clients' deadlines allow for it. */
         void recordPause(int number, long lengthNanos) {
-            endpointStatus.recordPause(clientAddresses.get(number), lengthNanos);
+            endpointFaults.recordPause(clientAddresses.get(number), lengthNanos);
         }
 
         /** Starts a new gateway in place of a killed one: other sites keep its link, clients get a new address. */
@@ -213,7 +213,7 @@
         }
     }
 
-    private final TestbedConfig shape;
+    private final TestbedConfig testbedConfig;
     private final GatewayLauncher launcher;
     private final long seed;
     private final MultiThreadIoEventLoopGroup group;
@@ -221,9 +221,9 @@
     private final EventLoop linkLoop;
     private final EventLoop clientLoop;
     private final ExecutionLedger ledger;
-    private final IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
+    private final IdempotencyKeyStore keyStore = new IdempotencyKeyStore();
     private final Map<String, Site> sites = new LinkedHashMap<>();
-    private final EndpointFaults endpointStatus = new EndpointFaults();
+    private final EndpointFaults endpointFaults = new EndpointFaults();
 
     /**
      * Builds and starts all sites.
@@ -231,20 +231,21 @@
      * @param seed for link jitter, processing times and the gateways' random choices
      * @param security returns the security settings under {@code [link]} for a site's name
      */
-    public SiteTestbed(TestbedConfig shape, BalancerOptions options, long seed, Function<String, String> security)
+    public SiteTestbed(
+            TestbedConfig testbedConfig, BalancerOptions options, long seed, Function<String, String> security)
             throws IOException {
-        this(shape, options, seed, security, site -> System::nanoTime);
+        this(testbedConfig, options, seed, security, site -> System::nanoTime);
     }
 
     /** Also takes {@code clocks}, which returns the clock of a site's gateways. */
     public SiteTestbed(
-            TestbedConfig shape,
+            TestbedConfig testbedConfig,
             BalancerOptions options,
             long seed,
             Function<String, String> security,
             Function<String, LongSupplier> clocks)
             throws IOException {
-        this(shape, options, seed, security, (name, toml, targets, gatewaySeed) -> {
+        this(testbedConfig, options, seed, security, (name, toml, targets, gatewaySeed) -> {
             SettingsFile file = SettingsFile.parse(name, toml);
             GatewaySettings settings = GatewaySettings.of(file, Path.of("."));
             file.rejectUnknownKeys();
@@ -254,13 +255,13 @@
 
     /** Also takes {@code launcher}, which starts the gateways. */
     SiteTestbed(
-            TestbedConfig shape,
+            TestbedConfig testbedConfig,
             BalancerOptions options,
             long seed,
             Function<String, String> security,
             GatewayLauncher launcher)
             throws IOException {
-        this.shape = shape;
+        this.testbedConfig = testbedConfig;
         this.launcher = launcher;
         this.seed = seed;
         this.ledger = new ExecutionLedger(500 * MS, (long) options.number("rules.stopSendingWithin", 2e9));
@@ -269,7 +270,8 @@
         this.linkLoop = group.next();
         this.clientLoop = group.next();
         try {
-            shape.sites.forEach(config -> sites.put(config.name, new Site(config, security.apply(config.name))));
+            testbedConfig.sites.forEach(
+                    config -> sites.put(config.name, new Site(config, security.apply(config.name))));
             for (Site site : sites.values()) {
                 build(site);
             }
@@ -293,9 +295,9 @@
                             site.name + "-s" + i,
                             site.name,
                             StandinServer.Protocol.HTTP1,
-                            new FaultScript(seed + i, Map.of(), shape.workNanos, 9 * shape.workNanos),
+                            new FaultScript(seed + i, Map.of(), testbedConfig.workNanos, 9 * testbedConfig.workNanos),
                             ledger,
-                            keyMemory));
+                            keyStore));
             if (site.config.threads > 0) {
                 server.setThreadPool(site.config.threads, 8 * site.config.threads);
             }
@@ -307,7 +309,8 @@
                 List<FaultyLink> links = new ArrayList<>();
                 for (int i = 0; i < site.config.gateways; i++) {
                     FaultyLink link = new FaultyLink(linkLoop, local(), local(), seed + 100 + i);
-                    link.setCondition(FaultyLink.Condition.delayed(shape.delayNanos, shape.jitterNanos));
+                    link.setCondition(
+                            FaultyLink.Condition.delayed(testbedConfig.delayNanos, testbedConfig.jitterNanos));
                     links.add(link);
                 }
                 site.links.put(other.name, links);
@@ -366,7 +369,7 @@
      */
     OpenLoopLoadGenerator loadWithRetries(String site, long seed, int retries) {
         return new OpenLoopLoadGenerator(
-                clientLoop, site(site).clientAddresses, ledger, seed, site + '-' + seed, endpointStatus, retries);
+                clientLoop, site(site).clientAddresses, ledger, seed, site + '-' + seed, endpointFaults, retries);
     }
 
     /** Waits until no gateway has an open request; returns false after the limit. */
--- a/src/main/java/pondridge/scale/RealTestbed.java
+++ b/src/main/java/pondridge/scale/RealTestbed.java
@@ -39,7 +39,7 @@
     private final MeasuredLoopGroup clientLoops = new MeasuredLoopGroup("clients", 1);
     private final EventLoop clientLoop = clientLoops.next();
     private final ExecutionLedger ledger;
-    private final IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
+    private final IdempotencyKeyStore keyStore = new IdempotencyKeyStore();
     private final List<StandinServer> servers = new ArrayList<>();
     private final List<RealSidecar> sidecars = new ArrayList<>();
     private final Thread shutdownHook = new Thread(this::killAll);
@@ -61,7 +61,7 @@
                             StandinServer.Protocol.HTTP1,
                             FaultScript.withoutFaults(WORK_NANOS),
                             ledger,
-                            keyMemory)));
+                            keyStore)));
         }
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
--- a/src/main/java/pondridge/standin/ExecutionLedger.java
+++ b/src/main/java/pondridge/standin/ExecutionLedger.java
@@ -23,7 +23,7 @@
      * @param requests requests that clients sent
      * @param served requests with status 200
      * @param refused requests with status 429 or 503
-     * @param failed requests with any other status, or whose front endpoint was killed
+     * @param failed requests with any other status, or whose client-facing endpoint was killed
      * @param unanswered requests without a final response
      * @param late requests whose response came after the client's timeout and the slack
      * @param duplicateResponses requests with more than one final response
--- a/src/main/java/pondridge/standin/FaultyLink.java
+++ b/src/main/java/pondridge/standin/FaultyLink.java
@@ -112,9 +112,9 @@
     }
 
     /** Sets the condition of a direction. */
-    public void setCondition(Direction way, Condition condition) {
+    public void setCondition(Direction direction, Condition condition) {
         loop.submit(() -> {
-                    if (way == Direction.FORWARD) {
+                    if (direction == Direction.FORWARD) {
                         forward = condition;
                     } else {
                         backward = condition;
@@ -182,7 +182,7 @@
     /** Relays one direction of one connection. */
     private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel from;
-        private final Direction way;
+        private final Direction direction;
         private final ArrayDeque<Chunk> buffered = new ArrayDeque<>();
         private Channel to;
         private int bufferedBytes;
@@ -190,9 +190,9 @@
         private boolean senderClosed;
         private boolean discarding;
 
-        Relay(Channel from, Direction way) {
+        Relay(Channel from, Direction direction) {
             this.from = from;
-            this.way = way;
+            this.direction = direction;
             relays.add(this);
             // Also removes the relay of a connection that never came up. Buffered bytes are still delivered
             // after a stall.
@@ -204,7 +204,7 @@
         }
 
         private Condition condition() {
-            return way == Direction.FORWARD ? forward : backward;
+            return direction == Direction.FORWARD ? forward : backward;
         }
 
         @Override
--- a/src/main/java/pondridge/standin/IdempotencyKeyStore.java
+++ b/src/main/java/pondridge/standin/IdempotencyKeyStore.java
@@ -11,8 +11,8 @@
     private final Map<String, Long> expiryByKey = new HashMap<>();
     private final Map<Long, ArrayDeque<Expiry>> expiriesByTtl = new HashMap<>();
 
-    /** Remembers the key; false if it is remembered already where the request arrived, which is then a repeat. */
-    public synchronized boolean rememberIfNew(StandinRequestClass requestClass, String zone, String key, long now) {
+    /** Records the key. Returns false if it is already recorded in this scope, so that the request is a repeat. */
+    public synchronized boolean recordIfNew(StandinRequestClass requestClass, String zone, String key, long now) {
         expiriesByTtl.values().forEach(expiries -> removeExpired(expiries, now));
         String scopedKey = requestClass.name() + '/' + (requestClass.keyPerZone() ? zone : "") + '/' + key;
         Long expiresAt = expiryByKey.get(scopedKey);
--- a/src/main/java/pondridge/standin/RequestHandler.java
+++ b/src/main/java/pondridge/standin/RequestHandler.java
@@ -17,7 +17,7 @@
     private final String zone;
     private final FaultScript script;
     private final ExecutionLedger ledger;
-    private final IdempotencyKeyStore keyMemory;
+    private final IdempotencyKeyStore keyStore;
     private final AtomicInteger connections = new AtomicInteger();
     private final AtomicInteger peakConnections = new AtomicInteger();
     private final AtomicInteger executions = new AtomicInteger();
@@ -25,13 +25,12 @@
     private volatile ThreadPoolModel threadPool;
     private volatile boolean declining;
 
-    RequestHandler(
-            String name, String zone, FaultScript script, ExecutionLedger ledger, IdempotencyKeyStore keyMemory) {
+    RequestHandler(String name, String zone, FaultScript script, ExecutionLedger ledger, IdempotencyKeyStore keyStore) {
         this.name = name;
         this.zone = zone;
         this.script = script;
         this.ledger = ledger;
-        this.keyMemory = keyMemory;
+        this.keyStore = keyStore;
     }
 
     /** The request that these headers describe; the id is empty if it does not come from a client. */
@@ -128,7 +127,7 @@
         }
         executions.incrementAndGet();
         boolean keyed = request.requestClass.effect() == StandinRequestClass.Effect.KEYED;
-        if (!keyed || keyMemory.rememberIfNew(request.requestClass, zone, request.key, System.nanoTime())) {
+        if (!keyed || keyStore.recordIfNew(request.requestClass, zone, request.key, System.nanoTime())) {
             ledger.requestExecuted(name, request.id, request.key);
         } else {
             ledger.repeatDropped();
--- a/src/main/java/pondridge/standin/StandinServer.java
+++ b/src/main/java/pondridge/standin/StandinServer.java
@@ -56,8 +56,8 @@
                 Protocol protocol,
                 FaultScript script,
                 ExecutionLedger ledger,
-                IdempotencyKeyStore memory) {
-            return new Setup(name, zone, protocol, 100, 65_535, script, ledger, memory);
+                IdempotencyKeyStore keyStore) {
+            return new Setup(name, zone, protocol, 100, 65_535, script, ledger, keyStore);
         }
     }
 
--- a/src/test/java/pondridge/bench/GatewayBench.java
+++ b/src/test/java/pondridge/bench/GatewayBench.java
@@ -29,7 +29,7 @@
     private static final long AFTER_CUT_MS = 9_000;
     private static final Map<String, Double> CLASS_SHARES = new LinkedHashMap<>(
             Map.of("stock-check", 0.4, "stock-hold", 0.25, "order-confirm", 0.25, "order-book", 0.1));
-    private static final Map<String, Double> WORTH =
+    private static final Map<String, Double> CLASS_UTILITIES =
             Map.of("stock-check", 1.0, "stock-hold", 3.0, "order-confirm", 10.0, "order-book", 10.0);
 
     private static SiteTestbed sites(int servers, long delay, String... names) throws Exception {
@@ -40,13 +40,13 @@
                 site -> "security = \"plain\"\n");
     }
 
-    /** The worth requested and the worth served so far. */
-    private static double[] worth(SiteTestbed sites) {
+    /** The utility requested and the utility served so far. */
+    private static double[] utilityTotals(SiteTestbed sites) {
         double[] sum = new double[2];
-        WORTH.forEach((kind, worth) -> {
-            Tally tally = sites.ledger().tally(kind);
-            sum[0] += worth * tally.requests();
-            sum[1] += worth * tally.served();
+        CLASS_UTILITIES.forEach((className, utility) -> {
+            Tally tally = sites.ledger().tally(className);
+            sum[0] += utility * tally.requests();
+            sum[1] += utility * tally.served();
         });
         return sum;
     }
@@ -55,26 +55,26 @@
         load.copy().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
-    /** Measures the share of the requested worth that is served while half of the servers of both sites are cut off. */
+    /** Measures the share of the requested utility that is served while half of the servers of both sites are cut off. */
     private static double measureCut(String variant, SiteTestbed sites, double rate, int cutServers) throws Exception {
         try (sites) {
             OpenLoopLoadGenerator load = sites.load("a", 1);
             int requests = (int) (rate * (BEFORE_CUT_MS + CUT_MS + AFTER_CUT_MS) / 1_000);
             CompletableFuture<Void> done = load.start(Fleet.plan(requests, rate, CLIENT_TIMEOUT_MS, CLASS_SHARES));
             awaitAtMost(done, BEFORE_CUT_MS);
-            double[] before = worth(sites);
+            double[] before = utilityTotals(sites);
             sites.site("a").cutServers(true, cutServers);
             awaitAtMost(done, CUT_MS);
-            double[] after = worth(sites);
+            double[] after = utilityTotals(sites);
             sites.site("a").cutServers(false, cutServers);
             long healed = System.nanoTime();
             long crossed = sites.site("a").count("crossed");
             long recovered = 0;
             while (!done.isDone()) {
                 awaitAtMost(done, 50);
-                long now = sites.site("a").count("crossed");
-                recovered = now > crossed ? System.nanoTime() - healed : recovered;
-                crossed = now;
+                long crossedNow = sites.site("a").count("crossed");
+                recovered = crossedNow > crossed ? System.nanoTime() - healed : recovered;
+                crossed = crossedNow;
             }
             Verdict verdict = sites.ledger().verdict();
             double share = (after[1] - before[1]) / (after[0] - before[0]);
--- a/src/test/java/pondridge/bench/GrpcBench.java
+++ b/src/test/java/pondridge/bench/GrpcBench.java
@@ -100,7 +100,7 @@
 
     private Result measure(Route route, int clients) throws Exception {
         ExecutionLedger ledger = new ExecutionLedger(0, 0);
-        IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
+        IdempotencyKeyStore keyStore = new IdempotencyKeyStore();
         List<StandinServer> servers = new ArrayList<>();
         EventLoop serverLoop = group.next();
         EventLoop sidecarLoop = group.next();
@@ -110,7 +110,7 @@
                     serverLoop,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                     StandinServer.Setup.of(
-                            "s" + i, "a", route.servers, FaultScript.withoutFaults(0), ledger, keyMemory)));
+                            "s" + i, "a", route.servers, FaultScript.withoutFaults(0), ledger, keyStore)));
         }
         try (GrpcFrontendFixture probe = GrpcFrontendFixture.start(
                 sidecarLoop,
--- a/src/test/java/pondridge/bench/Http2Bench.java
+++ b/src/test/java/pondridge/bench/Http2Bench.java
@@ -94,7 +94,7 @@
 
     private Result measure(String variant, Protocol protocol, int clients) throws Exception {
         ExecutionLedger ledger = new ExecutionLedger(0, 0);
-        IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
+        IdempotencyKeyStore keyStore = new IdempotencyKeyStore();
         List<StandinServer> servers = new ArrayList<>();
         EventLoop[] loops = {group.next(), group.next(), group.next()};
         Process sidecar = null;
@@ -104,7 +104,7 @@
                         loops[i % 2],
                         local(0),
                         StandinServer.Setup.of(
-                                "s" + i, "a", protocol, FaultScript.withoutFaults(0), ledger, keyMemory)));
+                                "s" + i, "a", protocol, FaultScript.withoutFaults(0), ledger, keyStore)));
             }
             List<InetSocketAddress> addresses =
                     servers.stream().map(StandinServer::address).toList();
--- a/src/test/java/pondridge/bench/RequestPathBench.java
+++ b/src/test/java/pondridge/bench/RequestPathBench.java
@@ -168,7 +168,7 @@
     private void load(int depth, int requests, int uncounted, Measurement measurement) throws Exception {
         int first = MAX_DEPTH - depth;
         double before = cpuSeconds();
-        CountDownLatch left = new CountDownLatch(requests);
+        CountDownLatch pendingResponses = new CountDownLatch(requests);
         long at = System.nanoTime();
         for (int i = 0; i < requests; i++) {
             at += (long) (-Math.log(1 - random.nextDouble()) / REQUESTS_PER_SECOND * 1e9);
@@ -184,11 +184,11 @@
                         } else if (status != 200) {
                             measurement.failed.incrementAndGet();
                         }
-                        left.countDown();
+                        pendingResponses.countDown();
                     }));
         }
-        if (!left.await(10, TimeUnit.SECONDS)) {
-            throw new IOException(left.getCount() + " requests without a response after 10 s");
+        if (!pendingResponses.await(10, TimeUnit.SECONDS)) {
+            throw new IOException(pendingResponses.getCount() + " requests without a response after 10 s");
         }
         measurement.cpuSeconds += cpuSeconds() - before;
     }
--- a/src/test/java/pondridge/bench/StoreBench.java
+++ b/src/test/java/pondridge/bench/StoreBench.java
@@ -42,13 +42,13 @@
 
     private static void peerReports() {
         for (int[] fleet : FLEETS) {
-            Result without = null;
+            Result withoutStore = null;
             for (StoreCondition store : fleet[0] > 64
                     ? new StoreCondition[] {StoreCondition.NONE, StoreCondition.GOOD, StoreCondition.POISON}
                     : StoreCondition.values()) {
                 Result result = StoreModel.simulate(
                         new Plan(fleet[0], fleet[1], store, false, false, false, VIRTUAL_SECONDS, 1));
-                without = without == null ? result : without;
+                withoutStore = withoutStore == null ? result : withoutStore;
                 System.out.printf(
                         "bench store: sidecars=%d servers=%d store=%s %s worth_to_without=%.4f "
                                 + "slow_sends_to_without=%.3f avoided_to_without=%.3f%n",
@@ -56,34 +56,34 @@
                         fleet[1],
                         store,
                         result,
-                        result.inTimeFraction() / without.inTimeFraction(),
-                        result.slowSendsPerSidecar() / without.slowSendsPerSidecar(),
-                        result.avoidanceDelayMillis() / (double) without.avoidanceDelayMillis());
+                        result.inTimeFraction() / withoutStore.inTimeFraction(),
+                        result.slowSendsPerSidecar() / withoutStore.slowSendsPerSidecar(),
+                        result.avoidanceDelayMillis() / (double) withoutStore.avoidanceDelayMillis());
             }
         }
     }
 
     private static void leases() {
         for (int[] fleet : FLEETS) {
-            for (boolean all : new boolean[] {false, true}) {
-                Result own = StoreModel.simulate(
-                        new Plan(fleet[0], fleet[1], StoreCondition.GOOD, all, false, false, VIRTUAL_SECONDS, 1));
-                Result lent = StoreModel.simulate(
-                        new Plan(fleet[0], fleet[1], StoreCondition.GOOD, all, true, false, VIRTUAL_SECONDS, 1));
+            for (boolean allCold : new boolean[] {false, true}) {
+                Result withoutLeases = StoreModel.simulate(
+                        new Plan(fleet[0], fleet[1], StoreCondition.GOOD, allCold, false, false, VIRTUAL_SECONDS, 1));
+                Result withLeases = StoreModel.simulate(
+                        new Plan(fleet[0], fleet[1], StoreCondition.GOOD, allCold, true, false, VIRTUAL_SECONDS, 1));
                 System.out.printf(
                         "bench store-leases: sidecars=%d servers=%d cold=%s worth_own=%.4f "
                                 + "worth_lent=%.4f ratio=%.4f cold_used_own=%.2f cold_used_lent=%.2f p99_own=%.0f "
                                 + "p99_lent=%.0f%n",
                         fleet[0],
                         fleet[1],
-                        all ? "all" : "two",
-                        own.inTimeFraction(),
-                        lent.inTimeFraction(),
-                        lent.inTimeFraction() / own.inTimeFraction(),
-                        own.coldLimitFraction(),
-                        lent.coldLimitFraction(),
-                        own.p99Millis(),
-                        lent.p99Millis());
+                        allCold ? "all" : "two",
+                        withoutLeases.inTimeFraction(),
+                        withLeases.inTimeFraction(),
+                        withLeases.inTimeFraction() / withoutLeases.inTimeFraction(),
+                        withoutLeases.coldLimitFraction(),
+                        withLeases.coldLimitFraction(),
+                        withoutLeases.p99Millis(),
+                        withLeases.p99Millis());
             }
         }
     }
--- a/src/test/java/pondridge/demo/DrillIT.java
+++ b/src/test/java/pondridge/demo/DrillIT.java
@@ -60,8 +60,10 @@
                 start = { at = "4s", do = "start", site = "ebene", gateway = 0 }
                 return = { at = "6s", do = "cold", site = "ebene" }
                 """);
-        assertTrue(report.phaseAfter("loss", "ebene").servedWorth() > 0.5, "served by the other sites during the loss");
-        assertTrue(report.phaseAfter("return", "ebene").servedWorth() > 0.5, "served after the loss");
+        assertTrue(
+                report.phaseAfter("loss", "ebene").servedUtilityShare() > 0.5,
+                "served by the other sites during the loss");
+        assertTrue(report.phaseAfter("return", "ebene").servedUtilityShare() > 0.5, "served after the loss");
     }
 
     /** The drill is killed while one of its gateway processes is paused: all of them must still exit. */
--- a/src/test/java/pondridge/gateway/CrossSiteTest.java
+++ b/src/test/java/pondridge/gateway/CrossSiteTest.java
@@ -124,7 +124,7 @@
     /** Each direction of a link is lost separately; confirmations then go through the other gateway. */
     @Test
     void lossOfOneDirection() throws Exception {
-        for (FaultyLink.Direction way : FaultyLink.Direction.values()) {
+        for (FaultyLink.Direction direction : FaultyLink.Direction.values()) {
             try (SiteTestbed sites = sites(2, 20 * MS, "", "a", "b")) {
                 awaitLink(sites, "a");
                 sites.site("a").publishState(UpstreamState.DRAINING);
@@ -132,7 +132,7 @@
                         sites.load("a", SEED).start(Fleet.mixedPlan(400, 200, CLIENT_TIMEOUT_MS));
                 TransportHarness.waitUntil(() -> sites.site("b").count("by_link") > 40, "requests at the other site");
                 FaultyLink.Condition link = FaultyLink.Condition.delayed(20 * MS, 5 * MS);
-                sites.site("b").links().get(0).setCondition(way, link.withDiscarding(true));
+                sites.site("b").links().get(0).setCondition(direction, link.withDiscarding(true));
                 awaitVerdict(sites, load);
                 awaitRecovery(sites, "the other gateway serves");
             }
--- a/src/test/java/pondridge/rig/Fleet.java
+++ b/src/test/java/pondridge/rig/Fleet.java
@@ -32,7 +32,7 @@
 import pondridge.standin.StandinServer.Setup;
 
 /**
- * A fleet in this process: the HTTP front end, the engine and the transport under test on one event loop,
+ * A fleet in this process: the HTTP frontend, the engine and the transport under test on one event loop,
  * stand-in servers on a second, the load on a third, and one ledger for all of it.
  */
 public final class Fleet implements AutoCloseable {
@@ -44,16 +44,16 @@
     private static final int MAX_OPEN = 4096;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
-    private final EventLoop frontLoop = group.next();
+    private final EventLoop frontendLoop = group.next();
     private final EventLoop serverLoop = group.next();
     private final EventLoop clientLoop = group.next();
     private final ExecutionLedger ledger;
-    private final IdempotencyKeyStore keyMemory = new IdempotencyKeyStore();
+    private final IdempotencyKeyStore keyStore = new IdempotencyKeyStore();
     private final Map<String, StandinServer> serversByName = new LinkedHashMap<>();
     private final Map<String, Long> startTimes = new LinkedHashMap<>();
     private final BalancerOptions options;
     private final List<Engine> engines = new ArrayList<>();
-    private final List<InetSocketAddress> frontAddresses = new ArrayList<>();
+    private final List<InetSocketAddress> frontendAddresses = new ArrayList<>();
 
     /** Creates a fleet without servers. */
     public Fleet(BalancerOptions options) {
@@ -81,7 +81,7 @@
     }
 
     public EventLoop loop() {
-        return frontLoop;
+        return frontendLoop;
     }
 
     public Engine engine() {
@@ -89,19 +89,19 @@
     }
 
     /** The address of the first front end. */
-    public InetSocketAddress frontAddress() {
-        return frontAddresses.get(0);
+    public InetSocketAddress frontendAddress() {
+        return frontendAddresses.get(0);
     }
 
     /** Adds a server that is not in the endpoint list yet. */
     public StandinServer server(String name, String zone, Protocol protocol, FaultScript script) {
-        return server(Setup.of(name, zone, protocol, script, ledger, keyMemory));
+        return server(Setup.of(name, zone, protocol, script, ledger, keyStore));
     }
 
     /** Adds a server with its own stream limit and window. */
     public StandinServer server(
             String name, String zone, Protocol protocol, long streams, int window, FaultScript script) {
-        return server(new Setup(name, zone, protocol, streams, window, script, ledger, keyMemory));
+        return server(new Setup(name, zone, protocol, streams, window, script, ledger, keyStore));
     }
 
     private StandinServer server(Setup setup) {
@@ -117,18 +117,18 @@
         return start(transportFactory, engine -> {});
     }
 
-    /** The same; {@code before} gets the engine before it starts. Each call starts one more front end. */
-    public Fleet start(BiFunction<EventLoop, BalancerOptions, Transport> transportFactory, Consumer<Engine> before)
+    /** The same; {@code beforeStart} gets the engine before it starts. Each call starts one more front end. */
+    public Fleet start(BiFunction<EventLoop, BalancerOptions, Transport> transportFactory, Consumer<Engine> beforeStart)
             throws Exception {
-        Frontend frontend = frontLoop
+        Frontend frontend = frontendLoop
                 .submit(() -> {
                     Engine engine = new Engine(
-                            frontLoop,
+                            frontendLoop,
                             options,
                             7 + engines.size(),
                             MAX_OPEN,
-                            transportFactory.apply(frontLoop, options));
-                    before.accept(engine);
+                            transportFactory.apply(frontendLoop, options));
+                    beforeStart.accept(engine);
                     engine.start(
                             new EndpointDiscovery() {
                                 @Override
@@ -144,8 +144,8 @@
                     return new Frontend(engine, options, MAX_OPEN);
                 })
                 .get();
-        frontAddresses.add((InetSocketAddress)
-                frontend.listen(frontLoop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        frontendAddresses.add((InetSocketAddress)
+                frontend.listen(frontendLoop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                         .sync()
                         .channel()
                         .localAddress());
@@ -159,7 +159,7 @@
 
     /** Publishes a server's state to the front ends and records in the ledger whether it drains. */
     public void publishState(String name, UpstreamState state) throws Exception {
-        frontLoop
+        frontendLoop
                 .submit(() -> {
                     engines.forEach(each -> each.updateEndpoints(EndpointListKind.DELTA, List.of(target(name, state))));
                     ledger.setDraining(name, state != UpstreamState.READY);
@@ -175,12 +175,12 @@
 
     /** Starts load on the front ends. */
     public CompletableFuture<Void> load(OpenLoopLoadGenerator.Plan plan, long seed, String idPrefix) {
-        return new OpenLoopLoadGenerator(clientLoop, frontAddresses, ledger, seed, idPrefix).start(plan);
+        return new OpenLoopLoadGenerator(clientLoop, frontendAddresses, ledger, seed, idPrefix).start(plan);
     }
 
     /** A load that the caller starts and evaluates. */
     public OpenLoopLoadGenerator load(long seed, String idPrefix) {
-        return new OpenLoopLoadGenerator(clientLoop, frontAddresses, ledger, seed, idPrefix);
+        return new OpenLoopLoadGenerator(clientLoop, frontendAddresses, ledger, seed, idPrefix);
     }
 
     /** Load of all classes with the same client timeout. */
@@ -209,7 +209,7 @@
     /** The verdict, after all engines have become idle. */
     public Verdict verdict() throws Exception {
         long limit = System.nanoTime() + TIMEOUT_SECONDS * 1_000 * NANOS_PER_MS;
-        while (!frontLoop
+        while (!frontendLoop
                         .submit(() -> engines.stream().allMatch(Engine::isIdle))
                         .get()
                 && System.nanoTime() < limit) {
--- a/src/test/java/pondridge/standin/ExecutionLedgerTest.java
+++ b/src/test/java/pondridge/standin/ExecutionLedgerTest.java
@@ -97,14 +97,14 @@
 
     @Test
     void keysAreRememberedPerZoneOrByAllUntilTheyExpire() {
-        IdempotencyKeyStore memory = new IdempotencyKeyStore();
-        assertTrue(memory.rememberIfNew(HOLD, "a", "k", 0));
-        assertFalse(memory.rememberIfNew(HOLD, "a", "k", HOLD.keyTtlNanos() - 1));
-        assertTrue(memory.rememberIfNew(HOLD, "b", "k", 0), "another zone does not remember the key");
-        assertTrue(memory.rememberIfNew(HOLD, "a", "k", HOLD.keyTtlNanos()));
-        assertTrue(memory.rememberIfNew(CONFIRM, "a", "k", 0), "the same key of another class");
-        assertFalse(memory.rememberIfNew(CONFIRM, "b", "k", CONFIRM.keyTtlNanos() - 1));
-        assertTrue(memory.rememberIfNew(CONFIRM, "b", "k", CONFIRM.keyTtlNanos()));
+        IdempotencyKeyStore keyStore = new IdempotencyKeyStore();
+        assertTrue(keyStore.recordIfNew(HOLD, "a", "k", 0));
+        assertFalse(keyStore.recordIfNew(HOLD, "a", "k", HOLD.keyTtlNanos() - 1));
+        assertTrue(keyStore.recordIfNew(HOLD, "b", "k", 0), "another zone does not remember the key");
+        assertTrue(keyStore.recordIfNew(HOLD, "a", "k", HOLD.keyTtlNanos()));
+        assertTrue(keyStore.recordIfNew(CONFIRM, "a", "k", 0), "the same key of another class");
+        assertFalse(keyStore.recordIfNew(CONFIRM, "b", "k", CONFIRM.keyTtlNanos() - 1));
+        assertTrue(keyStore.recordIfNew(CONFIRM, "b", "k", CONFIRM.keyTtlNanos()));
     }
 
     @Test
--- a/src/test/java/pondridge/store/PeerOutlierDetectorTest.java
+++ b/src/test/java/pondridge/store/PeerOutlierDetectorTest.java
@@ -183,16 +183,16 @@
     @Test
     void sidecarsDoNotReturnToTheStoreTogether() {
         StoreCircuitBreaker.Limits limits = new StoreCircuitBreaker.Limits(100 * MS, 2, 500 * MS, 30 * SECOND);
-        List<StoreCircuitBreaker> circuits = new ArrayList<>();
+        List<StoreCircuitBreaker> circuitBreakers = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            circuits.add(new StoreCircuitBreaker(limits, i));
+            circuitBreakers.add(new StoreCircuitBreaker(limits, i));
         }
         int[] triesByStep = new int[1_200];
         int[] returnsByStep = new int[1_200];
         for (int step = 0; step < triesByStep.length; step++) {
             long now = step * 100 * MS;
             boolean unavailable = step < 600;
-            for (StoreCircuitBreaker each : circuits) {
+            for (StoreCircuitBreaker each : circuitBreakers) {
                 if (each.allowsExchange(now) && (unavailable || each.isOpen())) {
                     triesByStep[step]++;
                     if (unavailable) {
--- a/src/test/java/pondridge/store/SharedStoreTest.java
+++ b/src/test/java/pondridge/store/SharedStoreTest.java
@@ -206,7 +206,7 @@
             }
             SharedStore[] started = new SharedStore[1];
             Set<String> reported = ConcurrentHashMap.newKeySet();
-            fleet.start((front, options) -> new Upstreams(front, options, 500), engine -> {
+            fleet.start((loop, options) -> new Upstreams(loop, options, 500), engine -> {
                 if (stopped) {
                     started[0] = SharedStoreBinding.start(
                             fleet.loop(),
@@ -442,7 +442,7 @@
                 List<SharedStore> stores = new ArrayList<>();
                 for (int i = 0; i < 3; i++) {
                     String name = "c" + i;
-                    fleet.start((front, options) -> new Upstreams(front, options, 500), engine -> {
+                    fleet.start((loop, options) -> new Upstreams(loop, options, 500), engine -> {
                         if (!name.equals("c2")) {
                             stores.add(SharedStoreBinding.start(
                                     fleet.loop(),
--- a/src/test/java/pondridge/store/StoreModel.java
+++ b/src/test/java/pondridge/store/StoreModel.java
@@ -104,8 +104,8 @@
      * @param inTimeFraction fraction of requests served within the objective
      * @param slowSendsPerSidecar attempts at slow servers, per sidecar
      * @param avoidanceDelayMillis time until the slow servers received less than a quarter of their even share
-     * @param coldLimitFraction requests that a cold server received in its first 1.5 s, relative to the number that crashes
-     *     it; the largest of all servers
+     * @param coldLimitFraction requests that a cold server received in its first 1.5 s, relative to the number that
+     *     crashes it; the largest of all servers
      * @param crashedServers cold servers that failed under too many requests
      */
     public record Result(
@@ -255,7 +255,7 @@
             startedAtNanos = now;
             cold = new ColdStart(now, RAMP_NANOS, COLD_FRACTION, WARM_REQUESTS_PER_SECOND, 4, 1_500 * MS);
             sidecars.forEach(
-                    each -> each.rules.endpointListChanged(now, EndpointListKind.DELTA, List.of(each.entry(this))));
+                    each -> each.policy.endpointListChanged(now, EndpointListKind.DELTA, List.of(each.entry(this))));
         }
 
         /** Adds a request that arrives now; returns when it finishes, or -1 if the server has crashed. */
@@ -303,7 +303,7 @@
 
     private final class Sidecar implements Actions {
         private final int number;
-        private final LoadBalancingPolicy rules;
+        private final LoadBalancingPolicy policy;
         private final LocalAttemptStats attemptStats = new LocalAttemptStats(2.5, SECOND, 1_024, 0);
         private final PeerOutlierDetector outlierDetector = new PeerOutlierDetector(REPORT_LIMITS);
         private final Map<Long, long[]> openRequests = new HashMap<>();
@@ -319,7 +319,7 @@
 
         Sidecar(int number, long seed) {
             this.number = number;
-            this.rules = new LoadBalancingPolicy(settings(1), seed, this);
+            this.policy = new LoadBalancingPolicy(settings(1), seed, this);
             this.leases = new Leases(SLOT_NANOS / MS, seed + 1);
         }
 
@@ -339,8 +339,8 @@
         }
 
         private void begin() {
-            rules.start(now);
-            rules.endpointListChanged(
+            policy.start(now);
+            policy.endpointListChanged(
                     now,
                     EndpointListKind.CACHED,
                     servers.stream().map(this::entry).toList());
@@ -362,7 +362,7 @@
                     requests++;
                     countedRequests += afterFirstThird() ? 1 : 0;
                     openRequests.put(id, new long[] {now, 0});
-                    rules.requestArrived(now, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
+                    policy.requestArrived(now, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
                 });
             }
         }
@@ -406,7 +406,7 @@
                     respond(request, true);
                 }
                 attemptStats.attemptEnded(server.name, 0, outcome == Outcome.OK, now - sentNanos, now);
-                rules.attemptEnded(
+                policy.attemptEnded(
                         now,
                         request,
                         attempt,
@@ -467,7 +467,7 @@
             Map<String, Double> suspects = outlierDetector.suspects(received, ready);
             at(
                     now + 2 * MS,
-                    () -> suspects.forEach((uid, ratio) -> rules.peerMessageReceived(
+                    () -> suspects.forEach((uid, ratio) -> policy.peerMessageReceived(
                             now,
                             0,
                             ByteBuffer.allocate(12)
@@ -516,7 +516,7 @@
                     if (grant != null) {
                         at(grant.fromNanos(), () -> {
                             if (grant.untilNanos() > now) {
-                                rules.peerMessageReceived(
+                                policy.peerMessageReceived(
                                         now,
                                         LoadBalancingPolicy.COLD_START_LEASES,
                                         ByteBuffer.allocate(16)
@@ -545,7 +545,7 @@
         @Override
         public void setTimer(long token, long at) {
             if (now < endNanos + 2 * SECOND) {
-                at(Math.max(now + 1, at), () -> rules.timerFired(now, token));
+                at(Math.max(now + 1, at), () -> policy.timerFired(now, token));
             }
         }
 
