--- a/src/main/java/pondridge/demo/Drill.java
+++ b/src/main/java/pondridge/demo/Drill.java
@@ -111,19 +111,20 @@
     }
 
     private static BalancerOptions options(DrillPlan plan) {
-        List<TrafficClass> kinds = plan.topology().classes();
-        StringBuilder more = new StringBuilder(
-                "zones=" + String.join(",", plan.sites().keySet()) + "\nprofiles.count=" + kinds.size() + '\n');
-        for (TrafficClass kind : kinds) {
-            StandinRequestClass order = StandinRequestClass.named(kind.name());
-            String path = "profiles." + kinds.indexOf(kind) + '.';
-            more.append(path)
+        List<TrafficClass> classes = plan.topology().classes();
+        StringBuilder extraOptions = new StringBuilder(
+                "zones=" + String.join(",", plan.sites().keySet()) + "\nprofiles.count=" + classes.size() + '\n');
+        for (TrafficClass trafficClass : classes) {
+            StandinRequestClass requestClass = StandinRequestClass.named(trafficClass.name());
+            String path = "profiles." + classes.indexOf(trafficClass) + '.';
+            extraOptions
+                    .append(path)
                     .append("name=")
-                    .append(kind.name())
+                    .append(trafficClass.name())
                     .append('\n')
                     .append(path)
                     .append("slo=")
-                    .append((long) (kind.sloSeconds() * 1e9))
+                    .append((long) (trafficClass.sloSeconds() * 1e9))
                     .append('\n')
                     .append(path)
                     .append("deadline=")
@@ -131,12 +132,12 @@
                     .append('\n')
                     .append(path)
                     .append("worth=")
-                    .append(kind.utility())
+                    .append(trafficClass.utility())
                     .append('\n')
                     .append(path)
                     .append("semantics=")
                     .append(
-                            switch (order.effect()) {
+                            switch (requestClass.effect()) {
                                 case SAFE -> "repeatable";
                                 case KEYED -> "by_key";
                                 case UNSAFE -> "once";
@@ -144,14 +145,14 @@
                     .append('\n')
                     .append(path)
                     .append("keyScope=")
-                    .append(order.keyPerZone() ? "zone" : "all")
+                    .append(requestClass.keyPerZone() ? "zone" : "all")
                     .append('\n')
                     .append(path)
                     .append("keyTtl=")
-                    .append(order.keyTtlNanos())
+                    .append(requestClass.keyTtlNanos())
                     .append('\n');
         }
-        return StandinOptions.withDeadline(plan.clientTimeoutNanos() / MS, more.toString());
+        return StandinOptions.withDeadline(plan.clientTimeoutNanos() / MS, extraOptions.toString());
     }
 
     private OpenLoopLoadGenerator.Plan loadPlan(Topology.Site site, double seconds, double factor) {
@@ -160,9 +161,9 @@
         double perSecond = site.demandPerSecond().values().stream()
                 .mapToDouble(rate -> rate)
                 .sum();
-        plan.topology().classes().forEach(kind -> {
-            shares.put(kind.name(), site.demandPerSecond().getOrDefault(kind.name(), 0.0) / perSecond);
-            timeouts.put(kind.name(), plan.clientTimeoutNanos());
+        plan.topology().classes().forEach(trafficClass -> {
+            shares.put(trafficClass.name(), site.demandPerSecond().getOrDefault(trafficClass.name(), 0.0) / perSecond);
+            timeouts.put(trafficClass.name(), plan.clientTimeoutNanos());
         });
         return new OpenLoopLoadGenerator.Plan(
                 (int) Math.ceil(perSecond * factor * seconds), perSecond * factor, shares, timeouts, 200);
@@ -318,7 +319,7 @@
                 .subList(0, (int) Math.ceil(fraction * site.servers().size()));
         started.forEach(server -> server.setColdStart(new ColdStart(
                 System.nanoTime(), RAMP_NANOS, COLD_SHARE, perSecond, OVERLOAD_FACTOR, OVERLOAD_WINDOW_NANOS)));
-        site.publishRestartOfFirst(started.size(), System.currentTimeMillis());
+        site.publishRestartOfFirstServers(started.size(), System.currentTimeMillis());
         site.cutServers(false, started.size());
     }
 
--- a/src/main/java/pondridge/demo/DrillPlan.java
+++ b/src/main/java/pondridge/demo/DrillPlan.java
@@ -80,11 +80,11 @@
         /** Multiplies the request rate of its clients for a time. */
         SURGE;
 
-        static Action named(String word) {
-            return valueOf(word.replace('-', '_').toUpperCase(Locale.ROOT));
+        static Action ofSetting(String value) {
+            return valueOf(value.replace('-', '_').toUpperCase(Locale.ROOT));
         }
 
-        String word() {
+        String settingValue() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
@@ -109,7 +109,7 @@
             long lengthNanos) {
         @Override
         public String toString() {
-            return action.word()
+            return action.settingValue()
                     + ' '
                     + site
                     + (other.isEmpty() ? "" : " and " + other)
@@ -211,8 +211,10 @@
 
     private static Step step(String name, Section section, Map<String, SiteServers> sites) {
         List<String> names = List.copyOf(sites.keySet());
-        Action action = Action.named(required(
-                section, "do", Arrays.stream(Action.values()).map(Action::word).toList()));
+        Action action = Action.ofSetting(required(
+                section,
+                "do",
+                Arrays.stream(Action.values()).map(Action::settingValue).toList()));
         String site = required(section, "site", names);
         String other = section.choice("other", "", names);
         int gateway = section.number("gateway", -1, -1, sites.get(site).gateways - 1);
--- a/src/main/java/pondridge/demo/SiteTestbed.java
+++ b/src/main/java/pondridge/demo/SiteTestbed.java
@@ -128,8 +128,8 @@
         }
 
         /** Like {@link #cutServers(boolean)}, for only the first servers. */
-        public void cutServers(boolean unreachable, int first) {
-            for (FaultyLink serverLink : serverLinks.subList(0, first)) {
+        public void cutServers(boolean unreachable, int count) {
+            for (FaultyLink serverLink : serverLinks.subList(0, count)) {
                 serverLink.setResetNewConnections(unreachable);
                 if (unreachable) {
                     serverLink.reset();
@@ -162,9 +162,9 @@
         }
 
         /** Publishes to the gateways that the first servers started at this Unix time in milliseconds. */
-        void publishRestartOfFirst(int first, long startedMs) {
+        void publishRestartOfFirstServers(int count, long startedMs) {
             publish(targets(UpstreamState.READY).stream()
-                    .limit(first)
+                    .limit(count)
                     .map(each ->
                             new Target(each.uid(), each.endpoint(), name, "m", 0, UpstreamState.READY, 1, startedMs))
                     .toList());
--- a/src/main/java/pondridge/scale/ScalePlan.java
+++ b/src/main/java/pondridge/scale/ScalePlan.java
@@ -161,9 +161,9 @@
 
     private static Step step(String name, Section section) {
         section.text("do", null);
-        String word = section.choice(
+        String action = section.choice(
                 "do", null, Arrays.stream(Act.values()).map(Act::configName).toList());
-        Act act = Act.valueOf(word.replace('-', '_').toUpperCase(Locale.ROOT));
+        Act act = Act.valueOf(action.replace('-', '_').toUpperCase(Locale.ROOT));
         boolean singleChange =
                 section.choice("told", "singly", List.of("singly", "folded")).equals("folded");
         Step step = new Step(
--- a/src/main/java/pondridge/standin/ColdStart.java
+++ b/src/main/java/pondridge/standin/ColdStart.java
@@ -42,13 +42,13 @@
     }
 
     /** Counts one more request; false if it crashes the server. */
-    public boolean admit(long now) {
-        arrivals.add(now);
-        while (now - arrivals.peek() >= windowNanos) {
+    public boolean admit(long nowNanos) {
+        arrivals.add(nowNanos);
+        while (nowNanos - arrivals.peek() >= windowNanos) {
             arrivals.poll();
         }
         double capacityFraction =
-                Math.min(1, initialFraction + (1 - initialFraction) * Math.max(0, now - startedAt) / rampNanos);
+                Math.min(1, initialFraction + (1 - initialFraction) * Math.max(0, nowNanos - startedAt) / rampNanos);
         return capacityFraction >= 1
                 || arrivals.size() <= overloadFactor * capacityFraction * requestsPerSecond * windowNanos / 1e9;
     }
--- a/src/main/java/pondridge/standin/DiscoveryStandin.java
+++ b/src/main/java/pondridge/standin/DiscoveryStandin.java
@@ -40,7 +40,7 @@
 
 /**
  * A stand-in for the platform's local discovery agent: it serves the full endpoint list and a watch on its
- * changes. Changes may be delayed or, while it is silent, suppressed; a new watch then gets the full list. It
+ * changes. Changes may be delayed or, while the agent is silent, suppressed; a new watch then gets the full list. It
  * can listen at several addresses, so that some clients can be cut off and others not. It counts what it
  * writes. The methods may be called on any thread but its loop.
  */
@@ -203,7 +203,7 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    /** Sets whether it is silent: it then writes nothing on open watches and does not respond to requests. */
+    /** Sets whether the agent is silent: it then writes nothing on open watches and does not respond to requests. */
     public void setSilent(boolean enabled) {
         loop.submit(() -> {
                     silent = enabled;
--- a/src/main/java/pondridge/standin/EndpointFaults.java
+++ b/src/main/java/pondridge/standin/EndpointFaults.java
@@ -30,17 +30,18 @@
 
     /** Records that an endpoint is paused from now on for this long. */
     public void recordPause(InetSocketAddress endpoint, long lengthNanos) {
-        long now = System.nanoTime();
-        pauses.computeIfAbsent(endpoint, each -> new CopyOnWriteArrayList<>()).add(new Pause(now, now + lengthNanos));
+        long nowNanos = System.nanoTime();
+        pauses.computeIfAbsent(endpoint, each -> new CopyOnWriteArrayList<>())
+                .add(new Pause(nowNanos, nowNanos + lengthNanos));
     }
 
     /** How long an endpoint was paused since then. */
     long pausedNanos(InetSocketAddress endpoint, long since) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         long pausedNanos = 0;
         for (Pause each : pauses.getOrDefault(endpoint, List.of())) {
             long from = each.from - since > 0 ? each.from : since;
-            long until = each.until - now > 0 ? now : each.until;
+            long until = each.until - nowNanos > 0 ? nowNanos : each.until;
             pausedNanos += Math.max(0, until - from);
         }
         return pausedNanos;
--- a/src/main/java/pondridge/standin/ExecutionLedger.java
+++ b/src/main/java/pondridge/standin/ExecutionLedger.java
@@ -130,8 +130,8 @@
 
     /** Records that a client is about to send a request with this timeout. */
     public synchronized void requestSent(String id, StandinRequestClass requestClass, String key, long timeoutNanos) {
-        long now = System.nanoTime();
-        if (requests.put(id, new RequestRecord(requestClass, key, now, now + timeoutNanos)) != null) {
+        long nowNanos = System.nanoTime();
+        if (requests.put(id, new RequestRecord(requestClass, key, nowNanos, nowNanos + timeoutNanos)) != null) {
             throw new IllegalArgumentException("duplicate request id: " + id);
         }
     }
--- a/src/main/java/pondridge/standin/FaultyLink.java
+++ b/src/main/java/pondridge/standin/FaultyLink.java
@@ -241,9 +241,9 @@
             if (condition().stalled) {
                 return;
             }
-            long now = System.nanoTime();
+            long nowNanos = System.nanoTime();
             boolean written = false;
-            while (!buffered.isEmpty() && buffered.peek().dueNanos - now <= 0) {
+            while (!buffered.isEmpty() && buffered.peek().dueNanos - nowNanos <= 0) {
                 Chunk chunk = buffered.poll();
                 bufferedBytes -= chunk.bytes.readableBytes();
                 to.write(chunk.bytes);
@@ -253,7 +253,7 @@
                 to.flush();
             }
             if (!buffered.isEmpty()) {
-                loop.schedule(this::deliverDue, Math.max(1, buffered.peek().dueNanos - now), TimeUnit.NANOSECONDS);
+                loop.schedule(this::deliverDue, Math.max(1, buffered.peek().dueNanos - nowNanos), TimeUnit.NANOSECONDS);
             } else if (senderClosed && !discarding) {
                 relays.remove(this);
                 to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> to.close());
--- a/src/main/java/pondridge/standin/OpenLoopLoadGenerator.java
+++ b/src/main/java/pondridge/standin/OpenLoopLoadGenerator.java
@@ -388,7 +388,7 @@
             }
         }
 
-        /** Long after the timeout: the client leaves, and the ledger records that there was no response. */
+        /** Long after the timeout: the client gives up, and the ledger records that there was no response. */
         private void giveUp() {
             if (!ended) {
                 if (endpointFaults.pausedNanos(endpoint, startedAt) > 0) {
--- a/src/main/java/pondridge/standin/ThreadPoolModel.java
+++ b/src/main/java/pondridge/standin/ThreadPoolModel.java
@@ -8,32 +8,32 @@
  */
 final class ThreadPoolModel {
     private final int queueCapacity;
-    private final PriorityQueue<Long> freeAt = new PriorityQueue<>();
-    private final PriorityQueue<Long> queuedStarts = new PriorityQueue<>();
+    private final PriorityQueue<Long> threadFreeNanos = new PriorityQueue<>();
+    private final PriorityQueue<Long> queuedStartNanos = new PriorityQueue<>();
 
     /** Creates a pool of idle threads with a queue of this capacity. */
     ThreadPoolModel(int threads, int queueCapacity) {
         this.queueCapacity = queueCapacity;
         for (int i = 0; i < threads; i++) {
-            freeAt.add(Long.MIN_VALUE);
+            threadFreeNanos.add(Long.MIN_VALUE);
         }
     }
 
     /** Whether a thread is idle or the queue has a free slot. */
-    boolean hasCapacity(long now) {
-        while (!queuedStarts.isEmpty() && queuedStarts.peek() <= now) {
-            queuedStarts.poll();
+    boolean hasCapacity(long nowNanos) {
+        while (!queuedStartNanos.isEmpty() && queuedStartNanos.peek() <= nowNanos) {
+            queuedStartNanos.poll();
         }
-        return freeAt.peek() <= now || queuedStarts.size() < queueCapacity;
+        return threadFreeNanos.peek() <= nowNanos || queuedStartNanos.size() < queueCapacity;
     }
 
     /** Accepts a request with this work time; returns the time from now until it completes. */
-    long accept(long now, long workNanos) {
-        long start = Math.max(now, freeAt.poll());
-        freeAt.add(start + workNanos);
-        if (start > now) {
-            queuedStarts.add(start);
+    long accept(long nowNanos, long workNanos) {
+        long startNanos = Math.max(nowNanos, threadFreeNanos.poll());
+        threadFreeNanos.add(startNanos + workNanos);
+        if (startNanos > nowNanos) {
+            queuedStartNanos.add(startNanos);
         }
-        return start + workNanos - now;
+        return startNanos + workNanos - nowNanos;
     }
 }
--- a/src/main/java/pondridge/store/FleetMembership.java
+++ b/src/main/java/pondridge/store/FleetMembership.java
@@ -32,21 +32,21 @@
     }
 
     /** Records how many members wrote to the store recently. */
-    void recordCount(long count, long now) {
+    void recordCount(long count, long nowNanos) {
         if (!anyCount) {
             anyCount = true;
-            firstCountNanos = now;
+            firstCountNanos = nowNanos;
         }
         // A count below a later one can no longer be the largest; the remaining ones decrease from first to last.
         while (!largestCounts.isEmpty() && largestCounts.peekLast().count <= count) {
             largestCounts.pollLast();
         }
-        largestCounts.add(new MemberCount(now, count));
-        removeExpired(now);
+        largestCounts.add(new MemberCount(nowNanos, count));
+        removeExpired(nowNanos);
     }
 
-    private void removeExpired(long now) {
-        while (!largestCounts.isEmpty() && now - largestCounts.peek().atNanos > retentionNanos) {
+    private void removeExpired(long nowNanos) {
+        while (!largestCounts.isEmpty() && nowNanos - largestCounts.peek().atNanos > retentionNanos) {
             largestCounts.poll();
         }
     }
@@ -68,14 +68,14 @@
     }
 
     /** The largest recent count, at least 1. */
-    long size(long now) {
-        removeExpired(now);
+    long size(long nowNanos) {
+        removeExpired(nowNanos);
         return largestCounts.isEmpty() ? 1 : Math.max(1, largestCounts.peek().count);
     }
 
     /** Whether counts have been received for long enough, and recently. */
-    boolean isSettled(long now) {
-        removeExpired(now);
-        return anyCount && !largestCounts.isEmpty() && now - firstCountNanos >= settleNanos;
+    boolean isSettled(long nowNanos) {
+        removeExpired(nowNanos);
+        return anyCount && !largestCounts.isEmpty() && nowNanos - firstCountNanos >= settleNanos;
     }
 }
--- a/src/main/java/pondridge/store/LocalAttemptStats.java
+++ b/src/main/java/pondridge/store/LocalAttemptStats.java
@@ -46,16 +46,16 @@
      * @param windowNanos a report covers one to two windows
      * @param maxServers servers per window; attempts at further servers are not counted
      */
-    LocalAttemptStats(double badSlowdown, long windowNanos, int maxServers, long now) {
+    LocalAttemptStats(double badSlowdown, long windowNanos, int maxServers, long nowNanos) {
         this.badSlowdown = badSlowdown;
         this.windowNanos = windowNanos;
         this.maxServers = maxServers;
-        this.windowStartNanos = now;
+        this.windowStartNanos = nowNanos;
     }
 
     /** Records the end of an attempt that was sent. */
-    void attemptEnded(String uid, int requestClass, boolean successful, long tookNanos, long now) {
-        rotateWindows(now);
+    void attemptEnded(String uid, int requestClass, boolean successful, long tookNanos, long nowNanos) {
+        rotateWindows(nowNanos);
         double[] baseline = baselines.computeIfAbsent(requestClass, each -> new double[2]);
         if (successful) {
             double capped = baseline[1] == 0 ? tookNanos : Math.min(tookNanos, 3 * baseline[0]);
@@ -73,12 +73,12 @@
         }
     }
 
-    private void rotateWindows(long now) {
-        if (now - windowStartNanos >= 2 * windowNanos) {
+    private void rotateWindows(long nowNanos) {
+        if (nowNanos - windowStartNanos >= 2 * windowNanos) {
             previousWindow = new HashMap<>();
             currentWindow = new HashMap<>();
-            windowStartNanos = now;
-        } else if (now - windowStartNanos >= windowNanos) {
+            windowStartNanos = nowNanos;
+        } else if (nowNanos - windowStartNanos >= windowNanos) {
             previousWindow = currentWindow;
             currentWindow = new HashMap<>();
             windowStartNanos += windowNanos;
@@ -86,8 +86,8 @@
     }
 
     /** Statistics of the last one to two windows: the {@code limit} servers with the most attempts. */
-    List<ServerStats> recent(int limit, long now) {
-        rotateWindows(now);
+    List<ServerStats> recent(int limit, long nowNanos) {
+        rotateWindows(nowNanos);
         Map<String, Totals> totalsByServer = new HashMap<>();
         for (Map<String, Totals> window : List.of(previousWindow, currentWindow)) {
             window.forEach((uid, totals) -> {
--- a/src/main/java/pondridge/store/RequestRateEstimate.java
+++ b/src/main/java/pondridge/store/RequestRateEstimate.java
@@ -13,15 +13,15 @@
     private boolean anyTotal;
 
     /** Records how many requests have been received in total by now. */
-    void recordTotal(long total, long now) {
-        if (anyTotal && now > lastNanos) {
-            double elapsedNanos = now - lastNanos;
+    void recordTotal(long total, long nowNanos) {
+        if (anyTotal && nowNanos > lastNanos) {
+            double elapsedNanos = nowNanos - lastNanos;
             double smoothingWeight = perSecond == 0 ? 1 : 1 - Math.exp(-elapsedNanos / SMOOTHING_NANOS);
             perSecond += smoothingWeight * ((total - lastTotal) / elapsedNanos * 1e9 - perSecond);
         }
         anyTotal = true;
         lastTotal = total;
-        lastNanos = now;
+        lastNanos = nowNanos;
     }
 
     double perSecond() {
--- a/src/main/java/pondridge/store/SharedStore.java
+++ b/src/main/java/pondridge/store/SharedStore.java
@@ -68,15 +68,15 @@
             Supplier<Set<String>> readyServers,
             Consumer<Map<String, Double>> suspectsListener,
             long seed) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         this.loop = loop;
         this.settings = settings;
         this.requestCount = requestCount;
         this.readyServers = readyServers;
         this.suspectsListener = suspectsListener;
         this.random = new Random(seed);
-        this.attemptStats =
-                new LocalAttemptStats(settings.badSlowdown(), settings.periodNanos(), 4 * settings.maxServers(), now);
+        this.attemptStats = new LocalAttemptStats(
+                settings.badSlowdown(), settings.periodNanos(), 4 * settings.maxServers(), nowNanos);
         this.outlierDetector = new PeerOutlierDetector(settings.reportLimits());
         this.circuitBreaker = new StoreCircuitBreaker(settings.circuitLimits(), random.nextLong());
         this.connection = new StoreConnection(loop, settings);
@@ -114,19 +114,19 @@
     private void tick() {
         timer = loop.schedule(
                 this::tick, (long) (settings.periodNanos() * (0.9 + 0.2 * random.nextDouble())), TimeUnit.NANOSECONDS);
-        long now = System.nanoTime();
-        if (exchangeInProgress || !circuitBreaker.allowsExchange(now)) {
+        long nowNanos = System.nanoTime();
+        if (exchangeInProgress || !circuitBreaker.allowsExchange(nowNanos)) {
             return;
         }
         exchangeInProgress = true;
-        requestRate.recordTotal(requestCount.getAsLong(), now);
+        requestRate.recordTotal(requestCount.getAsLong(), nowNanos);
         count("exchanges");
         if (storeMillis == 0) {
-            connection.send(List.of(List.of("TIME")), replies -> reportWritten(replies, List.of(), now));
+            connection.send(List.of(List.of("TIME")), replies -> reportWritten(replies, List.of(), nowNanos));
             return;
         }
-        List<PendingLease> pendingLeases = leaseRequests(now);
-        List<List<String>> commands = new ArrayList<>(reportCommands(now));
+        List<PendingLease> pendingLeases = leaseRequests(nowNanos);
+        List<List<String>> commands = new ArrayList<>(reportCommands(nowNanos));
         for (PendingLease each : pendingLeases) {
             if (each.request.amount() == 0) {
                 continue;
@@ -138,20 +138,21 @@
             commands.add(List.of(
                     "PEXPIRE", counter, Long.toString(4 * settings.leases().slotNanos() / 1_000_000)));
         }
-        connection.send(commands, replies -> reportWritten(replies, pendingLeases, now));
+        connection.send(commands, replies -> reportWritten(replies, pendingLeases, nowNanos));
     }
 
-    private List<PendingLease> leaseRequests(long now) {
+    private List<PendingLease> leaseRequests(long nowNanos) {
         List<PendingLease> pendingLeases = new ArrayList<>();
-        if (members.isSettled(now)) {
+        if (members.isSettled(nowNanos)) {
             double weight = members.trafficWeight(requestRate.perSecond());
             for (LeaseHolder each : leaseHolders) {
                 leases.requests(
                                 each.wantedBudgets(
-                                        settings.leases().slotNanos(), leases.nanosUntilNextSlot(storeMillisAt(now))),
-                                members.size(now),
+                                        settings.leases().slotNanos(),
+                                        leases.nanosUntilNextSlot(storeMillisAt(nowNanos))),
+                                members.size(nowNanos),
                                 weight,
-                                storeMillisAt(now))
+                                storeMillisAt(nowNanos))
                         .forEach(request -> pendingLeases.add(new PendingLease(request, each)));
             }
         }
@@ -161,7 +162,7 @@
     /**
      * Takes what the counters granted. A lease is passed on when its slot begins, unless it has expired by then.
      */
-    private void takeLeases(List<Object> replies, List<PendingLease> pendingLeases, long sentNanos, long now) {
+    private void takeLeases(List<Object> replies, List<PendingLease> pendingLeases, long sentNanos, long nowNanos) {
         int replyIndex = REPLIES_BEFORE_LEASES;
         for (PendingLease pending : pendingLeases) {
             Object reply = 0L;
@@ -171,7 +172,7 @@
                 replyIndex += 2;
             }
             Leases.Grant grant = reply instanceof Long counter
-                    ? leases.grantFor(pending.request, counter, storeMillis, sentNanos, now)
+                    ? leases.grantFor(pending.request, counter, storeMillis, sentNanos, nowNanos)
                     : null;
             if (grant == null) {
                 count("parts_not_told");
@@ -185,7 +186,7 @@
                             pending.holder.leaseGranted(grant.name(), grant.count(), validNanos);
                         }
                     },
-                    Math.max(0, grant.fromNanos() - now),
+                    Math.max(0, grant.fromNanos() - nowNanos),
                     TimeUnit.NANOSECONDS);
         }
     }
@@ -195,12 +196,12 @@
     }
 
     /** The estimated time of the store's clock. It is compared only with other times of that clock. */
-    private long storeMillisAt(long now) {
-        return storeMillis + (now - storeReadNanos) / 1_000_000;
+    private long storeMillisAt(long nowNanos) {
+        return storeMillis + (nowNanos - storeReadNanos) / 1_000_000;
     }
 
-    private List<List<String>> reportCommands(long now) {
-        long writtenAtMillis = storeMillisAt(now);
+    private List<List<String>> reportCommands(long nowNanos) {
+        long writtenAtMillis = storeMillisAt(nowNanos);
         String currentSlot = key("members", Long.toString(writtenAtMillis / MEMBERS_SLOT_MILLIS));
         String previousSlot = key("members", Long.toString(writtenAtMillis / MEMBERS_SLOT_MILLIS - 1));
         String sampleSize = Integer.toString(settings.reportsPerExchange());
@@ -212,7 +213,7 @@
                         new PeerReport(
                                         writtenAtMillis,
                                         requestRate.perSecond(),
-                                        attemptStats.recent(settings.maxServers(), now))
+                                        attemptStats.recent(settings.maxServers(), nowNanos))
                                 .toJson(),
                         "PX",
                         Long.toString(Math.max(1, settings.reportLimits().maxAgeMillis()))),
@@ -225,23 +226,23 @@
     }
 
     private void reportWritten(List<Object> replies, List<PendingLease> pendingLeases, long sentNanos) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         Long time = replies == null ? null : timeMillis(replies.get(0));
         if (time == null || replies.stream().anyMatch(StoreConnection.StoreError.class::isInstance)) {
-            exchangeFailed(now);
+            exchangeFailed(nowNanos);
             return;
         }
         boolean clockKnown = storeMillis != 0;
         storeMillis = time;
-        storeReadNanos = now;
+        storeReadNanos = nowNanos;
         if (!clockKnown) {
-            exchangeCompleted(now - sentNanos, now);
+            exchangeCompleted(nowNanos - sentNanos, nowNanos);
             return;
         }
         if (replies.get(4) instanceof Long current && replies.get(5) instanceof Long previous) {
-            members.recordCount(Math.max(current, previous), now);
+            members.recordCount(Math.max(current, previous), nowNanos);
         }
-        takeLeases(replies, pendingLeases, sentNanos, now);
+        takeLeases(replies, pendingLeases, sentNanos, nowNanos);
         Set<String> sampled = new HashSet<>();
         for (Object sample : List.of(replies.get(6), replies.get(7))) {
             if (sample instanceof List<?> names) {
@@ -252,13 +253,13 @@
         List<String> chosen =
                 sampled.stream().limit(settings.reportsPerExchange()).toList();
         if (chosen.isEmpty()) {
-            exchangeCompleted(now - sentNanos, now);
+            exchangeCompleted(nowNanos - sentNanos, nowNanos);
             suspectsListener.accept(Map.of());
             return;
         }
         List<String> command = new ArrayList<>(List.of("MGET"));
         chosen.forEach(each -> command.add(key("report", each)));
-        connection.send(List.of(command), reports -> reportsRead(reports, chosen, now));
+        connection.send(List.of(command), reports -> reportsRead(reports, chosen, nowNanos));
     }
 
     private static Long timeMillis(Object reply) {
@@ -274,9 +275,9 @@
     }
 
     private void reportsRead(List<Object> replies, List<String> chosen, long sentNanos) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         if (replies == null || !(replies.get(0) instanceof List<?> texts) || texts.size() != chosen.size()) {
-            exchangeFailed(now);
+            exchangeFailed(nowNanos);
             return;
         }
         List<PeerOutlierDetector.ReceivedReport> received = new ArrayList<>();
@@ -287,11 +288,11 @@
                     count("unreadable");
                 } else {
                     received.add(new PeerOutlierDetector.ReceivedReport(
-                            chosen.get(i), storeMillisAt(now) - report.writtenAtMillis(), report));
+                            chosen.get(i), storeMillisAt(nowNanos) - report.writtenAtMillis(), report));
                 }
             }
         }
-        exchangeCompleted(now - sentNanos, now);
+        exchangeCompleted(nowNanos - sentNanos, nowNanos);
         members.recordRates(
                 received.stream()
                         .filter(each -> Math.abs(each.ageMillis())
@@ -302,15 +303,15 @@
         suspectsListener.accept(outlierDetector.suspects(received, readyServers.get()));
     }
 
-    private void exchangeCompleted(long tookNanos, long now) {
+    private void exchangeCompleted(long tookNanos, long nowNanos) {
         exchangeInProgress = false;
-        circuitBreaker.recordCompletion(tookNanos, now);
+        circuitBreaker.recordCompletion(tookNanos, nowNanos);
     }
 
-    private void exchangeFailed(long now) {
+    private void exchangeFailed(long nowNanos) {
         exchangeInProgress = false;
         count("failures");
-        circuitBreaker.recordFailure(now);
+        circuitBreaker.recordFailure(nowNanos);
         storeMillis = 0;
         // An error may come from a replica or from a server that is not ready; a new connection may reach another.
         connection.reset();
--- a/src/main/java/pondridge/store/StoreCircuitBreaker.java
+++ b/src/main/java/pondridge/store/StoreCircuitBreaker.java
@@ -31,8 +31,8 @@
     }
 
     /** Whether an exchange with the store may start now. */
-    boolean allowsExchange(long now) {
-        return !open || now - openUntilNanos >= 0;
+    boolean allowsExchange(long nowNanos) {
+        return !open || nowNanos - openUntilNanos >= 0;
     }
 
     /** Whether the circuit is open: the store is considered unusable. */
@@ -41,9 +41,9 @@
     }
 
     /** Records an exchange that completed; a slow one counts as a failure. */
-    void recordCompletion(long tookNanos, long now) {
+    void recordCompletion(long tookNanos, long nowNanos) {
         if (tookNanos > limits.slowReplyNanos) {
-            recordFailure(now);
+            recordFailure(nowNanos);
             return;
         }
         consecutiveFailures = 0;
@@ -52,12 +52,12 @@
     }
 
     /** Records an exchange that failed or timed out. */
-    void recordFailure(long now) {
+    void recordFailure(long nowNanos) {
         consecutiveFailures++;
         if (open || consecutiveFailures >= limits.failureThreshold) {
             pauseNanos = Math.min(limits.maxPauseNanos, pauseNanos == 0 ? limits.firstPauseNanos : 2 * pauseNanos);
             open = true;
-            openUntilNanos = now + pauseNanos / 2 + (long) (random.nextDouble() * pauseNanos / 2);
+            openUntilNanos = nowNanos + pauseNanos / 2 + (long) (random.nextDouble() * pauseNanos / 2);
         }
     }
 }
--- a/src/test/java/pondridge/bench/GatewayBench.java
+++ b/src/test/java/pondridge/bench/GatewayBench.java
@@ -55,7 +55,7 @@
         load.copy().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
-    /** Measures the share of the requested utility that is served while half of the servers of both sites are cut off. */
+    /** Measures the share of requested utility that is served while half of the servers of both sites are cut off. */
     private static double measureCut(String variant, SiteTestbed sites, double rate, int cutServers) throws Exception {
         try (sites) {
             OpenLoopLoadGenerator load = sites.load("a", 1);
--- a/src/test/java/pondridge/cli/BankflowTest.java
+++ b/src/test/java/pondridge/cli/BankflowTest.java
@@ -124,9 +124,9 @@
                 "", errors(0, "standin", "server", "--protocol", "http2", "--listen", "127.0.0.1:0", "--for-s", "0"));
     }
 
-    /** Exit status 1 if requests of the highest-worth classes would be refused, as with two of three sites lost. */
+    /** Exit status 1 if requests of the highest-utility classes would be refused, as with two of three sites lost. */
     @Test
-    void siteLossExitStatusTellsWhetherTopClassesFit() {
+    void siteLossExitStatusShowsWhetherTopClassesFit() {
         String plan = "deploy/site-plan.toml";
         assertEquals("", errors(0, "plan", "site-loss", "--config", plan, "--lost", "ebene"));
         assertEquals("", errors(1, "plan", "site-loss", "--config", plan));
--- a/src/test/java/pondridge/rig/Fleet.java
+++ b/src/test/java/pondridge/rig/Fleet.java
@@ -32,7 +32,7 @@
 import pondridge.standin.StandinServer.Setup;
 
 /**
- * A fleet in this process: the HTTP frontend, the engine and the transport under test on one event loop,
+ * A fleet in this process: the HTTP front end, the engine and the transport under test on one event loop,
  * stand-in servers on a second, the load on a third, and one ledger for all of it.
  */
 public final class Fleet implements AutoCloseable {
@@ -66,10 +66,10 @@
      * Settings with the default request classes and two zones.
      *
      * @param deadlineMs the deadline of each class
-     * @param more additional settings lines
+     * @param extraSettings additional settings lines
      */
-    public static BalancerOptions defaultOptions(long deadlineMs, String... more) {
-        return StandinOptions.withDeadline(deadlineMs, more);
+    public static BalancerOptions defaultOptions(long deadlineMs, String... extraSettings) {
+        return StandinOptions.withDeadline(deadlineMs, extraSettings);
     }
 
     public ExecutionLedger ledger() {
--- a/src/test/java/pondridge/store/PeerOutlierDetectorTest.java
+++ b/src/test/java/pondridge/store/PeerOutlierDetectorTest.java
@@ -24,7 +24,7 @@
     private static final long SECOND = 1_000 * MS;
     private static final PeerOutlierDetector.Limits LIMITS = new PeerOutlierDetector.Limits(4_000, 6, 2, 0.25);
 
-    /** What the report of a simulated sidecar is worth. */
+    /** The reliability of a simulated sidecar's report. */
     private enum Reporter {
         HONEST,
         FINDS_ALL_SLOW,
--- a/src/test/java/pondridge/store/StoreModel.java
+++ b/src/test/java/pondridge/store/StoreModel.java
@@ -151,7 +151,7 @@
     private final long[] slowSendsByBucket = new long[100];
     private double coldUsed;
     private final double requestsPerSidecar;
-    private long now = SECOND;
+    private long nowNanos = SECOND;
     private long sequence;
     private long requests;
     private long responses;
@@ -165,7 +165,7 @@
         this.plan = plan;
         this.random = new Random(plan.seed);
         this.store = plan.store;
-        this.endNanos = now + plan.seconds * SECOND;
+        this.endNanos = nowNanos + plan.seconds * SECOND;
         this.requestsPerSidecar = LOAD_FRACTION * plan.servers * WARM_REQUESTS_PER_SECOND / plan.sidecars;
         for (int i = 0; i < plan.servers; i++) {
             servers.add(new Server("s" + i));
@@ -185,7 +185,7 @@
     }
 
     private boolean afterFirstThird() {
-        return now - SECOND > (endNanos - SECOND) / 3;
+        return nowNanos - SECOND > (endNanos - SECOND) / 3;
     }
 
     private Result run() {
@@ -196,16 +196,17 @@
             servers.subList(plan.allCold ? 0 : servers.size() - 2, servers.size())
                     .forEach(Server::restart);
             if (plan.paused) {
-                at(now + 2 * SECOND, () -> sidecars.get(0).pausedUntilNanos = now + 10 * SECOND);
+                at(nowNanos + 2 * SECOND, () -> sidecars.get(0).pausedUntilNanos = nowNanos + 10 * SECOND);
             }
         });
         while (!events.isEmpty()) {
             Event event = events.poll();
-            now = event.at;
+            nowNanos = event.at;
             event.action.run();
         }
-        int bytes =
-                new PeerReport(now, 1, sidecars.get(0).reportedStats).toJson().length();
+        int bytes = new PeerReport(nowNanos, 1, sidecars.get(0).reportedStats)
+                .toJson()
+                .length();
         return new Result(
                 requests,
                 responses,
@@ -252,31 +253,31 @@
         }
 
         private void restart() {
-            startedAtNanos = now;
-            cold = new ColdStart(now, RAMP_NANOS, COLD_FRACTION, WARM_REQUESTS_PER_SECOND, 4, 1_500 * MS);
-            sidecars.forEach(
-                    each -> each.policy.endpointListChanged(now, EndpointListKind.DELTA, List.of(each.entry(this))));
+            startedAtNanos = nowNanos;
+            cold = new ColdStart(nowNanos, RAMP_NANOS, COLD_FRACTION, WARM_REQUESTS_PER_SECOND, 4, 1_500 * MS);
+            sidecars.forEach(each ->
+                    each.policy.endpointListChanged(nowNanos, EndpointListKind.DELTA, List.of(each.entry(this))));
         }
 
         /** Adds a request that arrives now; returns when it finishes, or -1 if the server has crashed. */
         private long enqueue() {
-            if (cold != null && !crashed && !cold.admit(now)) {
+            if (cold != null && !crashed && !cold.admit(nowNanos)) {
                 crashed = true;
                 crashedServers++;
             }
             if (crashed) {
                 return -1;
             }
-            arrivals += cold != null && now - startedAtNanos < 1_500 * MS ? 1 : 0;
+            arrivals += cold != null && nowNanos - startedAtNanos < 1_500 * MS ? 1 : 0;
             // Relative to the requests that crash it in its first 1.5 s.
             coldUsed = Math.max(coldUsed, arrivals / (4 * COLD_FRACTION * WARM_REQUESTS_PER_SECOND * 1.5));
             double warmth = Math.min(
                     1,
                     COLD_FRACTION
                             + (1 - COLD_FRACTION)
-                                    * (startedAtNanos == 0 ? 1 : (now - startedAtNanos) / (double) RAMP_NANOS));
+                                    * (startedAtNanos == 0 ? 1 : (nowNanos - startedAtNanos) / (double) RAMP_NANOS));
             long work = (long) ((slow ? SLOW_WORK_NANOS : WORK_NANOS) * (0.5 + random.nextDouble()) / warmth);
-            long begins = Math.max(now, threadFreeTimes.poll());
+            long begins = Math.max(nowNanos, threadFreeTimes.poll());
             threadFreeTimes.add(begins + work);
             return begins + work;
         }
@@ -326,7 +327,7 @@
         /** Schedules an action of this sidecar, which is deferred while the sidecar is paused. */
         private void at(long time, Runnable action) {
             StoreModel.this.at(time, () -> {
-                if (now < pausedUntilNanos) {
+                if (nowNanos < pausedUntilNanos) {
                     at(pausedUntilNanos, action);
                 } else {
                     action.run();
@@ -339,30 +340,30 @@
         }
 
         private void begin() {
-            policy.start(now);
+            policy.start(nowNanos);
             policy.endpointListChanged(
-                    now,
+                    nowNanos,
                     EndpointListKind.CACHED,
                     servers.stream().map(this::entry).toList());
             scheduleNextRequest();
-            at(now + (long) (random.nextDouble() * SECOND), this::exchangeReports);
+            at(nowNanos + (long) (random.nextDouble() * SECOND), this::exchangeReports);
         }
 
         private void scheduleNextRequest() {
-            double loadFactor = now - SECOND > (endNanos - SECOND) / 2 ? LOAD_INCREASE : 1;
+            double loadFactor = nowNanos - SECOND > (endNanos - SECOND) / 2 ? LOAD_INCREASE : 1;
             long gap = (long) (-Math.log(1 - random.nextDouble()) / requestsPerSidecar / loadFactor * 1e9);
-            if (now + gap < endNanos) {
-                StoreModel.this.at(now + gap, () -> {
+            if (nowNanos + gap < endNanos) {
+                StoreModel.this.at(nowNanos + gap, () -> {
                     scheduleNextRequest();
-                    if (now < pausedUntilNanos) {
+                    if (nowNanos < pausedUntilNanos) {
                         // The client gives up before the sidecar resumes.
                         return;
                     }
                     long id = ++lastId;
                     requests++;
                     countedRequests += afterFirstThird() ? 1 : 0;
-                    openRequests.put(id, new long[] {now, 0});
-                    policy.requestArrived(now, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
+                    openRequests.put(id, new long[] {nowNanos, 0});
+                    policy.requestArrived(nowNanos, new Request(id, 0, 0, 0, DEADLINE_NANOS, 0, false, false));
                 });
             }
         }
@@ -375,9 +376,9 @@
             }
             responses++;
             if (afterFirstThird() && startAndAttempts[0] - SECOND > (endNanos - SECOND) / 3) {
-                inTime += served && now - startAndAttempts[0] <= SLO_NANOS ? 1 : 0;
+                inTime += served && nowNanos - startAndAttempts[0] <= SLO_NANOS ? 1 : 0;
                 if (served) {
-                    responseTimesMillis.recordValue(Math.min(60_000, (now - startAndAttempts[0]) / MS));
+                    responseTimesMillis.recordValue(Math.min(60_000, (nowNanos - startAndAttempts[0]) / MS));
                 }
             }
         }
@@ -387,32 +388,32 @@
             Server server = servers.get((int) upstream);
             long[] startAndAttempts = openRequests.get(request);
             int attempt = (int) startAndAttempts[1]++;
-            long sentNanos = now;
+            long sentNanos = nowNanos;
             if (server.slow) {
                 slowSends++;
                 slowSendsByBucket[
                         (int) Math.min(
                                 slowSendsByBucket.length - 1,
-                                (now - SECOND - (endNanos - SECOND) / 3) / BUCKET_NANOS)]++;
+                                (nowNanos - SECOND - (endNanos - SECOND) / 3) / BUCKET_NANOS)]++;
             }
             long finishNanos = server.enqueue();
             long deadlineNanos = startAndAttempts[0] + DEADLINE_NANOS;
             Outcome outcome = finishNanos < 0
                     ? Outcome.CONNECT_FAILED
                     : finishNanos <= deadlineNanos ? Outcome.OK : Outcome.TIMEOUT;
-            at(finishNanos < 0 ? now + MS : Math.min(finishNanos, deadlineNanos), () -> {
+            at(finishNanos < 0 ? nowNanos + MS : Math.min(finishNanos, deadlineNanos), () -> {
                 boolean ended = finished.contains(request);
                 if (outcome == Outcome.OK && !ended) {
                     respond(request, true);
                 }
-                attemptStats.attemptEnded(server.name, 0, outcome == Outcome.OK, now - sentNanos, now);
+                attemptStats.attemptEnded(server.name, 0, outcome == Outcome.OK, nowNanos - sentNanos, nowNanos);
                 policy.attemptEnded(
-                        now,
+                        nowNanos,
                         request,
                         attempt,
                         upstream,
                         outcome,
-                        now - sentNanos,
+                        nowNanos - sentNanos,
                         finished.contains(request),
                         new float[0]);
             });
@@ -420,18 +421,18 @@
 
         /** One period: writes a report, reads some others, and passes the suspects to the decision module. */
         private void exchangeReports() {
-            if (now < endNanos) {
-                at(now + (long) ((0.9 + 0.2 * random.nextDouble()) * SECOND), this::exchangeReports);
+            if (nowNanos < endNanos) {
+                at(nowNanos + (long) ((0.9 + 0.2 * random.nextDouble()) * SECOND), this::exchangeReports);
             }
-            reportedStats = attemptStats.recent(256, now);
+            reportedStats = attemptStats.recent(256, nowNanos);
             boolean storeUnavailable = store == StoreCondition.NONE
                     || afterFirstThird()
                             && (store == StoreCondition.AWAY || store == StoreCondition.HALF_SEE_IT && number % 2 == 0);
             if (storeUnavailable) {
                 return;
             }
-            writtenAtNanos = now;
-            requestRate.recordTotal(lastId, now);
+            writtenAtNanos = nowNanos;
+            requestRate.recordTotal(lastId, nowNanos);
             requestsPerSecond = requestRate.perSecond();
             if (plan.leases) {
                 requestLeases();
@@ -441,7 +442,7 @@
                 Sidecar other = sidecars.get(random.nextInt(sidecars.size()));
                 if (other != this && other.writtenAtNanos > 0) {
                     PeerReport report = new PeerReport(0, other.requestsPerSecond, other.reportedStats);
-                    long ageMillis = (now - other.writtenAtNanos) / MS;
+                    long ageMillis = (nowNanos - other.writtenAtNanos) / MS;
                     if (afterFirstThird() && store == StoreCondition.POISON) {
                         report = new PeerReport(
                                 0,
@@ -466,9 +467,9 @@
             servers.forEach(each -> ready.add(each.name));
             Map<String, Double> suspects = outlierDetector.suspects(received, ready);
             at(
-                    now + 2 * MS,
+                    nowNanos + 2 * MS,
                     () -> suspects.forEach((uid, ratio) -> policy.peerMessageReceived(
-                            now,
+                            nowNanos,
                             0,
                             ByteBuffer.allocate(12)
                                     .putLong(Long.parseLong(uid.substring(1)))
@@ -479,51 +480,54 @@
         /** Requests leases of the next slot; the reply takes 2 ms, or until the sidecar resumes. */
         private void requestLeases() {
             long activeMembers = sidecars.stream()
-                    .filter(each -> each.writtenAtNanos > now - 20 * SECOND && each.writtenAtNanos > 0)
+                    .filter(each -> each.writtenAtNanos > nowNanos - 20 * SECOND && each.writtenAtNanos > 0)
                     .count();
             boolean keysLost = afterFirstThird() && store == StoreCondition.LOSES_KEYS;
-            members.recordCount(keysLost ? 1 : activeMembers, now);
+            members.recordCount(keysLost ? 1 : activeMembers, nowNanos);
             long clockErrorMillis =
-                    afterFirstThird() && store == StoreCondition.CLOCK_JUMPS && now / (2 * SECOND) % 2 == 0
+                    afterFirstThird() && store == StoreCondition.CLOCK_JUMPS && nowNanos / (2 * SECOND) % 2 == 0
                             ? 3_600_000
                             : 0;
-            long storeMillis = now / MS + clockErrorMillis;
+            long storeMillis = nowNanos / MS + clockErrorMillis;
             List<LeaseHolder.Budget> wanted = new ArrayList<>();
             for (Server each : servers) {
-                if (each.startedAtNanos > 0 && now - each.startedAtNanos < RAMP_NANOS) {
+                if (each.startedAtNanos > 0 && nowNanos - each.startedAtNanos < RAMP_NANOS) {
                     wanted.add(new LeaseHolder.Budget(
                             "cold:" + each.name,
                             ColdStartBudgets.capacity(
                                     settings(1).safetyLimits(),
                                     LEASED_FRACTION * WARM_REQUESTS_PER_SECOND,
-                                    now - each.startedAtNanos + leases.nanosUntilNextSlot(storeMillis) + SLOT_NANOS / 2,
+                                    nowNanos
+                                            - each.startedAtNanos
+                                            + leases.nanosUntilNextSlot(storeMillis)
+                                            + SLOT_NANOS / 2,
                                     SLOT_NANOS)));
                 }
             }
-            if (!members.isSettled(now)) {
+            if (!members.isSettled(nowNanos)) {
                 return;
             }
-            long sentNanos = now;
-            for (Leases.LeaseRequest request :
-                    leases.requests(wanted, members.size(now), members.trafficWeight(requestsPerSecond), storeMillis)) {
+            long sentNanos = nowNanos;
+            for (Leases.LeaseRequest request : leases.requests(
+                    wanted, members.size(nowNanos), members.trafficWeight(requestsPerSecond), storeMillis)) {
                 String key = request.name() + request.slot();
                 if (keysLost || afterFirstThird() && store == StoreCondition.LAGS && random.nextInt(10) == 0) {
                     counters.remove(key);
                 }
                 long counter = counters.merge(key, request.amount(), Long::sum);
-                at(now + 2 * MS, () -> {
-                    Leases.Grant grant = leases.grantFor(request, counter, storeMillis, sentNanos, now);
+                at(nowNanos + 2 * MS, () -> {
+                    Leases.Grant grant = leases.grantFor(request, counter, storeMillis, sentNanos, nowNanos);
                     if (grant != null) {
                         at(grant.fromNanos(), () -> {
-                            if (grant.untilNanos() > now) {
+                            if (grant.untilNanos() > nowNanos) {
                                 policy.peerMessageReceived(
-                                        now,
+                                        nowNanos,
                                         LoadBalancingPolicy.COLD_START_LEASES,
                                         ByteBuffer.allocate(16)
                                                 .putLong(Long.parseLong(
                                                         request.name().substring(6)))
                                                 .putFloat(grant.count())
-                                                .putInt((int) ((grant.untilNanos() - now) / MS))
+                                                .putInt((int) ((grant.untilNanos() - nowNanos) / MS))
                                                 .array());
                             }
                         });
@@ -544,8 +548,8 @@
 
         @Override
         public void setTimer(long token, long at) {
-            if (now < endNanos + 2 * SECOND) {
-                at(Math.max(now + 1, at), () -> policy.timerFired(now, token));
+            if (nowNanos < endNanos + 2 * SECOND) {
+                at(Math.max(nowNanos + 1, at), () -> policy.timerFired(nowNanos, token));
             }
         }
 
