--- a/src/main/java/pondridge/demo/Drill.java
+++ b/src/main/java/pondridge/demo/Drill.java
@@ -199,11 +199,13 @@
     }
 
     private static void sleepUntil(long timeNanos) throws InterruptedException {
-        for (long left = timeNanos - System.nanoTime(); left > 0; left = timeNanos - System.nanoTime()) {
+        for (long remainingNanos = timeNanos - System.nanoTime();
+                remainingNanos > 0;
+                remainingNanos = timeNanos - System.nanoTime()) {
             if (Thread.interrupted()) {
                 throw new InterruptedException();
             }
-            LockSupport.parkNanos(left);
+            LockSupport.parkNanos(remainingNanos);
         }
     }
 
--- a/src/main/java/pondridge/scale/ControlListDistribution.java
+++ b/src/main/java/pondridge/scale/ControlListDistribution.java
@@ -260,7 +260,7 @@
         ControlClient client = new ControlClient(
                 followerLoop,
                 followerSettings,
-                (now, kind, targets, others) -> listener.accept(kind, targets),
+                (version, kind, targets, changedSettings) -> listener.accept(kind, targets),
                 FAILURE_EVENTS,
                 new Traffic());
         return new Subscription() {
--- a/src/main/java/pondridge/standin/ColdStart.java
+++ b/src/main/java/pondridge/standin/ColdStart.java
@@ -8,7 +8,7 @@
  * are in nanoseconds.
  */
 public final class ColdStart {
-    private final long startedAt;
+    private final long startedAtNanos;
     private final long rampNanos;
     private final double initialFraction;
     private final double requestsPerSecond;
@@ -19,7 +19,7 @@
     /**
      * Creates the model of a server that starts cold.
      *
-     * @param startedAt when the server started
+     * @param startedAtNanos when the server started
      * @param rampNanos how long it takes to warm up; its capacity rises linearly
      * @param initialFraction the fraction of its full capacity at the start
      * @param requestsPerSecond its full capacity
@@ -27,13 +27,13 @@
      * @param windowNanos the window over which requests are counted
      */
     public ColdStart(
-            long startedAt,
+            long startedAtNanos,
             long rampNanos,
             double initialFraction,
             double requestsPerSecond,
             double overloadFactor,
             long windowNanos) {
-        this.startedAt = startedAt;
+        this.startedAtNanos = startedAtNanos;
         this.rampNanos = rampNanos;
         this.initialFraction = initialFraction;
         this.requestsPerSecond = requestsPerSecond;
@@ -47,8 +47,8 @@
         while (nowNanos - arrivals.peek() >= windowNanos) {
             arrivals.poll();
         }
-        double capacityFraction =
-                Math.min(1, initialFraction + (1 - initialFraction) * Math.max(0, nowNanos - startedAt) / rampNanos);
+        double capacityFraction = Math.min(
+                1, initialFraction + (1 - initialFraction) * Math.max(0, nowNanos - startedAtNanos) / rampNanos);
         return capacityFraction >= 1
                 || arrivals.size() <= overloadFactor * capacityFraction * requestsPerSecond * windowNanos / 1e9;
     }
--- a/src/main/java/pondridge/standin/EndpointFaults.java
+++ b/src/main/java/pondridge/standin/EndpointFaults.java
@@ -13,7 +13,7 @@
  * respond. Thread-safe.
  */
 public final class EndpointFaults {
-    private record Pause(long from, long until) {}
+    private record Pause(long fromNanos, long untilNanos) {}
 
     private final Set<InetSocketAddress> killed = ConcurrentHashMap.newKeySet();
     private final Map<InetSocketAddress, List<Pause>> pauses = new ConcurrentHashMap<>();
@@ -36,13 +36,13 @@
     }
 
     /** How long an endpoint was paused since then. */
-    long pausedNanos(InetSocketAddress endpoint, long since) {
+    long pausedNanos(InetSocketAddress endpoint, long sinceNanos) {
         long nowNanos = System.nanoTime();
         long pausedNanos = 0;
         for (Pause each : pauses.getOrDefault(endpoint, List.of())) {
-            long from = each.from - since > 0 ? each.from : since;
-            long until = each.until - nowNanos > 0 ? nowNanos : each.until;
-            pausedNanos += Math.max(0, until - from);
+            long fromNanos = each.fromNanos - sinceNanos > 0 ? each.fromNanos : sinceNanos;
+            long untilNanos = each.untilNanos - nowNanos > 0 ? nowNanos : each.untilNanos;
+            pausedNanos += Math.max(0, untilNanos - fromNanos);
         }
         return pausedNanos;
     }
--- a/src/main/java/pondridge/standin/OpenLoopLoadGenerator.java
+++ b/src/main/java/pondridge/standin/OpenLoopLoadGenerator.java
@@ -179,9 +179,9 @@
         return requestClass;
     }
 
-    private void send(int number, StandinRequestClass requestClass, long intendedAt) {
+    private void send(int number, StandinRequestClass requestClass, long intendedSendNanos) {
         long timeoutNanos = plan.timeoutNanosByClass.get(requestClass.name());
-        new Attempt(idPrefix + "-" + number, 0, requestClass, timeoutNanos, intendedAt, number).start();
+        new Attempt(idPrefix + "-" + number, 0, requestClass, timeoutNanos, intendedSendNanos, number).start();
     }
 
     /**
@@ -213,8 +213,8 @@
         private final StandinRequestClass requestClass;
         private final String key;
         private final long timeoutNanos;
-        private final long intendedAt;
-        private final long startedAt = System.nanoTime();
+        private final long intendedSendNanos;
+        private final long startedAtNanos = System.nanoTime();
         private int endpointIndex;
         private InetSocketAddress endpoint;
         private Future<?> giveUpTimer;
@@ -228,7 +228,7 @@
                 int retryNumber,
                 StandinRequestClass requestClass,
                 long timeoutNanos,
-                long intendedAt,
+                long intendedSendNanos,
                 int endpointIndex) {
             this.requestId = requestId;
             this.retryNumber = retryNumber;
@@ -236,7 +236,7 @@
             this.requestClass = requestClass;
             this.key = requestClass.effect() == StandinRequestClass.Effect.KEYED ? "k-" + requestId : "";
             this.timeoutNanos = timeoutNanos;
-            this.intendedAt = intendedAt;
+            this.intendedSendNanos = intendedSendNanos;
             this.endpointIndex = endpointIndex;
         }
 
@@ -250,7 +250,7 @@
 
         /** Schedules a retry if the client's timeout leaves time for it; false if not. */
         private boolean retry(long delayNanos) {
-            long remainingNanos = timeoutNanos - (System.nanoTime() - startedAt) - delayNanos;
+            long remainingNanos = timeoutNanos - (System.nanoTime() - startedAtNanos) - delayNanos;
             if (remainingNanos < MIN_RETRY_TIMEOUT_NANOS) {
                 return false;
             }
@@ -259,17 +259,17 @@
                     retryNumber + 1,
                     requestClass,
                     remainingNanos,
-                    intendedAt,
+                    intendedSendNanos,
                     nextEndpoint(endpointIndex % endpoints.size(), false));
             loop.schedule(next::start, delayNanos, TimeUnit.NANOSECONDS);
             return true;
         }
 
         void send(boolean mayReuse) {
-            ArrayDeque<Channel> idleHere = idle.computeIfAbsent(endpoint, each -> new ArrayDeque<>());
-            Channel reused = mayReuse ? idleHere.pollLast() : null;
+            ArrayDeque<Channel> idleChannels = idle.computeIfAbsent(endpoint, each -> new ArrayDeque<>());
+            Channel reused = mayReuse ? idleChannels.pollLast() : null;
             while (reused != null && !reused.isActive()) {
-                reused = idleHere.pollLast();
+                reused = idleChannels.pollLast();
             }
             if (reused != null) {
                 connectionReused = true;
@@ -332,12 +332,12 @@
             String body = response.content().toString(StandardCharsets.US_ASCII).trim();
             // A keyed request may get the response to an earlier attempt of the same request.
             boolean sameRequest = body.equals(requestId) || body.startsWith(requestId + '~');
-            ledger.requestPaused(id, endpointFaults.pausedNanos(endpoint, startedAt));
+            ledger.requestPaused(id, endpointFaults.pausedNanos(endpoint, startedAtNanos));
             ledger.responseReceived(id, response.status().code(), sameRequest ? id : body);
             if (response.status().code() == 200) {
                 latencies
                         .computeIfAbsent(requestClass.name(), each -> new Histogram(60_000_000_000L, 3))
-                        .recordValue(Math.max(0, System.nanoTime() - intendedAt));
+                        .recordValue(Math.max(0, System.nanoTime() - intendedSendNanos));
             }
             ended = true;
             giveUpTimer.cancel(false);
@@ -391,7 +391,7 @@
         /** Long after the timeout: the client gives up, and the ledger records that there was no response. */
         private void giveUp() {
             if (!ended) {
-                if (endpointFaults.pausedNanos(endpoint, startedAt) > 0) {
+                if (endpointFaults.pausedNanos(endpoint, startedAtNanos) > 0) {
                     ledger.requestOrphaned(id);
                 }
                 failed("waited in vain");
--- a/src/main/java/pondridge/standin/redis/Commands.java
+++ b/src/main/java/pondridge/standin/redis/Commands.java
@@ -27,7 +27,7 @@
 
     /** The implementation of a command. */
     private interface Implementation {
-        Reply run(Session session, Keyspace keys, List<String> args, long now);
+        Reply run(Session session, Keyspace keys, List<String> args, long nowMillis);
     }
 
     /**
@@ -113,7 +113,7 @@
     }
 
     /** Executes a request. */
-    Reply run(Session session, List<String> request, long now) {
+    Reply run(Session session, List<String> request, long nowMillis) {
         String name = request.get(0).toLowerCase(Locale.ROOT);
         Command command = commands.get(name);
         executedRequests++;
@@ -134,7 +134,7 @@
             session.queuedRequests.add(request);
             return new Reply.SimpleString("QUEUED");
         }
-        return execute(session, command, request, now);
+        return execute(session, command, request, nowMillis);
     }
 
     private static String truncate(String text) {
@@ -146,7 +146,7 @@
         return new Reply.SimpleError(text);
     }
 
-    private Reply execute(Session session, Command command, List<String> request, long now) {
+    private Reply execute(Session session, Command command, List<String> request, long nowMillis) {
         Keyspace keys = databases.get(session.database);
         if (command.writes && readOnly) {
             return new Reply.SimpleError("READONLY You can't write against a read only replica.");
@@ -158,7 +158,7 @@
             return new Reply.SimpleError("OOM command not allowed when used memory > 'maxmemory'.");
         }
         try {
-            Reply reply = command.implementation.run(session, keys, request, now);
+            Reply reply = command.implementation.run(session, keys, request, nowMillis);
             if (command.writes) {
                 for (String key : name.equals("mset")
                         ? request.subList(1, request.size())
@@ -259,13 +259,13 @@
         addWithoutAuth(
                 "auth",
                 -2,
-                (session, keys, args, now) ->
+                (session, keys, args, nowMillis) ->
                         authenticate(session, args.size() > 2 ? args.get(1) : "default", args.get(args.size() - 1)));
-        addWithoutAuth("quit", -1, (session, keys, args, now) -> {
+        addWithoutAuth("quit", -1, (session, keys, args, nowMillis) -> {
             session.closing = true;
             return Reply.OK;
         });
-        addWithoutAuth("reset", 1, (session, keys, args, now) -> {
+        addWithoutAuth("reset", 1, (session, keys, args, nowMillis) -> {
             disconnected(session);
             session.endTransaction();
             session.resp3 = false;
@@ -274,14 +274,14 @@
             return new Reply.SimpleString("RESET");
         });
         addWithoutAuth("hello", -1, this::hello);
-        add("ping", -1, (session, keys, args, now) -> {
+        add("ping", -1, (session, keys, args, nowMillis) -> {
             if (!session.resp3 && !session.subscribedChannels.isEmpty()) {
                 return Reply.bulkArray(List.of("pong", args.size() > 1 ? args.get(1) : ""));
             }
             return args.size() > 1 ? new Reply.BulkString(args.get(1)) : new Reply.SimpleString("PONG");
         });
-        add("echo", 2, (session, keys, args, now) -> new Reply.BulkString(args.get(1)));
-        add("select", 2, (session, keys, args, now) -> {
+        add("echo", 2, (session, keys, args, nowMillis) -> new Reply.BulkString(args.get(1)));
+        add("select", 2, (session, keys, args, nowMillis) -> {
             long number = parseInteger(args.get(1));
             if (number < 0 || number >= DATABASE_COUNT) {
                 throw new ErrorReplyException("ERR DB index is out of range");
@@ -289,7 +289,8 @@
             session.database = (int) number;
             return Reply.OK;
         });
-        add("client", -2, (session, keys, args, now) -> switch (args.get(1).toLowerCase(Locale.ROOT)) {
+        add("client", -2, (session, keys, args, nowMillis) -> switch (args.get(1)
+                .toLowerCase(Locale.ROOT)) {
             case "setname" -> {
                 session.name = args.size() > 2 ? args.get(2) : "";
                 yield Reply.OK;
@@ -303,22 +304,23 @@
         add(
                 "command",
                 -1,
-                (session, keys, args, now) -> args.size() > 1 && args.get(1).equalsIgnoreCase("count")
-                        ? integer(commands.size())
-                        : Reply.EMPTY_ARRAY);
+                (session, keys, args, nowMillis) ->
+                        args.size() > 1 && args.get(1).equalsIgnoreCase("count")
+                                ? integer(commands.size())
+                                : Reply.EMPTY_ARRAY);
         add(
                 "info",
                 -1,
-                (session, keys, args, now) -> new Reply.BulkString("# Server\r\nredis_version:7.4.0\r\n"
+                (session, keys, args, nowMillis) -> new Reply.BulkString("# Server\r\nredis_version:7.4.0\r\n"
                         + "redis_mode:standalone\r\n# Replication\r\nrole:" + (readOnly ? "slave" : "master")
                         + "\r\n# Memory\r\nused_memory:" + keys.usedBytes() + "\r\nevicted_keys:" + keys.evictedKeys()
                         + "\r\n# Stats\r\ntotal_commands_processed:" + executedRequests + "\r\n"));
         add(
                 "time",
                 1,
-                (session, keys, args, now) ->
-                        Reply.bulkArray(List.of(Long.toString(now / 1_000), Long.toString(now % 1_000 * 1_000))));
-        add("multi", 1, (session, keys, args, now) -> {
+                (session, keys, args, nowMillis) -> Reply.bulkArray(
+                        List.of(Long.toString(nowMillis / 1_000), Long.toString(nowMillis % 1_000 * 1_000))));
+        add("multi", 1, (session, keys, args, nowMillis) -> {
             if (session.queuedRequests != null) {
                 throw new ErrorReplyException("ERR MULTI calls can not be nested");
             }
@@ -326,7 +328,7 @@
             return Reply.OK;
         });
         add("exec", 1, this::exec);
-        add("discard", 1, (session, keys, args, now) -> {
+        add("discard", 1, (session, keys, args, nowMillis) -> {
             if (session.queuedRequests == null) {
                 throw new ErrorReplyException("ERR DISCARD without MULTI");
             }
@@ -334,7 +336,7 @@
             session.endTransaction();
             return Reply.OK;
         });
-        add("watch", -2, (session, keys, args, now) -> {
+        add("watch", -2, (session, keys, args, nowMillis) -> {
             if (session.queuedRequests != null) {
                 throw new ErrorReplyException("ERR WATCH inside MULTI is not allowed");
             }
@@ -345,13 +347,13 @@
             }
             return Reply.OK;
         });
-        add("unwatch", 1, (session, keys, args, now) -> {
+        add("unwatch", 1, (session, keys, args, nowMillis) -> {
             unwatch(session);
             return Reply.OK;
         });
     }
 
-    private Reply hello(Session session, Keyspace keys, List<String> args, long now) {
+    private Reply hello(Session session, Keyspace keys, List<String> args, long nowMillis) {
         boolean resp3 = session.resp3;
         if (args.size() > 1) {
             if (!args.get(1).equals("2") && !args.get(1).equals("3")) {
@@ -397,7 +399,7 @@
                         Reply.EMPTY_ARRAY));
     }
 
-    private Reply exec(Session session, Keyspace keys, List<String> args, long now) {
+    private Reply exec(Session session, Keyspace keys, List<String> args, long nowMillis) {
         if (session.queuedRequests == null) {
             throw new ErrorReplyException("ERR EXEC without MULTI");
         }
@@ -414,25 +416,25 @@
         }
         List<Reply> replies = new ArrayList<>();
         for (List<String> each : queued) {
-            replies.add(execute(session, commands.get(each.get(0).toLowerCase(Locale.ROOT)), each, now));
+            replies.add(execute(session, commands.get(each.get(0).toLowerCase(Locale.ROOT)), each, nowMillis));
         }
         return new Reply.Aggregate('*', replies);
     }
 
     private void addStringCommands() {
         addWrite("set", -3, this::set);
-        add("get", 2, (session, keys, args, now) -> Reply.bulk(keys.get(String.class, args.get(1), now)));
-        add("mget", -2, (session, keys, args, now) -> {
+        add("get", 2, (session, keys, args, nowMillis) -> Reply.bulk(keys.get(String.class, args.get(1), nowMillis)));
+        add("mget", -2, (session, keys, args, nowMillis) -> {
             List<Reply> found = new ArrayList<>();
             for (String key : args.subList(1, args.size())) {
                 found.add(
-                        keys.typeName(key, now).equals("string")
-                                ? Reply.bulk(keys.get(String.class, key, now))
+                        keys.typeName(key, nowMillis).equals("string")
+                                ? Reply.bulk(keys.get(String.class, key, nowMillis))
                                 : Reply.NULL);
             }
             return new Reply.Aggregate('*', found);
         });
-        addWrite("mset", -3, (session, keys, args, now) -> {
+        addWrite("mset", -3, (session, keys, args, nowMillis) -> {
             if (args.size() % 2 == 0) {
                 throw new ErrorReplyException("ERR wrong number of arguments for 'mset' command");
             }
@@ -444,34 +446,34 @@
         addWrite(
                 "incrby",
                 3,
-                (session, keys, args, now) -> increment(keys, args.get(1), parseInteger(args.get(2)), now));
-        addWrite("incr", 2, (session, keys, args, now) -> increment(keys, args.get(1), 1, now));
+                (session, keys, args, nowMillis) -> increment(keys, args.get(1), parseInteger(args.get(2)), nowMillis));
+        addWrite("incr", 2, (session, keys, args, nowMillis) -> increment(keys, args.get(1), 1, nowMillis));
         addWrite(
                 "decrby",
                 3,
-                (session, keys, args, now) ->
-                        increment(keys, args.get(1), Math.negateExact(parseInteger(args.get(2))), now));
-        addWrite("decr", 2, (session, keys, args, now) -> increment(keys, args.get(1), -1, now));
+                (session, keys, args, nowMillis) ->
+                        increment(keys, args.get(1), Math.negateExact(parseInteger(args.get(2))), nowMillis));
+        addWrite("decr", 2, (session, keys, args, nowMillis) -> increment(keys, args.get(1), -1, nowMillis));
     }
 
-    private static Reply increment(Keyspace keys, String key, long by, long now) {
-        String old = keys.get(String.class, key, now);
+    private static Reply increment(Keyspace keys, String key, long by, long nowMillis) {
+        String old = keys.get(String.class, key, nowMillis);
         long value;
         try {
             value = Math.addExact(old == null ? 0 : parseInteger(old), by);
         } catch (ArithmeticException e) {
             throw new ErrorReplyException("ERR increment or decrement would overflow");
         }
-        long remainingTtl = keys.timeToLive(key, now);
+        long remainingTtl = keys.timeToLive(key, nowMillis);
         keys.set(key, Long.toString(value));
         if (remainingTtl >= 0) {
-            keys.expireAt(key, now + remainingTtl, now);
+            keys.expireAt(key, nowMillis + remainingTtl, nowMillis);
         }
         return integer(value);
     }
 
-    private Reply set(Session session, Keyspace keys, List<String> args, long now) {
-        long expiresAt = Long.MAX_VALUE;
+    private Reply set(Session session, Keyspace keys, List<String> args, long nowMillis) {
+        long expiresAtMillis = Long.MAX_VALUE;
         boolean keepTtl = false;
         boolean returnOld = false;
         boolean hasExpiry = false;
@@ -481,7 +483,7 @@
             boolean isExpiryOption = Set.of("ex", "px", "exat", "pxat").contains(option);
             if (isExpiryOption && !hasExpiry && !keepTtl && i + 1 < args.size()) {
                 hasExpiry = true;
-                expiresAt = expiry(option, args.get(++i), now, "set");
+                expiresAtMillis = expiry(option, args.get(++i), nowMillis, "set");
             } else if ((option.equals("nx") || option.equals("xx")) && condition.isEmpty()) {
                 condition = option;
             } else if (option.equals("get")) {
@@ -493,68 +495,73 @@
             }
         }
         String key = args.get(1);
-        String old = returnOld ? keys.get(String.class, key, now) : null;
-        if (condition.equals("nx") && keys.has(key, now) || condition.equals("xx") && !keys.has(key, now)) {
+        String old = returnOld ? keys.get(String.class, key, nowMillis) : null;
+        if (condition.equals("nx") && keys.has(key, nowMillis) || condition.equals("xx") && !keys.has(key, nowMillis)) {
             return returnOld ? Reply.bulk(old) : Reply.NULL;
         }
-        long remainingTtl = keepTtl ? keys.timeToLive(key, now) : -1;
+        long remainingTtl = keepTtl ? keys.timeToLive(key, nowMillis) : -1;
         keys.set(key, args.get(2));
         if (hasExpiry || remainingTtl >= 0) {
-            keys.expireAt(key, hasExpiry ? expiresAt : now + remainingTtl, now);
+            keys.expireAt(key, hasExpiry ? expiresAtMillis : nowMillis + remainingTtl, nowMillis);
         }
         return returnOld ? Reply.bulk(old) : Reply.OK;
     }
 
-    private static long expiry(String unit, String text, long now, String command) {
+    private static long expiry(String unit, String text, long nowMillis, String command) {
         long value = parseInteger(text);
         long scaled = unit.startsWith("e") ? value * 1_000 : value;
         if (value <= 0 && command.equals("set") || Math.abs(value) > MAX_EXPIRY_MS / 1_000) {
             throw new ErrorReplyException("ERR invalid expire time in '" + command + "' command");
         }
-        return unit.endsWith("at") ? scaled : now + scaled;
+        return unit.endsWith("at") ? scaled : nowMillis + scaled;
     }
 
     private void addKeyCommands() {
         addWrite(
                 "del",
                 -2,
-                (session, keys, args, now) -> integer(args.stream()
+                (session, keys, args, nowMillis) -> integer(args.stream()
                         .skip(1)
-                        .filter(key -> keys.has(key, now) && keys.remove(key))
+                        .filter(key -> keys.has(key, nowMillis) && keys.remove(key))
                         .count()));
         add(
                 "exists",
                 -2,
-                (session, keys, args, now) -> integer(
-                        args.stream().skip(1).filter(key -> keys.has(key, now)).count()));
-        add("type", 2, (session, keys, args, now) -> new Reply.SimpleString(keys.typeName(args.get(1), now)));
+                (session, keys, args, nowMillis) -> integer(args.stream()
+                        .skip(1)
+                        .filter(key -> keys.has(key, nowMillis))
+                        .count()));
+        add(
+                "type",
+                2,
+                (session, keys, args, nowMillis) -> new Reply.SimpleString(keys.typeName(args.get(1), nowMillis)));
         addWrite(
                 "expire",
                 3,
-                (session, keys, args, now) ->
-                        bool(keys.expireAt(args.get(1), expiry("ex", args.get(2), now, "expire"), now)));
+                (session, keys, args, nowMillis) ->
+                        bool(keys.expireAt(args.get(1), expiry("ex", args.get(2), nowMillis, "expire"), nowMillis)));
         addWrite(
                 "pexpire",
                 3,
-                (session, keys, args, now) ->
-                        bool(keys.expireAt(args.get(1), expiry("px", args.get(2), now, "pexpire"), now)));
+                (session, keys, args, nowMillis) ->
+                        bool(keys.expireAt(args.get(1), expiry("px", args.get(2), nowMillis, "pexpire"), nowMillis)));
         addWrite(
                 "persist",
                 2,
-                (session, keys, args, now) -> bool(
-                        keys.timeToLive(args.get(1), now) >= 0 && keys.expireAt(args.get(1), Long.MAX_VALUE, now)));
-        add("pttl", 2, (session, keys, args, now) -> integer(keys.timeToLive(args.get(1), now)));
-        add("ttl", 2, (session, keys, args, now) -> {
-            long left = keys.timeToLive(args.get(1), now);
-            return integer(left < 0 ? left : (left + 500) / 1_000);
+                (session, keys, args, nowMillis) -> bool(keys.timeToLive(args.get(1), nowMillis) >= 0
+                        && keys.expireAt(args.get(1), Long.MAX_VALUE, nowMillis)));
+        add("pttl", 2, (session, keys, args, nowMillis) -> integer(keys.timeToLive(args.get(1), nowMillis)));
+        add("ttl", 2, (session, keys, args, nowMillis) -> {
+            long remainingMillis = keys.timeToLive(args.get(1), nowMillis);
+            return integer(remainingMillis < 0 ? remainingMillis : (remainingMillis + 500) / 1_000);
         });
-        add("dbsize", 1, (session, keys, args, now) -> integer(keys.size(now)));
-        Implementation flush = (session, keys, args, now) -> {
+        add("dbsize", 1, (session, keys, args, nowMillis) -> integer(keys.size(nowMillis)));
+        Implementation flush = (session, keys, args, nowMillis) -> {
             keys.clear();
             return Reply.OK;
         };
         addWrite("flushdb", -1, flush);
-        addWrite("flushall", -1, (session, keys, args, now) -> {
+        addWrite("flushall", -1, (session, keys, args, nowMillis) -> {
             databases.forEach(Keyspace::clear);
             return Reply.OK;
         });
@@ -562,7 +569,7 @@
     }
 
     /** The cursor is a position in the order of hashes, so keys that exist during the whole scan are returned. */
-    private Reply scan(Session session, Keyspace keys, List<String> args, long now) {
+    private Reply scan(Session session, Keyspace keys, List<String> args, long nowMillis) {
         long cursor = parseInteger(args.get(1));
         long maxKeys = 10;
         Pattern pattern = null;
@@ -574,7 +581,7 @@
                 default -> throw new ErrorReplyException("ERR syntax error");
             }
         }
-        List<String> names = keys.keys(now);
+        List<String> names = keys.keys(nowMillis);
         names.sort(Comparator.comparingInt(Commands::position).thenComparing(each -> each));
         List<String> found = new ArrayList<>();
         long next = 0;
@@ -614,22 +621,22 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, String> hash(Keyspace keys, String key, long now) {
-        Map<String, String> hash = keys.get(HashMap.class, key, now);
+    private static Map<String, String> hash(Keyspace keys, String key, long nowMillis) {
+        Map<String, String> hash = keys.get(HashMap.class, key, nowMillis);
         return hash == null ? Map.of() : hash;
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, String> getOrCreateHash(Keyspace keys, String key, long now) {
-        return keys.getOrCreate(HashMap.class, key, now, new LinkedHashMap<>());
+    private static Map<String, String> getOrCreateHash(Keyspace keys, String key, long nowMillis) {
+        return keys.getOrCreate(HashMap.class, key, nowMillis, new LinkedHashMap<>());
     }
 
     private void addHashCommands() {
-        addWrite("hset", -4, (session, keys, args, now) -> {
+        addWrite("hset", -4, (session, keys, args, nowMillis) -> {
             if (args.size() % 2 != 0) {
                 throw new ErrorReplyException("ERR wrong number of arguments for 'hset' command");
             }
-            Map<String, String> hash = getOrCreateHash(keys, args.get(1), now);
+            Map<String, String> hash = getOrCreateHash(keys, args.get(1), nowMillis);
             int before = hash.size();
             for (int i = 2; i < args.size(); i += 2) {
                 hash.put(args.get(i), args.get(i + 1));
@@ -640,18 +647,18 @@
         add(
                 "hget",
                 3,
-                (session, keys, args, now) ->
-                        Reply.bulk(hash(keys, args.get(1), now).get(args.get(2))));
+                (session, keys, args, nowMillis) ->
+                        Reply.bulk(hash(keys, args.get(1), nowMillis).get(args.get(2))));
         add(
                 "hmget",
                 -3,
-                (session, keys, args, now) -> Reply.bulkArray(args.stream()
+                (session, keys, args, nowMillis) -> Reply.bulkArray(args.stream()
                         .skip(2)
-                        .map(hash(keys, args.get(1), now)::get)
+                        .map(hash(keys, args.get(1), nowMillis)::get)
                         .toList()));
-        add("hgetall", 2, (session, keys, args, now) -> {
+        add("hgetall", 2, (session, keys, args, nowMillis) -> {
             List<Reply> all = new ArrayList<>();
-            hash(keys, args.get(1), now).forEach((field, value) -> {
+            hash(keys, args.get(1), nowMillis).forEach((field, value) -> {
                 all.add(new Reply.BulkString(field));
                 all.add(new Reply.BulkString(value));
             });
@@ -660,10 +667,10 @@
         add(
                 "hlen",
                 2,
-                (session, keys, args, now) ->
-                        integer(hash(keys, args.get(1), now).size()));
-        addWrite("hdel", -3, (session, keys, args, now) -> {
-            Map<String, String> hash = hash(keys, args.get(1), now);
+                (session, keys, args, nowMillis) ->
+                        integer(hash(keys, args.get(1), nowMillis).size()));
+        addWrite("hdel", -3, (session, keys, args, nowMillis) -> {
+            Map<String, String> hash = hash(keys, args.get(1), nowMillis);
             long removedCount = args.stream()
                     .skip(2)
                     .filter(field -> !hash.isEmpty() && hash.remove(field) != null)
@@ -671,8 +678,8 @@
             keys.changed(args.get(1));
             return integer(removedCount);
         });
-        addWrite("hincrby", 4, (session, keys, args, now) -> {
-            Map<String, String> hash = getOrCreateHash(keys, args.get(1), now);
+        addWrite("hincrby", 4, (session, keys, args, nowMillis) -> {
+            Map<String, String> hash = getOrCreateHash(keys, args.get(1), nowMillis);
             long value = Math.addExact(parseInteger(hash.getOrDefault(args.get(2), "0")), parseInteger(args.get(3)));
             hash.put(args.get(2), Long.toString(value));
             keys.changed(args.get(1));
@@ -680,15 +687,15 @@
         });
     }
 
-    private static Keyspace.MemberSet members(Keyspace keys, String key, long now) {
-        Keyspace.MemberSet members = keys.get(Keyspace.MemberSet.class, key, now);
+    private static Keyspace.MemberSet members(Keyspace keys, String key, long nowMillis) {
+        Keyspace.MemberSet members = keys.get(Keyspace.MemberSet.class, key, nowMillis);
         return members == null ? new Keyspace.MemberSet() : members;
     }
 
     private void addSetCommands() {
-        addWrite("sadd", -3, (session, keys, args, now) -> {
+        addWrite("sadd", -3, (session, keys, args, nowMillis) -> {
             Keyspace.MemberSet members =
-                    keys.getOrCreate(Keyspace.MemberSet.class, args.get(1), now, new Keyspace.MemberSet());
+                    keys.getOrCreate(Keyspace.MemberSet.class, args.get(1), nowMillis, new Keyspace.MemberSet());
             long added = args.stream()
                     .skip(2)
                     .filter(each -> members.members.put(each, true) == null)
@@ -696,8 +703,8 @@
             keys.changed(args.get(1));
             return integer(added);
         });
-        addWrite("srem", -3, (session, keys, args, now) -> {
-            Keyspace.MemberSet members = members(keys, args.get(1), now);
+        addWrite("srem", -3, (session, keys, args, nowMillis) -> {
+            Keyspace.MemberSet members = members(keys, args.get(1), nowMillis);
             long removedCount = args.stream()
                     .skip(2)
                     .filter(each -> members.members.remove(each) != null)
@@ -708,24 +715,24 @@
         add(
                 "scard",
                 2,
-                (session, keys, args, now) ->
-                        integer(members(keys, args.get(1), now).members.size()));
+                (session, keys, args, nowMillis) ->
+                        integer(members(keys, args.get(1), nowMillis).members.size()));
         add(
                 "sismember",
                 3,
-                (session, keys, args, now) ->
-                        bool(members(keys, args.get(1), now).members.containsKey(args.get(2))));
+                (session, keys, args, nowMillis) ->
+                        bool(members(keys, args.get(1), nowMillis).members.containsKey(args.get(2))));
         add(
                 "smembers",
                 2,
-                (session, keys, args, now) -> new Reply.Aggregate(
+                (session, keys, args, nowMillis) -> new Reply.Aggregate(
                         '~',
-                        members(keys, args.get(1), now).members.keySet().stream()
+                        members(keys, args.get(1), nowMillis).members.keySet().stream()
                                 .map(Reply::bulk)
                                 .toList()));
-        add("srandmember", -2, (session, keys, args, now) -> {
-            List<String> all =
-                    new ArrayList<>(members(keys, args.get(1), now).members.keySet());
+        add("srandmember", -2, (session, keys, args, nowMillis) -> {
+            List<String> all = new ArrayList<>(
+                    members(keys, args.get(1), nowMillis).members.keySet());
             if (args.size() == 2) {
                 return all.isEmpty() ? Reply.NULL : new Reply.BulkString(all.get(random.nextInt(all.size())));
             }
@@ -739,13 +746,13 @@
         });
     }
 
-    private static Keyspace.SortedSet scores(Keyspace keys, String key, long now) {
-        Keyspace.SortedSet scores = keys.get(Keyspace.SortedSet.class, key, now);
+    private static Keyspace.SortedSet scores(Keyspace keys, String key, long nowMillis) {
+        Keyspace.SortedSet scores = keys.get(Keyspace.SortedSet.class, key, nowMillis);
         return scores == null ? new Keyspace.SortedSet() : scores;
     }
 
     private void addSortedSetCommands() {
-        addWrite("zadd", -4, (session, keys, args, now) -> {
+        addWrite("zadd", -4, (session, keys, args, nowMillis) -> {
             if (args.size() % 2 != 0) {
                 throw new ErrorReplyException("ERR syntax error");
             }
@@ -754,23 +761,23 @@
                 parsed.put(args.get(i + 1), parseScore(args.get(i)));
             }
             Keyspace.SortedSet scores =
-                    keys.getOrCreate(Keyspace.SortedSet.class, args.get(1), now, new Keyspace.SortedSet());
+                    keys.getOrCreate(Keyspace.SortedSet.class, args.get(1), nowMillis, new Keyspace.SortedSet());
             int before = scores.scoreByMember.size();
             scores.scoreByMember.putAll(parsed);
             keys.changed(args.get(1));
             return integer(scores.scoreByMember.size() - before);
         });
-        add("zscore", 3, (session, keys, args, now) -> {
-            Double score = scores(keys, args.get(1), now).scoreByMember.get(args.get(2));
+        add("zscore", 3, (session, keys, args, nowMillis) -> {
+            Double score = scores(keys, args.get(1), nowMillis).scoreByMember.get(args.get(2));
             return score == null ? Reply.NULL : new Reply.DoubleReply(score);
         });
         add(
                 "zcard",
                 2,
-                (session, keys, args, now) ->
-                        integer(scores(keys, args.get(1), now).scoreByMember.size()));
-        addWrite("zrem", -3, (session, keys, args, now) -> {
-            Keyspace.SortedSet scores = scores(keys, args.get(1), now);
+                (session, keys, args, nowMillis) -> integer(
+                        scores(keys, args.get(1), nowMillis).scoreByMember.size()));
+        addWrite("zrem", -3, (session, keys, args, nowMillis) -> {
+            Keyspace.SortedSet scores = scores(keys, args.get(1), nowMillis);
             long removedCount = args.stream()
                     .skip(2)
                     .filter(each -> scores.scoreByMember.remove(each) != null)
@@ -778,11 +785,12 @@
             keys.changed(args.get(1));
             return integer(removedCount);
         });
-        add("zrange", -4, (session, keys, args, now) -> {
+        add("zrange", -4, (session, keys, args, nowMillis) -> {
             if (args.size() > 4 && args.get(4).equalsIgnoreCase("byscore")) {
-                return rangeByScore(keys, args, now);
+                return rangeByScore(keys, args, nowMillis);
             }
-            List<Map.Entry<String, Double>> all = scores(keys, args.get(1), now).sorted();
+            List<Map.Entry<String, Double>> all =
+                    scores(keys, args.get(1), nowMillis).sorted();
             int first = rangeIndex(parseInteger(args.get(2)), all.size());
             int last = rangeIndex(parseInteger(args.get(3)), all.size());
             return rangeReply(
@@ -792,9 +800,9 @@
                     args,
                     session);
         });
-        add("zrangebyscore", -4, (session, keys, args, now) -> rangeByScore(keys, args, now));
-        addWrite("zremrangebyscore", 4, (session, keys, args, now) -> {
-            Keyspace.SortedSet scores = scores(keys, args.get(1), now);
+        add("zrangebyscore", -4, (session, keys, args, nowMillis) -> rangeByScore(keys, args, nowMillis));
+        addWrite("zremrangebyscore", 4, (session, keys, args, nowMillis) -> {
+            Keyspace.SortedSet scores = scores(keys, args.get(1), nowMillis);
             List<String> removed = membersByScore(scores, args);
             removed.forEach(scores.scoreByMember::remove);
             keys.changed(args.get(1));
@@ -836,12 +844,12 @@
                 .toList();
     }
 
-    private static Reply rangeByScore(Keyspace keys, List<String> args, long now) {
-        return Reply.bulkArray(membersByScore(scores(keys, args.get(1), now), args));
+    private static Reply rangeByScore(Keyspace keys, List<String> args, long nowMillis) {
+        return Reply.bulkArray(membersByScore(scores(keys, args.get(1), nowMillis), args));
     }
 
     private void addPubSubCommands() {
-        add("publish", 3, (session, keys, args, now) -> {
+        add("publish", 3, (session, keys, args, nowMillis) -> {
             Set<Session> to = Set.copyOf(subscribers.getOrDefault(args.get(1), Set.of()));
             to.forEach(each -> each.pushes.accept(new Reply.Aggregate(
                     '>',
@@ -851,7 +859,7 @@
                             new Reply.BulkString(args.get(2))))));
             return integer(to.size());
         });
-        add("subscribe", -2, (session, keys, args, now) -> {
+        add("subscribe", -2, (session, keys, args, nowMillis) -> {
             for (String channel : args.subList(1, args.size())) {
                 if (session.subscribedChannels.size() >= MAX_SUBSCRIBED_CHANNELS) {
                     throw new ErrorReplyException("ERR too many channels");
@@ -862,7 +870,7 @@
             }
             return null;
         });
-        add("unsubscribe", -1, (session, keys, args, now) -> {
+        add("unsubscribe", -1, (session, keys, args, nowMillis) -> {
             Set<String> removedChannels = args.size() > 1
                     ? new TreeSet<>(args.subList(1, args.size()))
                     : new TreeSet<>(session.subscribedChannels);
--- a/src/main/java/pondridge/standin/redis/Keyspace.java
+++ b/src/main/java/pondridge/standin/redis/Keyspace.java
@@ -19,7 +19,7 @@
     /** A value with its expiry and size. */
     private static final class Entry {
         private Object value;
-        private long expiresAt = Long.MAX_VALUE;
+        private long expiresAtMillis = Long.MAX_VALUE;
         private long sizeBytes;
     }
 
@@ -46,14 +46,14 @@
         return evictedKeys;
     }
 
-    int size(long now) {
-        removeExpired(now);
+    int size(long nowMillis) {
+        removeExpired(nowMillis);
         return entries.size();
     }
 
-    private Entry live(String key, long now) {
+    private Entry live(String key, long nowMillis) {
         Entry entry = entries.get(key);
-        if (entry != null && entry.expiresAt <= now) {
+        if (entry != null && entry.expiresAtMillis <= nowMillis) {
             remove(key);
             return null;
         }
@@ -73,13 +73,13 @@
         usedBytes = 0;
     }
 
-    boolean has(String key, long now) {
-        return live(key, now) != null;
+    boolean has(String key, long nowMillis) {
+        return live(key, nowMillis) != null;
     }
 
     /** The value as this type, or null if the key does not exist. */
-    <T> T get(Class<T> type, String key, long now) {
-        Entry entry = live(key, now);
+    <T> T get(Class<T> type, String key, long nowMillis) {
+        Entry entry = live(key, nowMillis);
         if (entry == null) {
             return null;
         }
@@ -90,8 +90,8 @@
     }
 
     /** The type name as in the reply to {@code TYPE}. */
-    String typeName(String key, long now) {
-        Entry entry = live(key, now);
+    String typeName(String key, long nowMillis) {
+        Entry entry = live(key, nowMillis);
         return entry == null
                 ? "none"
                 : entry.value instanceof String
@@ -101,7 +101,7 @@
 
     /** Sets a string without an expiry. */
     void set(String key, String value) {
-        put(key, value).expiresAt = Long.MAX_VALUE;
+        put(key, value).expiresAtMillis = Long.MAX_VALUE;
     }
 
     /** Replaces the value of a key; its expiry stays. */
@@ -113,8 +113,8 @@
     }
 
     /** The value of this type, created if the key does not exist. Call {@link #changed} after a change. */
-    <T> T getOrCreate(Class<T> type, String key, long now, T empty) {
-        T existing = get(type, key, now);
+    <T> T getOrCreate(Class<T> type, String key, long nowMillis, T empty) {
+        T existing = get(type, key, nowMillis);
         if (existing == null) {
             put(key, empty);
             return empty;
@@ -172,34 +172,34 @@
     }
 
     /** Sets the expiry of a key; false if it does not exist. */
-    boolean expireAt(String key, long expiresAt, long now) {
-        Entry entry = live(key, now);
+    boolean expireAt(String key, long expiresAtMillis, long nowMillis) {
+        Entry entry = live(key, nowMillis);
         if (entry == null) {
             return false;
         }
-        entry.expiresAt = expiresAt;
-        if (expiresAt <= now) {
+        entry.expiresAtMillis = expiresAtMillis;
+        if (expiresAtMillis <= nowMillis) {
             remove(key);
         }
         return true;
     }
 
     /** The time to live in milliseconds; -2 if the key does not exist, -1 without an expiry. */
-    long timeToLive(String key, long now) {
-        Entry entry = live(key, now);
-        return entry == null ? -2 : entry.expiresAt == Long.MAX_VALUE ? -1 : entry.expiresAt - now;
+    long timeToLive(String key, long nowMillis) {
+        Entry entry = live(key, nowMillis);
+        return entry == null ? -2 : entry.expiresAtMillis == Long.MAX_VALUE ? -1 : entry.expiresAtMillis - nowMillis;
     }
 
     /** All keys that have not expired. */
-    List<String> keys(long now) {
-        removeExpired(now);
+    List<String> keys(long nowMillis) {
+        removeExpired(nowMillis);
         return new ArrayList<>(entries.keySet());
     }
 
-    private void removeExpired(long now) {
+    private void removeExpired(long nowMillis) {
         List<String> expired = new ArrayList<>();
         entries.forEach((key, entry) -> {
-            if (entry.expiresAt <= now) {
+            if (entry.expiresAtMillis <= nowMillis) {
                 expired.add(key);
             }
         });
--- a/src/main/java/pondridge/standin/redis/RedisStandin.java
+++ b/src/main/java/pondridge/standin/redis/RedisStandin.java
@@ -242,12 +242,13 @@
     }
 
     /** Applies to the replica the writes that are older than its lag. */
-    private void replicate(long now) {
+    private void replicate(long nowMillis) {
         while (!replicationLog.isEmpty()
-                && (now - replicationLog.peek().at >= setup.lagMs || replicationLog.size() > MAX_REPLICATION_LOG)) {
+                && (nowMillis - replicationLog.peek().at >= setup.lagMs
+                        || replicationLog.size() > MAX_REPLICATION_LOG)) {
             ReplicatedRequest next = replicationLog.poll();
             replicaSession.database = next.database;
-            replica.run(replicaSession, next.request, now);
+            replica.run(replicaSession, next.request, nowMillis);
         }
     }
 
@@ -305,7 +306,7 @@
             if (faults.stallReplies) {
                 return;
             }
-            long now = now();
+            long nowMillis = now();
             String name = request.get(0).toLowerCase(Locale.ROOT);
             Reply reply;
             if (faults.loadingErrors && !name.equals("hello") && !name.equals("auth")) {
@@ -313,11 +314,11 @@
             } else if (faults.wrongTypeErrors && (name.equals("mget") || name.equals("get"))) {
                 reply = new Reply.SimpleError("WRONGTYPE Operation against a key holding the wrong kind " + "of value");
             } else {
-                replicate(now);
+                replicate(nowMillis);
                 boolean isWrite = primary.writes(request);
-                reply = (faults.staleReads && !isWrite ? replica : primary).run(session, request, now);
+                reply = (faults.staleReads && !isWrite ? replica : primary).run(session, request, nowMillis);
                 if (isWrite) {
-                    replicationLog.add(new ReplicatedRequest(now, session.database, request));
+                    replicationLog.add(new ReplicatedRequest(nowMillis, session.database, request));
                 }
             }
             if (reply != null) {
--- a/src/main/java/pondridge/store/Leases.java
+++ b/src/main/java/pondridge/store/Leases.java
@@ -87,7 +87,7 @@
      */
     Grant grantFor(LeaseRequest request, long counter, long storeMillis, long sentNanos, long receivedNanos) {
         long takenBefore = counter - request.amount;
-        long left = takenBefore < 0 ? 0 : Math.max(0, request.capacity - takenBefore);
+        long remaining = takenBefore < 0 ? 0 : Math.max(0, request.capacity - takenBefore);
         long millisUntilSlot = request.slot * slotMillis - storeMillis;
         if (millisUntilSlot > 2 * slotMillis || millisUntilSlot < -slotMillis) {
             return null;
@@ -96,7 +96,7 @@
         // and ends no sooner than counted from the earlier one.
         return new Grant(
                 request.name,
-                Math.min(left, request.amount),
+                Math.min(remaining, request.amount),
                 receivedNanos + millisUntilSlot * NANOS_PER_MILLI,
                 sentNanos + (millisUntilSlot + slotMillis) * NANOS_PER_MILLI);
     }
