--- a/src/main/java/pondridge/standin/FaultScript.java
+++ b/src/main/java/pondridge/standin/FaultScript.java
@@ -43,7 +43,7 @@
      * @throws IllegalArgumentException if a fault is unknown or a fraction is invalid
      */
     public static Map<Fault, Double> parseFractions(String text) {
-        Map<Fault, Double> shares = new EnumMap<>(Fault.class);
+        Map<Fault, Double> fractions = new EnumMap<>(Fault.class);
         double sum = 0;
         for (String part : text.isBlank() ? new String[0] : text.split(",")) {
             int equals = part.indexOf('=');
@@ -57,19 +57,19 @@
                                     .map(FaultScript::optionName)
                                     .collect(Collectors.joining(", "))
                             + ")"));
-            double share;
+            double fraction;
             try {
-                share = equals < 0 ? 1 : Double.parseDouble(part.substring(equals + 1));
+                fraction = equals < 0 ? 1 : Double.parseDouble(part.substring(equals + 1));
             } catch (NumberFormatException e) {
-                throw new IllegalArgumentException("not a share: " + part.trim(), e);
+                throw new IllegalArgumentException("fault fraction is not a number: " + part.trim(), e);
             }
-            sum += share;
-            if (!(share >= 0 && sum <= 1 + 1e-9)) {
-                throw new IllegalArgumentException("shares must lie in 0 to 1 and sum to 1 at most: " + text);
+            sum += fraction;
+            if (!(fraction >= 0 && sum <= 1 + 1e-9)) {
+                throw new IllegalArgumentException("fault fractions must be from 0 to 1 and sum to at most 1: " + text);
             }
-            shares.put(fault, share);
+            fractions.put(fault, fraction);
         }
-        return shares;
+        return fractions;
     }
 
     private static String optionName(Fault fault) {
