--- a/src/main/java/pondridge/gateway/CrossSiteBudget.java
+++ b/src/main/java/pondridge/gateway/CrossSiteBudget.java
@@ -88,15 +88,17 @@
     }
 
     /**
-     * The default reserve of a class: proportional to how far its worth is below the highest; 0 for the class
-     * of highest worth.
+     * The default reserve of a class: proportional to how far its utility is below the highest; 0 for the
+     * class of highest utility.
      */
     static double defaultReservedFraction(List<RequestClass> classes, int requestClass) {
-        double best = classes.stream().mapToDouble(RequestClass::utility).max().orElse(1);
-        double least = classes.stream().mapToDouble(RequestClass::utility).min().orElse(0);
-        return best == least
+        double highest =
+                classes.stream().mapToDouble(RequestClass::utility).max().orElse(1);
+        double lowest =
+                classes.stream().mapToDouble(RequestClass::utility).min().orElse(0);
+        return highest == lowest
                 ? 0
-                : MAX_RESERVED_FRACTION * (best - classes.get(requestClass).utility()) / (best - least);
+                : MAX_RESERVED_FRACTION * (highest - classes.get(requestClass).utility()) / (highest - lowest);
     }
 
     /** Records the arrival of a request from a client. */
--- a/src/main/java/pondridge/gateway/Dispatcher.java
+++ b/src/main/java/pondridge/gateway/Dispatcher.java
@@ -172,7 +172,7 @@
         private int submissions;
         private boolean atRemoteSite;
         private AttemptSummary lastAttempts;
-        private long retryAfter;
+        private long retryAfterNanos;
         private int attemptsSent;
         private int responsesReceived;
         private boolean finished;
@@ -261,8 +261,8 @@
         }
 
         @Override
-        public void refused(long wait) {
-            retryAfter = wait;
+        public void refused(long retryAfterNanos) {
+            this.retryAfterNanos = retryAfterNanos;
             submissionUnserved();
         }
 
@@ -291,7 +291,7 @@
             client.reportAttempts(
                     new AttemptSummary(attemptsSent, responsesReceived, history.firstUncertain() != null));
             if (safeToRetry) {
-                client.refused(retryAfter);
+                client.refused(retryAfterNanos);
             } else {
                 client.failed();
             }
--- a/src/main/java/pondridge/gateway/Gateway.java
+++ b/src/main/java/pondridge/gateway/Gateway.java
@@ -98,11 +98,11 @@
                 crossSite.classLimits(
                         options.objectNames("profiles"), options.settings().classes()),
                 now);
-        SiteFailoverRouting split = settings.sitePlan() == null
+        SiteFailoverRouting failoverRouting = settings.sitePlan() == null
                 ? SiteFailoverRouting.NONE
                 : SiteFailoverRouting.of(settings.sitePlan(), settings.site(), options.objectNames("profiles"));
         Router router = new Router(
-                settings.site(), localSite, budget, crossSite.minWorkNanos(), link.maxDeliveryNanos(), split);
+                settings.site(), localSite, budget, crossSite.minWorkNanos(), link.maxDeliveryNanos(), failoverRouting);
         this.safetyLimits = options.settings().safetyLimits();
         this.startTimes = new ServerStartTimes(settings.maxClockErrorNanos() / 1_000_000);
         this.store = settings.store() == null
@@ -131,7 +131,7 @@
                                 addresses,
                                 link,
                                 remoteOptions,
-                                new Http2Upstreams(loop, remoteOptions, link.http2(), dialler(name)),
+                                new Http2Upstreams(loop, remoteOptions, link.http2(), connector(name)),
                                 random.nextLong(),
                                 maxOpenRequests,
                                 log,
@@ -162,7 +162,7 @@
         dispatcher.logLocalSiteState();
     }
 
-    private Connector dialler(String site) {
+    private Connector connector(String site) {
         return (address, timeoutMs, initializer) -> new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -294,7 +294,7 @@
         result.put("certificates_taken", certificateReloads);
         result.put("certificates_refused", certificateReloadFailures);
         result.put("link_connections", (long) linkRequestHandler.connections());
-        result.put("link_held_bytes", linkRequestHandler.heldBytes());
+        result.put("link_held_bytes", linkRequestHandler.bufferedBytes());
         if (store != null) {
             store.counts().forEach((name, count) -> result.put("store_" + name, count));
         }
--- a/src/main/java/pondridge/gateway/GatewaySettings.java
+++ b/src/main/java/pondridge/gateway/GatewaySettings.java
@@ -55,13 +55,13 @@
      *     and credit
      * @param minStallNanos the shortest silence that counts as a stall
      * @param stallFactor the multiple of the round-trip estimate that counts as a stall, where that is longer
-     * @param maxDeliveryNanos a request that was on its way for longer is rejected by the receiving gateway
+     * @param maxDeliveryNanos a request that took longer to arrive is rejected by the receiving gateway
      * @param maxStreamsPerConnection requests at a time on one accepted connection
      * @param maxConnections accepted connections
      * @param maxCreditPerSite requests at a time that are taken from one other site
      * @param idleTimeoutNanos how long an accepted connection may be silent
      * @param transferTimeoutNanos how long a request may take to arrive, and a response to be sent
-     * @param maxHeldBytes bytes of requests and responses in transfer over links; one connection may hold a
+     * @param maxBufferedBytes bytes of requests and responses in transfer over links; one connection may hold a
      *     quarter of it
      * @param certificateCheckNanos interval of checks whether the certificates' files have changed
      * @param entriesPerGateway entries that a remote gateway has in the engine's endpoint list, each with a
@@ -82,7 +82,7 @@
             int maxCreditPerSite,
             long idleTimeoutNanos,
             long transferTimeoutNanos,
-            int maxHeldBytes,
+            int maxBufferedBytes,
             long certificateCheckNanos,
             int entriesPerGateway,
             int maxCachedResponses,
@@ -98,7 +98,7 @@
      * @param common over all classes: this gateway's part
      * @param sitePerSecond requests in a second over all gateways of the site
      * @param classes configured limits by class name; the reserved fraction is below 0 where it follows from
-     *     the class's worth
+     *     the class's utility
      * @param minWorkNanos a request with less time left is of no use to a server
      * @param localSite thresholds for the state of the local site
      */
@@ -152,7 +152,7 @@
                 });
     }
 
-    /** Reads a whole file; throws {@link pondridge.settings.SettingsException} for any mistake. */
+    /** Reads a whole file; throws {@link SettingsException} for any mistake. */
     public static GatewaySettings read(Path path) {
         SettingsFile file = SettingsFile.read(path);
         GatewaySettings settings = of(file, path.toAbsolutePath().getParent());
@@ -165,11 +165,11 @@
         Section gateway = file.section("gateway");
         String site = gateway.text("site", null);
         Path platform = folder.resolve(gateway.text("platform", null));
-        Section crossing = file.section("crossing");
-        CrossSiteBudget.Rate ofSite = rate(crossing, 200, 200);
-        int gateways = crossing.number("gateways", 1, 1, 1000);
+        Section crossSiteSection = file.section("crossing");
+        CrossSiteBudget.Rate siteRate = rate(crossSiteSection, 200, 200);
+        int gateways = crossSiteSection.number("gateways", 1, 1, 1000);
         CrossSiteBudget.Rate common = new CrossSiteBudget.Rate(
-                ofSite.perSecond() / gateways, Math.max(1, ofSite.burst() / gateways), ofSite.arrivalShare());
+                siteRate.perSecond() / gateways, Math.max(1, siteRate.burst() / gateways), siteRate.arrivalShare());
         Map<String, CrossSiteBudget.ClassLimit> classes = new LinkedHashMap<>();
         file.section("crossing_classes")
                 .subsections()
@@ -179,15 +179,15 @@
                                 rate(section, common.perSecond(), common.burst()), section.decimal("kept", -1, 0, 1))));
         CrossSite crossSite = new CrossSite(
                 common,
-                ofSite.perSecond(),
+                siteRate.perSecond(),
                 classes,
-                crossing.durationNanos("least_work", "10ms", "1ms", "10s"),
+                crossSiteSection.durationNanos("least_work", "10ms", "1ms", "10s"),
                 new LocalSiteHealth.Limits(
-                        crossing.number("misses", 5, 1, 1000),
-                        crossing.durationNanos("trial", "200ms", "10ms", "1min"),
-                        crossing.durationNanos("steady", "1s", "10ms", "10min"),
-                        crossing.decimal("return_share", 0.05, 0.001, 1),
-                        crossing.durationNanos("doubling", "1s", "10ms", "10min")));
+                        crossSiteSection.number("misses", 5, 1, 1000),
+                        crossSiteSection.durationNanos("trial", "200ms", "10ms", "1min"),
+                        crossSiteSection.durationNanos("steady", "1s", "10ms", "10min"),
+                        crossSiteSection.decimal("return_share", 0.05, 0.001, 1),
+                        crossSiteSection.durationNanos("doubling", "1s", "10ms", "10min")));
         Map<String, List<InetSocketAddress>> remoteSites = new LinkedHashMap<>();
         file.section("sites").subsections().forEach((name, section) -> {
             if (name.equals(site)) {
--- a/src/main/java/pondridge/gateway/IdempotencyCache.java
+++ b/src/main/java/pondridge/gateway/IdempotencyCache.java
@@ -114,11 +114,11 @@
      */
     List<W> complete(String key, R response, int sizeBytes, long ttlNanos, long now) {
         Entry<W, R> entry = entries.get(key);
-        List<W> notified = List.copyOf(entry.waiters);
+        List<W> waiters = List.copyOf(entry.waiters);
         entry.waiters.clear();
         if (response == null || ttlNanos <= 0 || sizeBytes > maxBytes) {
             entries.remove(key);
-            return notified;
+            return waiters;
         }
         entry.response = response;
         entry.sizeBytes = sizeBytes;
@@ -128,7 +128,7 @@
         while (bytes > maxBytes) {
             evict();
         }
-        return notified;
+        return waiters;
     }
 
     /** The number of requests, running ones included. */
--- a/src/main/java/pondridge/gateway/LinkListener.java
+++ b/src/main/java/pondridge/gateway/LinkListener.java
@@ -22,7 +22,7 @@
 import pondridge.http2.Http2Server;
 
 /**
- * Listens for other sites' gateways by a {@link Http2Server} and bounds on each stream the time and the memory that
+ * Listens for other sites' gateways with an {@link Http2Server} and bounds on each stream the time and the memory that
  * receiving a request may take. On the event loop only.
  */
 final class LinkListener {
@@ -31,12 +31,12 @@
 
     private final GatewaySettings.Link link;
     private final Log log;
-    private final Http2Server listener;
+    private final Http2Server server;
 
     /**
      * A listener that does not listen yet.
      *
-     * @param exchanges makes the handler of one stream, which receives whole requests
+     * @param exchangeHandlerFactory creates the handler of one stream, which receives complete requests
      */
     LinkListener(
             EventLoop loop,
@@ -44,10 +44,10 @@
             LinkTls tls,
             Log log,
             LongSupplier clock,
-            Function<BufferBudget.ConnectionShare, ChannelHandler> exchanges) {
+            Function<BufferBudget.ConnectionShare, ChannelHandler> exchangeHandlerFactory) {
         this.link = link;
         this.log = log;
-        this.listener = new Http2Server(
+        this.server = new Http2Server(
                 loop,
                 new Http2Server.Limits(
                         link.listen(),
@@ -56,51 +56,51 @@
                         link.idleTimeoutNanos(),
                         MAX_HEADER_BYTES,
                         link.http2().controlFramesPerSecond(),
-                        link.maxHeldBytes(),
+                        link.maxBufferedBytes(),
                         0,
                         0),
                 "link",
                 tls == null ? null : tls::serverHandler,
                 log::warn,
                 clock,
-                (stream, share) -> streamOpened(stream, share, exchanges));
+                (stream, share) -> streamOpened(stream, share, exchangeHandlerFactory));
     }
 
     private void streamOpened(
             Channel stream,
             BufferBudget.ConnectionShare share,
-            Function<BufferBudget.ConnectionShare, ChannelHandler> exchanges) {
+            Function<BufferBudget.ConnectionShare, ChannelHandler> exchangeHandlerFactory) {
         stream.pipeline()
                 .addLast(
                         new Http2StreamFrameToHttpObjectCodec(true),
                         new RequestGuard(share),
                         new HttpObjectAggregator(MAX_BODY_BYTES),
-                        exchanges.apply(share));
+                        exchangeHandlerFactory.apply(share));
     }
 
     ChannelFuture listen() {
-        return listener.listen();
+        return server.listen();
     }
 
     /** Open connections. */
     int connections() {
-        return listener.connections();
+        return server.connections();
     }
 
-    /** Bytes of requests and responses that are held for links. */
-    long heldBytes() {
-        return listener.bufferedBytes();
+    /** Bytes of requests and responses that are buffered for links. */
+    long bufferedBytes() {
+        return server.bufferedBytes();
     }
 
     void close() {
-        listener.stopAccepting();
+        server.stopAccepting();
     }
 
-    /** Bounds how long one request may take to arrive and counts its bytes as held until its stream ends. */
+    /** Bounds how long one request may take to arrive and counts its bytes as buffered until its stream ends. */
     private final class RequestGuard extends ChannelInboundHandlerAdapter {
         private final BufferBudget.ConnectionShare share;
         private Future<?> timeout;
-        private long heldBytes;
+        private long bufferedBytes;
 
         RequestGuard(BufferBudget.ConnectionShare share) {
             this.share = share;
@@ -135,7 +135,7 @@
                     refuseStream(context);
                     return;
                 }
-                heldBytes += contentBytes;
+                bufferedBytes += contentBytes;
             }
             if (message instanceof LastHttpContent) {
                 timeout.cancel(false);
@@ -155,8 +155,8 @@
         @Override
         public void handlerRemoved(ChannelHandlerContext context) {
             timeout.cancel(false);
-            share.release(heldBytes);
-            heldBytes = 0;
+            share.release(bufferedBytes);
+            bufferedBytes = 0;
         }
     }
 }
--- a/src/main/java/pondridge/gateway/LinkRequestHandler.java
+++ b/src/main/java/pondridge/gateway/LinkRequestHandler.java
@@ -111,8 +111,8 @@
         return idempotencyCache.bytes();
     }
 
-    long heldBytes() {
-        return listener.heldBytes();
+    long bufferedBytes() {
+        return listener.bufferedBytes();
     }
 
     int connections() {
@@ -262,7 +262,7 @@
         }
 
         @Override
-        public void refused(long wait) {
+        public void refused(long retryAfterNanos) {
             completeRun(null, 0).forEach(each -> each.respondUnserved(lastAttempts));
         }
 
--- a/src/main/java/pondridge/gateway/LinkRttEstimator.java
+++ b/src/main/java/pondridge/gateway/LinkRttEstimator.java
@@ -26,13 +26,13 @@
     }
 
     /** Adds a measured round trip. */
-    void addRoundTrip(long tookNanos, long now) {
+    void addRoundTrip(long sampleNanos, long now) {
         if (smoothedRttNanos < 0) {
-            smoothedRttNanos = tookNanos;
-            rttVariationNanos = tookNanos / 2.0;
+            smoothedRttNanos = sampleNanos;
+            rttVariationNanos = sampleNanos / 2.0;
         } else {
-            rttVariationNanos = 0.75 * rttVariationNanos + 0.25 * Math.abs(smoothedRttNanos - tookNanos);
-            smoothedRttNanos = 0.875 * smoothedRttNanos + 0.125 * tookNanos;
+            rttVariationNanos = 0.75 * rttVariationNanos + 0.25 * Math.abs(smoothedRttNanos - sampleNanos);
+            smoothedRttNanos = 0.875 * smoothedRttNanos + 0.125 * sampleNanos;
         }
         received(now);
     }
--- a/src/main/java/pondridge/gateway/LocalSloMonitor.java
+++ b/src/main/java/pondridge/gateway/LocalSloMonitor.java
@@ -1,9 +1,9 @@
 package pondridge.gateway;
 
 /**
- * Detects that local clients suffer: more than one in twenty of their requests was not answered in time by
- * the local site. Other sites' requests then have to be reduced, since the clients of a site that has failed
- * nowhere take precedence. Uses counts only, no times.
+ * Detects that local clients are affected by overload: the local site responded too late or not at all to more
+ * than one in twenty of their requests. Other sites' requests then have to be reduced, since the clients of a
+ * site that has failed nowhere take precedence. Uses counts only, no times.
  */
 final class LocalSloMonitor {
     private static final double TOLERATED_MISS_RATE = 0.05;
--- a/src/main/java/pondridge/gateway/RemoteSite.java
+++ b/src/main/java/pondridge/gateway/RemoteSite.java
@@ -185,21 +185,22 @@
      * all gateways.
      */
     Router.SiteSnapshot snapshot(long now) {
-        LinkRttEstimator nearest = null;
+        LinkRttEstimator nearestRtt = null;
         int credit = 0;
         int inFlight = 0;
-        LinkRttEstimator anyUsable = null;
+        LinkRttEstimator usableRtt = null;
         for (RemoteGateway each : gateways) {
             int freeCredit = each.isUsable(now) ? each.freeCredit() : 0;
             credit += freeCredit;
             inFlight += transport.inFlight(each.id);
-            if (freeCredit > 0 && (nearest == null || each.rtt.roundTripNanos() < nearest.roundTripNanos())) {
-                nearest = each.rtt;
+            if (freeCredit > 0 && (nearestRtt == null || each.rtt.roundTripNanos() < nearestRtt.roundTripNanos())) {
+                nearestRtt = each.rtt;
             }
-            anyUsable = each.isUsable(now) ? each.rtt : anyUsable;
+            usableRtt = each.isUsable(now) ? each.rtt : usableRtt;
         }
-        LinkRttEstimator fallback = anyUsable == null ? gateways.get(0).rtt : anyUsable;
-        return new Router.SiteSnapshot(nearest == null ? fallback : nearest, anyUsable != null, credit, inFlight);
+        LinkRttEstimator fallbackRtt = usableRtt == null ? gateways.get(0).rtt : usableRtt;
+        return new Router.SiteSnapshot(
+                nearestRtt == null ? fallbackRtt : nearestRtt, usableRtt != null, credit, inFlight);
     }
 
     /** The number of gateways that take requests. */
--- a/src/main/java/pondridge/gateway/Router.java
+++ b/src/main/java/pondridge/gateway/Router.java
@@ -32,7 +32,7 @@
     record Remote(String site, long timeLeftNanos, long keyWindowNanos) implements Step {}
 
     /**
-     * Ask again after a delay: the request may have executed, a repeat is allowed, and no site for it is
+     * Decide again after a delay: the request may have executed, a repeat is allowed, and no site for it is
      * reachable now. A broken link is usually up again within a few heartbeats.
      */
     record Wait(long delayNanos) implements Step {}
@@ -69,15 +69,15 @@
     private final CrossSiteBudget budget;
     private final long minWorkNanos;
     private final long maxDeliveryNanos;
-    private final SiteFailoverRouting split;
+    private final SiteFailoverRouting failoverRouting;
 
     /**
      * A router of one gateway.
      *
      * @param localName this site's name
      * @param minWorkNanos a request with less time left is of no use to a server
-     * @param maxDeliveryNanos the other side rejects requests that were on their way for longer than this
-     * @param split which site a request goes to by the plan, {@link SiteFailoverRouting#NONE} for the nearest
+     * @param maxDeliveryNanos the other side rejects requests that took longer than this to arrive
+     * @param failoverRouting which site a request goes to by the plan, {@link SiteFailoverRouting#NONE} for the nearest
      */
     Router(
             String localName,
@@ -85,8 +85,8 @@
             CrossSiteBudget budget,
             long minWorkNanos,
             long maxDeliveryNanos,
-            SiteFailoverRouting split) {
-        this.split = split;
+            SiteFailoverRouting failoverRouting) {
+        this.failoverRouting = failoverRouting;
         this.localName = localName;
         this.localSite = localSite;
         this.budget = budget;
@@ -126,7 +126,7 @@
         Set<String> reachable = reachableSites(now, sites);
         boolean admittedByPlan = localSite.state() != LocalSiteHealth.State.CUT
                 || !history.isUnsent()
-                || split.admits(history.requestClass(), history.affinityKey(), reachable);
+                || failoverRouting.admits(history.requestClass(), history.affinityKey(), reachable);
         if (!history.fromLink() && admittedByPlan) {
             Remote remote = chooseRemote(now, timeLeftNanos, requestClass, history, sites, reachable);
             if (remote != null) {
@@ -198,8 +198,8 @@
                 roundTripBySite.put(each.getKey(), roundTripNanos);
             }
         }
-        String plannedSite =
-                split.selectSite(history.requestClass(), history.affinityKey(), roundTripBySite.keySet(), reachable);
+        String plannedSite = failoverRouting.selectSite(
+                history.requestClass(), history.affinityKey(), roundTripBySite.keySet(), reachable);
         String chosen = plannedSite != null
                 ? plannedSite
                 : roundTripBySite.entrySet().stream()
--- a/src/main/java/pondridge/http2/Connection.java
+++ b/src/main/java/pondridge/http2/Connection.java
@@ -70,7 +70,7 @@
     private boolean closed;
     private boolean connected;
     private boolean hasServed;
-    private long idleSince;
+    private long idleSinceNanos;
 
     Connection(ServerPool pool, Http2Options options, StreamOutcomeRules outcomeRules, int firstStream, long now) {
         this.pool = pool;
@@ -79,7 +79,7 @@
         this.liveness = new Liveness(options.pingAfterNanos(), options.pingTimeoutNanos(), now);
         this.resetBudget = new ResetBudget(options.maxResets(), options.resetWindowNanos(), now);
         this.floodGuard = new FloodGuard(options.controlFramesPerSecond(), SECOND_NANOS, now);
-        this.idleSince = now;
+        this.idleSinceNanos = now;
         this.handler = new CodecHandlerBuilder().build();
     }
 
@@ -135,7 +135,7 @@
 
     @Override
     public long idleSinceNanos() {
-        return idleSince;
+        return idleSinceNanos;
     }
 
     /** Writes an attempt on a new stream. The caller has just checked that {@link #credit} is positive. */
@@ -288,7 +288,7 @@
 
     private void streamsChanged() {
         if (isIdle()) {
-            idleSince = System.nanoTime();
+            idleSinceNanos = System.nanoTime();
         }
         closeIfFinished();
         pool.streamsFreed();
@@ -378,8 +378,8 @@
     }
 
     @Override
-    public void onGoAwayRead(ChannelHandlerContext ctx, int lastStream, long code, ByteBuf debug) {
-        List<StreamTable.AttemptEnd<Http2Attempt>> ends = table.onGoAway(lastStream);
+    public void onGoAwayRead(ChannelHandlerContext ctx, int lastStreamId, long code, ByteBuf debug) {
+        List<StreamTable.AttemptEnd<Http2Attempt>> ends = table.onGoAway(lastStreamId);
         if (code == StreamTable.HTTP_1_1_REQUIRED) {
             pool.http1Required();
         }
--- a/src/main/java/pondridge/http2/MessageCodec.java
+++ b/src/main/java/pondridge/http2/MessageCodec.java
@@ -8,11 +8,11 @@
 
 /**
  * Encodes requests as, and decodes responses from, the headers and body of an HTTP/2 stream: for plain HTTP or for
- * a protocol carried over HTTP/2. It does not decide whether a request was executed; {@link StreamOutcomeRules} does. Used on
- * the event loop only.
+ * a protocol carried over HTTP/2. It does not decide whether a request was executed; {@link StreamOutcomeRules}
+ * does. Used on the event loop only.
  */
 public interface MessageCodec {
-    /** A decoded response; {@code answer} is present only for {@link Outcome#OK}. */
+    /** A decoded response; {@code response} is present only for {@link Outcome#OK}. */
     record DecodedResponse(Outcome outcome, UpstreamResponse response) {}
 
     /** The codec of plain HTTP. */
--- a/src/main/java/pondridge/http2/StreamOutcomeRules.java
+++ b/src/main/java/pondridge/http2/StreamOutcomeRules.java
@@ -7,7 +7,7 @@
  * executing a request only after receiving its last byte, so a request whose END_STREAM frame never left this
  * process has not been executed. Where the protocol leaves the question open, the request may have been executed.
  *
- * <p>Not final, so that a test can break one rule and check that the effect ledger detects it.
+ * <p>Not final, so that a test can break one rule and check that the execution ledger detects it.
  */
 class StreamOutcomeRules {
     /** The rules of RFC 9113. */
--- a/src/main/java/pondridge/http2/StreamTable.java
+++ b/src/main/java/pondridge/http2/StreamTable.java
@@ -230,9 +230,9 @@
      * stream id were not and will not be processed. A GOAWAY that does not lower the last stream id ends no
      * attempt.
      */
-    List<AttemptEnd<T>> onGoAway(int lastStream) {
+    List<AttemptEnd<T>> onGoAway(int announcedLastStreamId) {
         closing = true;
-        lastStreamId = Math.min(lastStreamId, lastStream);
+        lastStreamId = Math.min(lastStreamId, announcedLastStreamId);
         List<AttemptEnd<T>> ends = new ArrayList<>();
         Collection<Stream<T>> above =
                 List.copyOf(streams.tailMap(lastStreamId, false).values());
--- a/src/main/java/pondridge/pool/ConnectionPool.java
+++ b/src/main/java/pondridge/pool/ConnectionPool.java
@@ -29,7 +29,10 @@
 
     /** The operations that a pool requests from its owner. */
     public interface Actions<C, T> {
-        /** Creates a connection and starts dialling; {@link ConnectionPool#connectionEstablished} or {@link ConnectionPool#connectionEnded} follows later. */
+        /**
+         * Creates a connection and starts dialling; {@link ConnectionPool#connectionEstablished} or
+         * {@link ConnectionPool#connectionEnded} follows later.
+         */
         C dial();
 
         /** Assigns an attempt to a connection with credit, which has less credit when this returns. */
@@ -38,7 +41,10 @@
         /** Ends an attempt that was not assigned to a connection. */
         void reject(T attempt, RejectionReason reason);
 
-        /** Closes a connection immediately; {@link ConnectionPool#connectionEnded} follows, possibly within this call. */
+        /**
+         * Closes a connection immediately; {@link ConnectionPool#connectionEnded} follows, possibly within this
+         * call.
+         */
         void close(C connection);
 
         /** Closes a connection once its running attempts have ended. */
@@ -255,7 +261,10 @@
         }
     }
 
-    /** Runs the dispatch requested with {@link Actions#scheduleDispatch}: assigns waiting attempts in order of arrival. */
+    /**
+     * Runs the dispatch requested with {@link Actions#scheduleDispatch}: assigns waiting attempts in order of
+     * arrival.
+     */
     public final void dispatch(long nowNanos) {
         dispatchScheduled = false;
         tick(nowNanos);
--- a/src/main/java/pondridge/pool/PooledConnection.java
+++ b/src/main/java/pondridge/pool/PooledConnection.java
@@ -1,8 +1,8 @@
 package pondridge.pool;
 
 /**
- * A connection as its pool sees it: it can take attempts while it has credit. {@link ConnectionPool} calls these methods
- * only while it handles an event; none of them may call back into the pool.
+ * A connection as its pool sees it: it can take attempts while it has credit. {@link ConnectionPool} calls these
+ * methods only while it handles an event; none of them may call back into the pool.
  */
 public interface PooledConnection {
     /** How many more attempts it can take now; 0 before it is established and once it is no longer usable. */
--- a/src/main/java/pondridge/settings/SettingsFile.java
+++ b/src/main/java/pondridge/settings/SettingsFile.java
@@ -14,9 +14,9 @@
 import java.util.Set;
 
 /**
- * A TOML file with one section per subsystem. Each reader requests the sections it needs; {@link #rejectUnknownKeys} then
- * rejects sections and keys that no reader has requested, so that a misspelled name does not silently leave a
- * default in place.
+ * A TOML file with one section per subsystem. Each reader requests the sections it needs;
+ * {@link #rejectUnknownKeys} then rejects sections and keys that no reader has requested, so that a misspelled
+ * name does not silently leave a default in place.
  */
 public final class SettingsFile {
     private static final long MAX_FILE_BYTES = 1 << 20;
--- a/src/main/java/pondridge/siteloss/SiteFailoverRouting.java
+++ b/src/main/java/pondridge/siteloss/SiteFailoverRouting.java
@@ -52,9 +52,9 @@
                 throw new IllegalArgumentException("the plan has no class " + name);
             }
         }
-        SiteFailoverRouting split = new SiteFailoverRouting(topology, localSite, List.copyOf(classes));
-        split.plan(topology.sites().stream().map(Site::name).collect(Collectors.toSet()));
-        return split;
+        SiteFailoverRouting routing = new SiteFailoverRouting(topology, localSite, List.copyOf(classes));
+        routing.plan(topology.sites().stream().map(Site::name).collect(Collectors.toSet()));
+        return routing;
     }
 
     private Plan plan(Set<String> reachable) {
--- a/src/main/java/pondridge/siteloss/SiteLossPlan.java
+++ b/src/main/java/pondridge/siteloss/SiteLossPlan.java
@@ -11,9 +11,9 @@
  * @param refused the load for which there is no capacity, by class; entries of zero are omitted
  * @param bottlenecks the bottlenecks that cause refusals: links and sites without free capacity
  * @param overloadedSites survivors whose capacity is below the demand of their own clients
- * @param requiredCapacityFraction the smallest fraction of the survivors' stated capacity at which the redirected load of the
- *     classes of highest utility, together with the survivors' own load of these classes, still fits; above 1
- *     if it does not fit, 0 if there is no such load
+ * @param requiredCapacityFraction the smallest fraction of the survivors' stated capacity at which the redirected
+ *     load of the classes of highest utility, together with the survivors' own load of these classes, still fits;
+ *     above 1 if it does not fit, 0 if there is no such load
  */
 public record SiteLossPlan(
         Set<String> lostSites,
--- a/src/main/java/pondridge/siteloss/SitePlanSettings.java
+++ b/src/main/java/pondridge/siteloss/SitePlanSettings.java
@@ -42,11 +42,11 @@
                     for (String siteName : List.of(from, to)) {
                         if (sites.stream().noneMatch(site -> site.name().equals(siteName))) {
                             throw link.invalid(
-                                    "round_trip", "the way's end is no site of [site_plan.sites]: " + siteName);
+                                    "round_trip", "the link's end is not a site of [site_plan.sites]: " + siteName);
                         }
                     }
                     if (from.equals(to)) {
-                        throw link.invalid("round_trip", "a way from a site to itself");
+                        throw link.invalid("round_trip", "the link is from a site to itself");
                     }
                     links.add(new SiteLink(
                             from,
--- a/src/main/java/pondridge/siteloss/Topology.java
+++ b/src/main/java/pondridge/siteloss/Topology.java
@@ -6,8 +6,8 @@
 
 /**
  * The input of a plan: sites with their capacity and demand, request classes with their utility and work, and the
- * network links between sites. The figures are provided by the operators; {@link SiteLossPlan#requiredCapacityFraction} shows how far
- * they may be off.
+ * network links between sites. The figures are provided by the operators;
+ * {@link SiteLossPlan#requiredCapacityFraction} shows how far they may be off.
  *
  * @param sites at least one, with distinct names
  * @param classes at least one, with distinct names
@@ -102,7 +102,7 @@
 
     private static void require(boolean condition, String description) {
         if (!condition) {
-            throw new IllegalArgumentException("plan makes no sense: " + description);
+            throw new IllegalArgumentException("invalid site topology: " + description);
         }
     }
 }
--- a/src/test/java/pondridge/ArchitectureTest.java
+++ b/src/test/java/pondridge/ArchitectureTest.java
@@ -127,16 +127,22 @@
 
     /** Classes with decision logic in all packages; new ones are added here. */
     private static final String DECISION_CLASSES =
-            ".*\\.(StreamTable|StreamOutcomeRules|Liveness|ResetBudget|FloodGuard|ProtocolDetector|ColdStart|Router|AttemptHistory"
-                    + "|LinkRttEstimator|ConnectionPool|SharedConnectionLimit|CrossSiteBudget|ServerStartTimes|LocalSiteHealth|LocalSloMonitor|SiteStateReports"
-                    + "|EchoedTimestamps|IdempotencyCache|CreditControl|Log.LineRateLimiter|BufferBudget|ThreadPoolModel|Keyspace|Commands"
-                    + "|RequestParser|StoreCircuitBreaker|LocalAttemptStats|FleetMembership|Leases|RequestRateEstimate|PeerOutlierDetector|ServerStats"
+            ".*\\.(StreamTable|StreamOutcomeRules|Liveness|ResetBudget|FloodGuard|ProtocolDetector|ColdStart"
+                    + "|Router|AttemptHistory"
+                    + "|LinkRttEstimator|ConnectionPool|SharedConnectionLimit|CrossSiteBudget|ServerStartTimes"
+                    + "|LocalSiteHealth|LocalSloMonitor|SiteStateReports"
+                    + "|EchoedTimestamps|IdempotencyCache|CreditControl|Log.LineRateLimiter|BufferBudget"
+                    + "|ThreadPoolModel|Keyspace|Commands"
+                    + "|RequestParser|StoreCircuitBreaker|LocalAttemptStats|FleetMembership|Leases"
+                    + "|RequestRateEstimate|PeerOutlierDetector|ServerStats"
                     + "|PeerReport|Topology|SiteLossPlan|SiteLossPlanner|RequestAdmission|SiteFailoverRouting"
                     + "|ScalePlan.Step|Schedule|PropagationTracker|Slope"
-                    + "|Version|Digest|Resource|ResourceStore|TokenBucket|PropagationStatus|Hello|FollowerState|UpdateScheduler|SourceState|PropagationLatency"
+                    + "|Version|Digest|Resource|ResourceStore|TokenBucket|PropagationStatus|Hello|FollowerState"
+                    + "|UpdateScheduler|SourceState|PropagationLatency"
                     + "|RelaySelector|NameRanges"
                     + "|GrpcCode|GrpcTimeout|MessageReader|LocalStatus|MethodTable"
-                    + "|lab\\.(Simulation|ColdStartBudget|EventQueue|SimulationScenario|SimulationResult|SimulatedServers))";
+                    + "|lab\\.(Simulation|ColdStartBudget|EventQueue|SimulationScenario"
+                    + "|SimulationResult|SimulatedServers))";
 
     @ArchTest
     static final ArchRule DECISION_CLASSES_HAVE_NO_IO = noClasses()
--- a/src/test/java/pondridge/gateway/CrossSiteTest.java
+++ b/src/test/java/pondridge/gateway/CrossSiteTest.java
@@ -335,8 +335,8 @@
     @Test
     void remoteGatewayWithoutRequiredHeadersGetsNoRequests() throws Exception {
         try (SiteTestbed sites = sites(1, 5 * MS, "", "a", "b");
-                TransportHarness direct = new TransportHarness("");
-                StandinServer oldVersion = direct.startServer(1, 100, 65_535, FaultScript.withoutFaults(MS))) {
+                TransportHarness harness = new TransportHarness("");
+                StandinServer oldVersion = harness.startServer(1, 100, 65_535, FaultScript.withoutFaults(MS))) {
             awaitLink(sites, "a");
             FaultyLink link = sites.site("b").links().get(0);
             link.setTarget(oldVersion.address());
@@ -412,7 +412,7 @@
     void crossSiteLoadAtFourTimesTheRemoteCapacity() throws Exception {
         String budget = "[crossing]\nper_second = 10000\nburst = 1000\n";
         double[] servedFraction = new double[2];
-        for (int crossing = 0; crossing < 2; crossing++) {
+        for (int withRemoteLoad = 0; withRemoteLoad < 2; withRemoteLoad++) {
             try (SiteTestbed sites = sites(1, 20 * MS, 10 * MS, budget, "a", "b")) {
                 awaitLink(sites, "a");
                 // 4 servers of 2 threads at 20 ms: 400 requests a second, half of them from the site's own
@@ -420,13 +420,13 @@
                 sites.site("b").servers().forEach(each -> each.setThreadPool(2, 20));
                 sites.site("a").publishState(UpstreamState.DRAINING);
                 CompletableFuture<Void> localLoad = sites.load("b", SEED).start(Fleet.mixedPlan(800, 200, 400));
-                CompletableFuture<Void> remoteLoad = crossing == 0
+                CompletableFuture<Void> remoteLoad = withRemoteLoad == 0
                         ? CompletableFuture.completedFuture(null)
                         : sites.load("a", SEED).start(Fleet.plan(6_400, 1_600, 400, Map.of("stock-check", 1.0)));
                 remoteLoad.get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                 Verdict verdict = awaitVerdict(sites, localLoad);
-                servedFraction[crossing] = sites.site("b").count("served") / 800.0;
-                if (crossing == 1) {
+                servedFraction[withRemoteLoad] = sites.site("b").count("served") / 800.0;
+                if (withRemoteLoad == 1) {
                     assertTrue(sites.site("a").count("crossed_served") > 100, verdict::toString);
                 }
             }
--- a/src/test/java/pondridge/gateway/RouterTest.java
+++ b/src/test/java/pondridge/gateway/RouterTest.java
@@ -342,13 +342,13 @@
                 kinds,
                 List.of(new Topology.SiteLink("a", "b", 1e6, 0), new Topology.SiteLink("a", "c", 1e6, 0)),
                 0);
-        SiteFailoverRouting split = SiteFailoverRouting.of(topology, "a", List.of("k0", "k1", "k2", "k3"));
+        SiteFailoverRouting failoverRouting = SiteFailoverRouting.of(topology, "a", List.of("k0", "k1", "k2", "k3"));
         Map<String, Router.SiteSnapshot> sites = Map.of("b", site(MS, true, 9), "c", site(5 * MS, true, 9));
         List<Router> gateways = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             LocalSiteHealth localSite = new LocalSiteHealth(LIMITS, 0);
             localSite.noServerReady(0);
-            gateways.add(new Router("a", localSite, budget(1e6, 1e6, 1), 10 * MS, MAX_DELIVERY_NANOS, split));
+            gateways.add(new Router("a", localSite, budget(1e6, 1e6, 1), 10 * MS, MAX_DELIVERY_NANOS, failoverRouting));
         }
         int[] confirmsBySite = new int[3];
         int[] checksBySite = new int[3];
--- a/src/test/java/pondridge/grpc/GrpcTest.java
+++ b/src/test/java/pondridge/grpc/GrpcTest.java
@@ -57,7 +57,7 @@
     private final EventLoop clientLoop = group.next();
     private final BalancerOptions options = StandinOptions.withDeadline(TIMEOUT_MILLIS);
     private final ExecutionLedger ledger = new ExecutionLedger(500 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
-    private final IdempotencyKeyStore keyStore = new IdempotencyKeyStore();
+    private final IdempotencyKeyStore idempotencyKeys = new IdempotencyKeyStore();
     private final Random random = new Random(SEED);
     private final List<Runnable> closers = new ArrayList<>();
     private GrpcTestFixture fixture;
@@ -80,7 +80,7 @@
                         ledger.requestArrived(name, metadata.get(GrpcTestFixture.REQUEST_ID));
                         StandinRequestClass orderClass = StandinRequestClass.named(className);
                         if (orderClass.effect() != StandinRequestClass.Effect.KEYED
-                                || keyStore.recordIfNew(
+                                || idempotencyKeys.recordIfNew(
                                         orderClass,
                                         "a",
                                         metadata.get(GrpcTestFixture.IDEMPOTENCY_KEY),
@@ -206,7 +206,7 @@
                                     NANOS_PER_MILLI,
                                     NANOS_PER_MILLI),
                             ledger,
-                            keyStore));
+                            idempotencyKeys));
             closers.add(server::close);
             servers.add(target("s" + i, server.address()));
         }
--- a/src/test/java/pondridge/http2/Http2UpstreamsTest.java
+++ b/src/test/java/pondridge/http2/Http2UpstreamsTest.java
@@ -66,11 +66,11 @@
                 Map.entry(Fault.GOAWAY_LIE, Outcome.REJECTED));
         assertEquals(Fault.values().length, expected.size());
         for (Map.Entry<Fault, Outcome> each : expected.entrySet()) {
-            try (TransportHarness direct = new TransportHarness("quiet = \"20ms\"\nping_wait = \"20ms\"");
-                    StandinServer server = direct.startServer(1, 100, WINDOW, always(each.getKey(), MS))) {
+            try (TransportHarness harness = new TransportHarness("quiet = \"20ms\"\nping_wait = \"20ms\"");
+                    StandinServer server = harness.startServer(1, 100, WINDOW, always(each.getKey(), MS))) {
                 boolean timesOut = each.getValue() == Outcome.TIMEOUT;
-                direct.send(1, "x", timesOut ? 300 * MS : TransportHarness.LONG_TIMEOUT_NANOS);
-                TransportHarness.Result result = direct.nextResult();
+                harness.send(1, "x", timesOut ? 300 * MS : TransportHarness.LONG_TIMEOUT_NANOS);
+                TransportHarness.Result result = harness.nextResult();
                 assertEquals(each.getValue(), result.outcome(), each.getKey().toString());
                 assertEquals(result.outcome() == Outcome.OK, result.response() != null);
                 boolean falseClaim = each.getKey() == Fault.LIE || each.getKey() == Fault.GOAWAY_LIE;
@@ -82,20 +82,20 @@
     /** Attempts above the stream limit wait or are rejected unsent; none is lost or times out. */
     @Test
     void loweringTheStreamLimitUnderLoadLosesNoAttempt() throws Exception {
-        try (TransportHarness direct = new TransportHarness("connections_per_server = 1\nstream_wait = \"400ms\"");
-                StandinServer server = direct.startServer(1, 100, WINDOW, FaultScript.withoutFaults(100 * MS))) {
+        try (TransportHarness harness = new TransportHarness("connections_per_server = 1\nstream_wait = \"400ms\"");
+                StandinServer server = harness.startServer(1, 100, WINDOW, FaultScript.withoutFaults(100 * MS))) {
             for (int i = 0; i < 300; i++) {
-                direct.send(1, "a" + i, TransportHarness.LONG_TIMEOUT_NANOS);
+                harness.send(1, "a" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
             TransportHarness.waitUntil(() -> server.executions() >= 100, "the first 100 requests");
             server.setMaxConcurrentStreams(1);
             List<Outcome> outcomes = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                outcomes.add(direct.nextResult().outcome());
+                outcomes.add(harness.nextResult().outcome());
             }
             server.setMaxConcurrentStreams(0);
             for (int i = 100; i < 300; i++) {
-                outcomes.add(direct.nextResult().outcome());
+                outcomes.add(harness.nextResult().outcome());
             }
             long served = outcomes.stream().filter(Outcome.OK::equals).count();
             assertEquals(
@@ -103,21 +103,21 @@
                     outcomes.stream().filter(Outcome.REJECTED::equals).count());
             assertEquals(served, server.executions(), "rejected attempts were not executed");
             assertTrue(served >= 100 && served < 300, "some attempts above the limit were rejected: " + served);
-            direct.send(1, "none", TransportHarness.LONG_TIMEOUT_NANOS);
-            assertEquals(Outcome.REJECTED, direct.nextResult().outcome(), "no streams allowed");
+            harness.send(1, "none", TransportHarness.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.REJECTED, harness.nextResult().outcome(), "no streams allowed");
             server.setMaxConcurrentStreams(100);
             TransportHarness.waitUntil(
                     () -> {
                         try {
-                            direct.send(1, "again" + System.nanoTime(), TransportHarness.LONG_TIMEOUT_NANOS);
-                            return direct.nextResult().outcome() == Outcome.OK;
+                            harness.send(1, "again" + System.nanoTime(), TransportHarness.LONG_TIMEOUT_NANOS);
+                            return harness.nextResult().outcome() == Outcome.OK;
                         } catch (Exception e) {
                             throw new AssertionError(e);
                         }
                     },
                     "a request to succeed after the limit was raised");
             assertEquals(1, server.peakConnections());
-            assertEquals(0, direct.ledger.verdict().duplicateEffects());
+            assertEquals(0, harness.ledger.verdict().duplicateEffects());
         }
     }
 
@@ -125,25 +125,25 @@
     @Test
     void connectionEndWithManyOpenStreamsIdentifiesRequestsNotExecuted() throws Exception {
         for (Fault fault : List.of(Fault.GOAWAY_LAST, Fault.GOAWAY_LOWERED, Fault.CLOSE, Fault.SILENT)) {
-            try (TransportHarness direct = new TransportHarness("connections_per_server = 1\nquiet = \"100ms\"\n"
+            try (TransportHarness harness = new TransportHarness("connections_per_server = 1\nquiet = \"100ms\"\n"
                             + "ping_wait = \"100ms\"\nredial = \"10s\"");
-                    StandinServer server = direct.startServer(1, 300, WINDOW, FaultScript.withoutFaults(400 * MS))) {
-                direct.sendConcurrently(1, "open", 100);
+                    StandinServer server = harness.startServer(1, 300, WINDOW, FaultScript.withoutFaults(400 * MS))) {
+                harness.sendConcurrently(1, "open", 100);
                 TransportHarness.waitUntil(() -> server.executions() == 100, "100 requests open");
                 server.overrideFaults(Map.of(fault, 1.0));
-                direct.sendConcurrently(1, "more", 100);
-                int neverRan = 0;
+                harness.sendConcurrently(1, "more", 100);
+                int notExecuted = 0;
                 for (int i = 0; i < 200; i++) {
-                    neverRan += direct.nextResult().outcome().provesNotExecuted() ? 1 : 0;
+                    notExecuted += harness.nextResult().outcome().provesNotExecuted() ? 1 : 0;
                 }
                 int runs = server.executions();
                 assertTrue(
-                        runs >= 100 && runs <= 200 - neverRan,
-                        fault + ": executed " + runs + ", proven not executed " + neverRan);
+                        runs >= 100 && runs <= 200 - notExecuted,
+                        fault + ": executed " + runs + ", proven not executed " + notExecuted);
                 if (fault == Fault.GOAWAY_LAST) {
-                    assertEquals(99, neverRan, "all streams above the last stream id");
+                    assertEquals(99, notExecuted, "all streams above the last stream id");
                 }
-                assertEquals(0, direct.ledger.verdict().duplicateEffects());
+                assertEquals(0, harness.ledger.verdict().duplicateEffects());
             }
         }
     }
@@ -151,19 +151,19 @@
     /** After a drain, attempts waiting for a stream must not be sent to the upstream. */
     @Test
     void drainEndsAttemptsWaitingForAStream() throws Exception {
-        try (TransportHarness direct = new TransportHarness("connections_per_server = 1\nstream_wait = \"10s\"");
-                StandinServer server = direct.startServer(1, 1, WINDOW, FaultScript.withoutFaults(200 * MS))) {
-            direct.send(1, "first", TransportHarness.LONG_TIMEOUT_NANOS);
+        try (TransportHarness harness = new TransportHarness("connections_per_server = 1\nstream_wait = \"10s\"");
+                StandinServer server = harness.startServer(1, 1, WINDOW, FaultScript.withoutFaults(200 * MS))) {
+            harness.send(1, "first", TransportHarness.LONG_TIMEOUT_NANOS);
             TransportHarness.waitUntil(() -> server.executions() == 1, "the first request");
             for (int i = 0; i < 50; i++) {
-                direct.send(1, "w" + i, TransportHarness.LONG_TIMEOUT_NANOS);
+                harness.send(1, "w" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
-            direct.listed(1, server.address(), false);
+            harness.listed(1, server.address(), false);
             for (int i = 0; i < 50; i++) {
-                TransportHarness.Result result = direct.nextResult();
+                TransportHarness.Result result = harness.nextResult();
                 assertEquals(Outcome.CONNECT_FAILED, result.outcome(), result.id());
             }
-            assertEquals("first", direct.nextResult().id(), "an open stream runs to its end");
+            assertEquals("first", harness.nextResult().id(), "an open stream runs to its end");
             assertEquals(1, server.executions());
             TransportHarness.waitUntil(() -> server.connections() == 0, "the connection to close");
         }
@@ -172,22 +172,22 @@
     /** A request whose body is held back by flow control was not fully sent and was not executed. */
     @Test
     void requestBlockedByFlowControlIsNotExecuted() throws Exception {
-        try (TransportHarness direct = new TransportHarness("");
-                StandinServer server = direct.startServer(1, 100, 40, FaultScript.withoutFaults(MS))) {
-            direct.send(1, "in parts", TransportHarness.LONG_TIMEOUT_NANOS);
-            assertEquals(Outcome.OK, direct.nextResult().outcome(), "100 bytes through a window of 40");
+        try (TransportHarness harness = new TransportHarness("");
+                StandinServer server = harness.startServer(1, 100, 40, FaultScript.withoutFaults(MS))) {
+            harness.send(1, "in parts", TransportHarness.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.OK, harness.nextResult().outcome(), "100 bytes through a window of 40");
             assertEquals(1, server.executions());
         }
-        try (TransportHarness direct = new TransportHarness("");
-                StandinServer server = direct.startServer(1, 100, 0, FaultScript.withoutFaults(MS))) {
-            direct.send(1, "stuck", 200 * MS);
-            assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
-            Transport.Attempt attempt = direct.send(1, "cancelled", TransportHarness.LONG_TIMEOUT_NANOS);
-            direct.cancel(attempt);
-            assertEquals(Outcome.CANCELLED, direct.nextResult().outcome());
-            direct.send(1, "drained", TransportHarness.LONG_TIMEOUT_NANOS);
-            direct.listed(1, server.address(), false);
-            assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
+        try (TransportHarness harness = new TransportHarness("");
+                StandinServer server = harness.startServer(1, 100, 0, FaultScript.withoutFaults(MS))) {
+            harness.send(1, "stuck", 200 * MS);
+            assertEquals(Outcome.CONNECT_FAILED, harness.nextResult().outcome());
+            Transport.Attempt attempt = harness.send(1, "cancelled", TransportHarness.LONG_TIMEOUT_NANOS);
+            harness.cancel(attempt);
+            assertEquals(Outcome.CANCELLED, harness.nextResult().outcome());
+            harness.send(1, "drained", TransportHarness.LONG_TIMEOUT_NANOS);
+            harness.listed(1, server.address(), false);
+            assertEquals(Outcome.CONNECT_FAILED, harness.nextResult().outcome());
             assertEquals(0, server.executions());
         }
     }
@@ -198,19 +198,19 @@
      */
     @Test
     void abandonedRequestIsNotExecutedWhenTheWindowOpens() throws Exception {
-        try (TransportHarness direct = new TransportHarness("resets = 1\nreset_window = \"10min\"");
-                StandinServer server = direct.startServer(1, 100, 0, FaultScript.withoutFaults(MS))) {
+        try (TransportHarness harness = new TransportHarness("resets = 1\nreset_window = \"10min\"");
+                StandinServer server = harness.startServer(1, 100, 0, FaultScript.withoutFaults(MS))) {
             for (int i = 0; i < 4; i++) {
-                direct.send(1, "late" + i, 100 * MS);
+                harness.send(1, "late" + i, 100 * MS);
             }
             for (int i = 0; i < 4; i++) {
-                assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
+                assertEquals(Outcome.CONNECT_FAILED, harness.nextResult().outcome());
             }
-            direct.cancel(direct.send(1, "cancelled", TransportHarness.LONG_TIMEOUT_NANOS));
-            assertEquals(Outcome.CANCELLED, direct.nextResult().outcome());
+            harness.cancel(harness.send(1, "cancelled", TransportHarness.LONG_TIMEOUT_NANOS));
+            assertEquals(Outcome.CANCELLED, harness.nextResult().outcome());
             server.setInitialWindow(WINDOW);
-            direct.send(1, "open", TransportHarness.LONG_TIMEOUT_NANOS);
-            assertEquals(Outcome.OK, direct.nextResult().outcome());
+            harness.send(1, "open", TransportHarness.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.OK, harness.nextResult().outcome());
             assertEquals(1, server.executions(), "only the last request was executed");
             assertEquals(1, server.peakConnections());
         }
@@ -219,11 +219,11 @@
     /** A connection whose stream ids are exhausted takes no more requests; a new connection does. */
     @Test
     void exhaustedStreamIdsOpenAnotherConnection() throws Exception {
-        try (TransportHarness direct = new TransportHarness("", Integer.MAX_VALUE - 4);
-                StandinServer server = direct.startServer(1, 100, WINDOW, FaultScript.withoutFaults(MS))) {
+        try (TransportHarness harness = new TransportHarness("", Integer.MAX_VALUE - 4);
+                StandinServer server = harness.startServer(1, 100, WINDOW, FaultScript.withoutFaults(MS))) {
             for (int i = 0; i < 7; i++) {
-                direct.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
-                assertEquals(Outcome.OK, direct.nextResult().outcome());
+                harness.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.OK, harness.nextResult().outcome());
             }
             assertEquals(7, server.executions());
             TransportHarness.waitUntil(() -> server.connections() == 1, "exhausted connections to close");
@@ -236,49 +236,49 @@
      */
     @Test
     void resetsAreLimitedByTheBudget() throws Exception {
-        try (TransportHarness direct = new TransportHarness("resets = 2\nreset_window = \"10min\"");
-                StandinServer server = direct.startServer(1, 5, WINDOW, always(Fault.STALL, MS))) {
+        try (TransportHarness harness = new TransportHarness("resets = 2\nreset_window = \"10min\"");
+                StandinServer server = harness.startServer(1, 5, WINDOW, always(Fault.STALL, MS))) {
             List<Transport.Attempt> attempts = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
-                attempts.add(direct.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS));
+                attempts.add(harness.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS));
             }
             TransportHarness.waitUntil(() -> server.executions() == 5, "all five requests");
             for (Transport.Attempt attempt : attempts) {
-                direct.cancel(attempt);
-                assertEquals(Outcome.CANCELLED, direct.nextResult().outcome());
+                harness.cancel(attempt);
+                assertEquals(Outcome.CANCELLED, harness.nextResult().outcome());
             }
             for (int i = 5; i < 7; i++) {
-                direct.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
+                harness.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
             TransportHarness.waitUntil(
                     () -> server.executions() == 7, "two requests on the streams that became available");
             assertEquals(1, server.peakConnections());
-            direct.send(1, "x7", TransportHarness.LONG_TIMEOUT_NANOS);
+            harness.send(1, "x7", TransportHarness.LONG_TIMEOUT_NANOS);
             TransportHarness.waitUntil(() -> server.executions() == 8, "one more request");
             assertEquals(2, server.peakConnections(), "three abandoned streams are still open");
         }
     }
 
-    /** Waiting attempts and connections are bounded, and idle connections are closed to make room. */
+    /** Waiting attempts and connections are bounded, and idle connections are closed to free capacity. */
     @Test
     void waitingAttemptsAndConnectionsAreBounded() throws Exception {
-        try (TransportHarness direct = new TransportHarness(
+        try (TransportHarness harness = new TransportHarness(
                         "connections_per_server = 1\nconnections = 1\nwaiting = 3\nstream_wait = \"10s\"");
-                StandinServer first = direct.startServer(1, 1, WINDOW, FaultScript.withoutFaults(50 * MS));
-                StandinServer second = direct.startServer(2, 1, WINDOW, FaultScript.withoutFaults(MS))) {
-            direct.send(1, "x0", TransportHarness.LONG_TIMEOUT_NANOS);
+                StandinServer first = harness.startServer(1, 1, WINDOW, FaultScript.withoutFaults(50 * MS));
+                StandinServer second = harness.startServer(2, 1, WINDOW, FaultScript.withoutFaults(MS))) {
+            harness.send(1, "x0", TransportHarness.LONG_TIMEOUT_NANOS);
             TransportHarness.waitUntil(() -> first.executions() == 1, "the first request");
             for (int i = 1; i < 5; i++) {
-                direct.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
+                harness.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
-            assertEquals(Outcome.REJECTED, direct.nextResult().outcome(), "the queue is full");
-            direct.send(2, "while all busy", TransportHarness.LONG_TIMEOUT_NANOS);
-            assertEquals(Outcome.NEVER_SENT, direct.nextResult().outcome(), "every connection is in use");
+            assertEquals(Outcome.REJECTED, harness.nextResult().outcome(), "the queue is full");
+            harness.send(2, "while all busy", TransportHarness.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.NEVER_SENT, harness.nextResult().outcome(), "every connection is in use");
             for (int i = 0; i < 4; i++) {
-                assertEquals(Outcome.OK, direct.nextResult().outcome());
+                assertEquals(Outcome.OK, harness.nextResult().outcome());
             }
-            direct.send(2, "after idle", TransportHarness.LONG_TIMEOUT_NANOS);
-            assertEquals(Outcome.OK, direct.nextResult().outcome(), "the idle connection is closed to make room");
+            harness.send(2, "after idle", TransportHarness.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.OK, harness.nextResult().outcome(), "the idle connection is closed to free capacity");
             assertEquals(1, second.executions());
         }
     }
@@ -368,10 +368,10 @@
         for (Map.Entry<String, byte[]> misbehaviour : misbehaviours.entrySet()) {
             byte[] first = misbehaviour.getKey().startsWith("continuation") ? frame(1, 0, 1) : new byte[0];
             try (RawServer server = new RawServer(settings, first, misbehaviour.getValue(), 20_000);
-                    TransportHarness direct = new TransportHarness("control_frames = 100")) {
-                direct.listed(1, server.address(), true);
-                direct.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
-                TransportHarness.Result result = direct.nextResult();
+                    TransportHarness harness = new TransportHarness("control_frames = 100")) {
+                harness.listed(1, server.address(), true);
+                harness.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
+                TransportHarness.Result result = harness.nextResult();
                 assertEquals(
                         false, result.outcome().provesNotExecuted(), misbehaviour.getKey() + " " + result.outcome());
                 if (!misbehaviour.getKey().startsWith("empty")) {
@@ -387,12 +387,12 @@
     void streamErrorEndsOnlyThatStream() throws Exception {
         byte[] noIncrement = frame(8, 0, 1, new byte[4]);
         try (RawServer server = new RawServer(frame(4, 0, 0), new byte[0], noIncrement, 1);
-                TransportHarness direct = new TransportHarness("")) {
-            direct.listed(1, server.address(), true);
-            direct.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
-            assertEquals(Outcome.ERROR, direct.nextResult().outcome());
-            direct.send(1, "y", 200 * MS);
-            assertEquals(Outcome.TIMEOUT, direct.nextResult().outcome(), "sent on the same connection");
+                TransportHarness harness = new TransportHarness("")) {
+            harness.listed(1, server.address(), true);
+            harness.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.ERROR, harness.nextResult().outcome());
+            harness.send(1, "y", 200 * MS);
+            assertEquals(Outcome.TIMEOUT, harness.nextResult().outcome(), "sent on the same connection");
             assertEquals(0, server.endedConnections.size());
         }
     }
@@ -401,23 +401,23 @@
     @Test
     void silentLinksAreDetected() throws Exception {
         for (FaultyLink.Direction direction : FaultyLink.Direction.values()) {
-            try (TransportHarness direct =
+            try (TransportHarness harness =
                             new TransportHarness("quiet = \"50ms\"\nping_wait = \"50ms\"\nredial = \"1ms\"");
-                    StandinServer server = direct.startServer(1, 100, WINDOW, FaultScript.withoutFaults(MS));
-                    FaultyLink link = direct.link(server, 1)) {
-                direct.send(1, "good", TransportHarness.LONG_TIMEOUT_NANOS);
-                assertEquals(Outcome.OK, direct.nextResult().outcome());
+                    StandinServer server = harness.startServer(1, 100, WINDOW, FaultScript.withoutFaults(MS));
+                    FaultyLink link = harness.link(server, 1)) {
+                harness.send(1, "good", TransportHarness.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.OK, harness.nextResult().outcome());
                 FaultyLink.Condition good = FaultyLink.Condition.delayed(0, 0);
                 link.setCondition(direction, good.withDiscarding(true));
-                direct.send(1, "lost", TransportHarness.LONG_TIMEOUT_NANOS);
-                assertEquals(Outcome.RESET, direct.nextResult().outcome(), "it may have been executed");
+                harness.send(1, "lost", TransportHarness.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.RESET, harness.nextResult().outcome(), "it may have been executed");
                 int expectedRuns = direction == FaultyLink.Direction.BACKWARD ? 2 : 1;
                 TransportHarness.waitUntil(
                         () -> server.executions() == expectedRuns,
                         "the number of executions expected for this direction");
                 link.setCondition(direction, good);
-                direct.send(1, "again", TransportHarness.LONG_TIMEOUT_NANOS);
-                assertEquals(Outcome.OK, direct.nextResult().outcome(), "on a new connection");
+                harness.send(1, "again", TransportHarness.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.OK, harness.nextResult().outcome(), "on a new connection");
             }
         }
     }
@@ -428,10 +428,10 @@
         byte[] http1 = "HTTP/1.1 400 Bad Request\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
         for (byte[] greeting : List.of(http1, new byte[0])) {
             try (RawServer server = new RawServer(greeting, new byte[0], new byte[0], 0);
-                    TransportHarness direct = new TransportHarness("settings_wait = \"100ms\"")) {
-                direct.listed(1, server.address(), true);
-                direct.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
-                assertEquals(Outcome.CONNECT_FAILED, direct.nextResult().outcome());
+                    TransportHarness harness = new TransportHarness("settings_wait = \"100ms\"")) {
+                harness.listed(1, server.address(), true);
+                harness.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
+                assertEquals(Outcome.CONNECT_FAILED, harness.nextResult().outcome());
                 StubServer.awaitNext(server.endedConnections);
             }
         }
@@ -442,11 +442,11 @@
      */
     @Test
     void reconnectsAfterFailedConnectionsAreDelayed() throws Exception {
-        try (TransportHarness direct = new TransportHarness("redial = \"10s\"");
-                StandinServer server = direct.startServer(1, 100, WINDOW, always(Fault.GOAWAY_LIE, MS))) {
+        try (TransportHarness harness = new TransportHarness("redial = \"10s\"");
+                StandinServer server = harness.startServer(1, 100, WINDOW, always(Fault.GOAWAY_LIE, MS))) {
             for (int i = 0; i < 20; i++) {
-                direct.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
-                assertTrue(direct.nextResult().outcome().provesNotExecuted());
+                harness.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
+                assertTrue(harness.nextResult().outcome().provesNotExecuted());
             }
             assertEquals(1, server.peakConnections());
             assertEquals(1, server.executions(), "the only executed request was denied by the server");
--- a/src/test/java/pondridge/http2/InteropTest.java
+++ b/src/test/java/pondridge/http2/InteropTest.java
@@ -43,16 +43,16 @@
                 .protocols(List.of(Protocol.H2_PRIOR_KNOWLEDGE))
                 .build();
         for (Fault fault : List.of(Fault.NONE, Fault.ADORNED, Fault.RESET_AFTER_ANSWER)) {
-            try (TransportHarness direct = new TransportHarness("");
+            try (TransportHarness harness = new TransportHarness("");
                     StandinServer server =
-                            direct.startServer(1, 100, 65_535, new FaultScript(1, Map.of(fault, 1.0), MS, MS))) {
+                            harness.startServer(1, 100, 65_535, new FaultScript(1, Map.of(fault, 1.0), MS, MS))) {
                 int calls = 50;
                 String url = "http://127.0.0.1:" + server.address().getPort() + "/api/";
                 AtomicInteger matching = new AtomicInteger();
                 CountDownLatch done = new CountDownLatch(calls);
                 for (int i = 0; i < calls; i++) {
                     String id = "x" + i;
-                    direct.ledger.requestSent(
+                    harness.ledger.requestSent(
                             id, StandinRequestClass.named("order-book"), "", TransportHarness.LONG_TIMEOUT_NANOS);
                     client.newCall(new Request.Builder()
                                     .url(url + id)
@@ -70,7 +70,7 @@
                                 public void onResponse(Call call, Response response) throws IOException {
                                     try (response) {
                                         String body = response.body().string().trim();
-                                        direct.ledger.responseReceived(id, response.code(), body);
+                                        harness.ledger.responseReceived(id, response.code(), body);
                                         matching.addAndGet(body.equals(id) ? 1 : 0);
                                     } finally {
                                         done.countDown();
@@ -80,7 +80,7 @@
                 }
                 assertTrue(done.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(calls, matching.get(), fault.toString());
-                assertTrue(direct.ledger.verdict().passed(), direct.ledger.verdict()::toString);
+                assertTrue(harness.ledger.verdict().passed(), harness.ledger.verdict()::toString);
                 assertEquals(calls, server.executions());
             }
         }
@@ -92,7 +92,7 @@
     @Test
     void transportWorksWithOkHttpServer() throws Exception {
         try (MockWebServer server = new MockWebServer();
-                TransportHarness direct = new TransportHarness(
+                TransportHarness harness = new TransportHarness(
                         "stream_window = \"16KiB\"\nconnection_window = \"64KiB\"\n" + "header_bytes = \"1KiB\"")) {
             server.setProtocols(List.of(Protocol.H2_PRIOR_KNOWLEDGE));
             AtomicInteger resetWith = new AtomicInteger(-1);
@@ -122,29 +122,29 @@
                 }
             });
             server.start(TransportHarness.local(0).getAddress(), 0);
-            direct.listed(1, TransportHarness.local(server.getPort()), true);
+            harness.listed(1, TransportHarness.local(server.getPort()), true);
             for (int i = 0; i < 100; i++) {
-                direct.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
+                harness.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
             for (int i = 0; i < 100; i++) {
-                TransportHarness.Result result = direct.nextResult();
+                TransportHarness.Result result = harness.nextResult();
                 assertEquals(Outcome.OK, result.outcome());
                 assertEquals(result.id() + " 100", new String(result.response().body(), StandardCharsets.US_ASCII));
             }
             for (String id : List.of("large", "heads")) {
-                direct.send(1, id, TransportHarness.LONG_TIMEOUT_NANOS);
-                TransportHarness.Result result = direct.nextResult();
+                harness.send(1, id, TransportHarness.LONG_TIMEOUT_NANOS);
+                TransportHarness.Result result = harness.nextResult();
                 boolean large = id.equals("large");
                 assertEquals(large ? Outcome.OK : Outcome.RESET, result.outcome(), id);
                 assertEquals(
                         large ? LARGE_BODY_BYTES : -1, large ? result.response().body().length : -1);
             }
             resetWith.set((int) StreamTable.REFUSED_STREAM);
-            direct.send(1, "refused", TransportHarness.LONG_TIMEOUT_NANOS);
-            assertEquals(Outcome.REJECTED, direct.nextResult().outcome());
+            harness.send(1, "refused", TransportHarness.LONG_TIMEOUT_NANOS);
+            assertEquals(Outcome.REJECTED, harness.nextResult().outcome());
             resetWith.set(2);
-            direct.send(1, "reset", TransportHarness.LONG_TIMEOUT_NANOS);
-            Outcome outcome = direct.nextResult().outcome();
+            harness.send(1, "reset", TransportHarness.LONG_TIMEOUT_NANOS);
+            Outcome outcome = harness.nextResult().outcome();
             assertTrue(outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED, outcome::toString);
         }
     }
--- a/src/test/java/pondridge/http2/ReplaySafetyTest.java
+++ b/src/test/java/pondridge/http2/ReplaySafetyTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Tests that no request is executed twice when servers end streams and connections, through front end, engine
- * and module. Each test ends by checking the effect ledger.
+ * and module. Each test ends by checking the execution ledger.
  */
 class ReplaySafetyTest {
     private static final long MS = 1_000_000;
--- a/src/test/java/pondridge/http2/StreamTableTest.java
+++ b/src/test/java/pondridge/http2/StreamTableTest.java
@@ -96,10 +96,10 @@
             }
         }
 
-        private void sendGoAway(int lastStream) {
-            lastStreamId = lastStream;
-            table.onGoAway(lastStream).forEach(this::onAttemptEnd);
-            openStreams.keySet().removeIf(id -> id > lastStream);
+        private void sendGoAway(int announcedLastStreamId) {
+            lastStreamId = announcedLastStreamId;
+            table.onGoAway(announcedLastStreamId).forEach(this::onAttemptEnd);
+            openStreams.keySet().removeIf(id -> id > announcedLastStreamId);
         }
 
         private void actOnStream(int id, int action) {
@@ -154,7 +154,7 @@
 
     @Test
     void outcomesProvingNonExecutionAreCorrect() {
-        int neverRan = 0;
+        int notExecuted = 0;
         for (long seed = 0; seed < 2_000; seed++) {
             SimulatedUpstream upstream = new SimulatedUpstream(seed);
             try {
@@ -165,11 +165,11 @@
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("seed " + seed, e);
             }
-            neverRan += upstream.outcomesByAttempt.values().stream()
+            notExecuted += upstream.outcomesByAttempt.values().stream()
                     .filter(Outcome::provesNotExecuted)
                     .count();
         }
-        assertTrue(neverRan > 10_000, "such outcomes must be frequent: " + neverRan);
+        assertTrue(notExecuted > 10_000, "such outcomes must be frequent: " + notExecuted);
     }
 
     @Test
--- a/src/test/java/pondridge/pool/ConnectionPoolModelTest.java
+++ b/src/test/java/pondridge/pool/ConnectionPoolModelTest.java
@@ -33,7 +33,7 @@
         private boolean useful;
         private boolean closing;
         private boolean ended;
-        private long idleSince;
+        private long idleSinceNanos;
 
         FakeConnection(PoolModel model) {
             this.model = model;
@@ -56,7 +56,7 @@
 
         @Override
         public long idleSinceNanos() {
-            return idleSince;
+            return idleSinceNanos;
         }
     }
 
@@ -196,7 +196,7 @@
                 simulation.models.forEach(model -> model.connections.stream()
                         .filter(model::evictable)
                         .forEach(each -> assertTrue(
-                                each.idleSince >= connection.idleSince,
+                                each.idleSinceNanos >= connection.idleSinceNanos,
                                 "another connection has been idle for longer")));
             }
             connection.closing = true;
@@ -317,7 +317,7 @@
 
         void completeAttempt(FakeConnection connection) {
             connection.used--;
-            connection.idleSince = connection.used == 0 ? nowNanos : connection.idleSince;
+            connection.idleSinceNanos = connection.used == 0 ? nowNanos : connection.idleSinceNanos;
             if (connection.draining && connection.used == 0 && !connection.closing) {
                 connection.closing = true;
                 closing++;
@@ -336,7 +336,7 @@
         private void establish(FakeConnection connection) {
             connection.up = true;
             connection.limit = random.nextInt(5);
-            connection.idleSince = nowNanos;
+            connection.idleSinceNanos = nowNanos;
             connection.model.pool.connectionEstablished(connection, nowNanos);
         }
 
