--- a/src/main/java/pondridge/gateway/CrossSiteBudget.java
+++ b/src/main/java/pondridge/gateway/CrossSiteBudget.java
@@ -7,11 +7,11 @@
 /**
  * Limits how many requests are sent to other sites, so that a failing site can't overload a healthy one. The
  * limit is a rate and a share of the arriving requests, over all classes and, where configured, for one
- * class. Each class leaves a reserve of the common budget to the others; by default a class of lower worth
+ * class. Each class leaves a reserve of the common budget to the others; by default a class of lower utility
  * leaves more. Times are in nanoseconds.
  */
 final class CrossSiteBudget {
-    /** The part of the common burst that the class of least worth leaves to the others by default. */
+    /** The part of the common burst that the class of lowest utility leaves to the others by default. */
     private static final double MAX_RESERVED_FRACTION = 0.6;
 
     /**
@@ -116,14 +116,14 @@
 
     /** Takes a token for one request of a class; false if it must not be sent to another site now. */
     boolean tryTake(int requestClass, long now) {
-        Bucket ofClass = classBuckets.get(requestClass);
+        Bucket classBucket = classBuckets.get(requestClass);
         double free = common.availableTokens(now) - classLimits.get(requestClass).reservedFraction * common.rate.burst;
-        if (free < 1 || ofClass != null && ofClass.availableTokens(now) < 1) {
+        if (free < 1 || classBucket != null && classBucket.availableTokens(now) < 1) {
             return false;
         }
         common.take();
-        if (ofClass != null) {
-            ofClass.take();
+        if (classBucket != null) {
+            classBucket.take();
         }
         return true;
     }
--- a/src/main/java/pondridge/gateway/CrossSiteHeaders.java
+++ b/src/main/java/pondridge/gateway/CrossSiteHeaders.java
@@ -12,9 +12,9 @@
      *
      * @param deadline when the other site may no longer send the request to a server, by this gateway's clock
      */
-    CrossSiteHeaders(HttpHeaders from, String site, long deadline) {
+    CrossSiteHeaders(HttpHeaders clientHeaders, String site, long deadline) {
         this.deadline = deadline;
-        add(from);
+        add(clientHeaders);
         names().stream()
                 .filter(name -> name.regionMatches(true, 0, LinkHeaders.PREFIX, 0, LinkHeaders.PREFIX.length()))
                 .forEach(this::remove);
--- a/src/main/java/pondridge/grpc/GrpcFrontend.java
+++ b/src/main/java/pondridge/grpc/GrpcFrontend.java
@@ -68,7 +68,7 @@
     private final MethodTable methods;
     private final JobReader reader;
     private final RequestProcessor requests;
-    private final Http2Server listener;
+    private final Http2Server server;
     private final Set<String> activeRequestIds = new HashSet<>();
     private final String runId;
     private long lastGeneratedId;
@@ -91,7 +91,7 @@
         this.reader = new JobReader(platform);
         this.requests = requests;
         this.runId = runId;
-        this.listener = new Http2Server(
+        this.server = new Http2Server(
                 loop,
                 new Http2Server.Limits(
                         settings.listenAddress(),
@@ -110,9 +110,9 @@
                 (stream, share) -> stream.pipeline().addLast(new Call(stream, share)));
     }
 
-    /** Starts to listen; health checks report NOT_SERVING until {@link #ready}. */
+    /** Starts to listen; health checks report NOT_SERVING until {@link #setReady}. */
     public ChannelFuture listen() {
-        return listener.listen();
+        return server.listen();
     }
 
     /** Sets what health checks report; calls are accepted in either state, as over HTTP/1.1. */
@@ -123,12 +123,12 @@
     /** Asks all clients to close their connections and reports NOT_SERVING; new calls are still accepted. */
     public void drain() {
         ready = false;
-        listener.drainConnections();
+        server.drainConnections();
     }
 
     /** The number of open client connections. */
     public int connectionCount() {
-        return listener.connections();
+        return server.connections();
     }
 
     /** Whether no call is in flight. */
@@ -138,7 +138,7 @@
 
     /** Accepts no more connections. */
     public void close() {
-        listener.stopAccepting();
+        server.stopAccepting();
     }
 
     /** A stream, which carries one unary call. */
--- a/src/main/java/pondridge/http2/Connection.java
+++ b/src/main/java/pondridge/http2/Connection.java
@@ -72,10 +72,10 @@
     private boolean hasServed;
     private long idleSinceNanos;
 
-    Connection(ServerPool pool, Http2Options options, StreamOutcomeRules outcomeRules, int firstStream, long now) {
+    Connection(ServerPool pool, Http2Options options, StreamOutcomeRules outcomeRules, int firstStreamId, long now) {
         this.pool = pool;
         this.options = options;
-        this.table = new StreamTable<>(outcomeRules, firstStream);
+        this.table = new StreamTable<>(outcomeRules, firstStreamId);
         this.liveness = new Liveness(options.pingAfterNanos(), options.pingTimeoutNanos(), now);
         this.resetBudget = new ResetBudget(options.maxResets(), options.resetWindowNanos(), now);
         this.floodGuard = new FloodGuard(options.controlFramesPerSecond(), SECOND_NANOS, now);
--- a/src/main/java/pondridge/http2/Http2Upstreams.java
+++ b/src/main/java/pondridge/http2/Http2Upstreams.java
@@ -191,7 +191,7 @@
         long now = System.nanoTime();
         List.copyOf(pools.values()).forEach(pool -> pool.maintain(now, idleTimeoutNanos));
         removedPools.forEach(pool -> pool.maintain(now, idleTimeoutNanos));
-        removedPools.removeIf(ServerPool::dissolve);
+        removedPools.removeIf(ServerPool::unregisterIfEmpty);
     }
 
     EventLoop loop() {
--- a/src/main/java/pondridge/http2/ServerPool.java
+++ b/src/main/java/pondridge/http2/ServerPool.java
@@ -54,7 +54,7 @@
     }
 
     /** Releases the pool if it was shut down and holds no connection; false if it still does. */
-    boolean dissolve() {
+    boolean unregisterIfEmpty() {
         return pool.unregisterIfEmpty();
     }
 
@@ -134,10 +134,10 @@
     }
 
     @Override
-    public void reject(Http2Attempt attempt, RejectionReason why) {
+    public void reject(Http2Attempt attempt, RejectionReason reason) {
         finishAttempt(
                 attempt,
-                switch (why) {
+                switch (reason) {
                     case SHUT, UNREACHABLE -> Outcome.CONNECT_FAILED;
                     case FULL, STARVED -> Outcome.REJECTED;
                     case NO_ROOM -> Outcome.NEVER_SENT;
--- a/src/main/java/pondridge/http2/StreamTable.java
+++ b/src/main/java/pondridge/http2/StreamTable.java
@@ -57,18 +57,18 @@
 
     private final StreamOutcomeRules outcomeRules;
     private final TreeMap<Integer, Stream<T>> streams = new TreeMap<>();
-    private long nextId;
+    private long nextStreamId;
     private long maxConcurrentStreams = -1;
     private int lastStreamId = MAX_STREAM_ID;
     private boolean closing;
 
     /**
-     * Creates a table whose first stream id is {@code firstId}, an odd number; only tests pass anything but
+     * Creates a table whose first stream id is {@code firstStreamId}, an odd number; only tests pass anything but
      * 1.
      */
-    StreamTable(StreamOutcomeRules outcomeRules, int firstId) {
+    StreamTable(StreamOutcomeRules outcomeRules, int firstStreamId) {
         this.outcomeRules = outcomeRules;
-        this.nextId = firstId;
+        this.nextStreamId = firstStreamId;
     }
 
     /**
@@ -102,15 +102,15 @@
         if (!settingsReceived() || !usable()) {
             return 0;
         }
-        long remainingIds = (MAX_STREAM_ID - nextId) / 2 + 1;
-        return (int) Math.max(0, Math.min(remainingIds, maxConcurrentStreams - streams.size()));
+        long remainingStreams = (MAX_STREAM_ID - nextStreamId) / 2 + 1;
+        return (int) Math.max(0, Math.min(remainingStreams, maxConcurrentStreams - streams.size()));
     }
 
     /**
      * Whether streams may still be opened at some time: false after a GOAWAY, a drain or the last stream id.
      */
     boolean usable() {
-        return !closing && nextId <= MAX_STREAM_ID;
+        return !closing && nextStreamId <= MAX_STREAM_ID;
     }
 
     /** Opens a stream for an attempt and returns its id. */
@@ -118,8 +118,8 @@
         if (!canOpen()) {
             throw new IllegalStateException("no stream available on this connection");
         }
-        int id = (int) nextId;
-        nextId += 2;
+        int id = (int) nextStreamId;
+        nextStreamId += 2;
         streams.put(id, new Stream<>(id, attempt));
         return id;
     }
--- a/src/main/java/pondridge/settings/Section.java
+++ b/src/main/java/pondridge/settings/Section.java
@@ -73,7 +73,7 @@
         return (int) quantity(key, defaultValue, min, max, BYTES_PER_UNIT, "a size with its unit (B, KiB, MiB)");
     }
 
-    /** Returns one of the allowed words. */
+    /** Returns one of the allowed values. */
     public String choice(String key, String defaultValue, List<String> allowed) {
         JsonNode value = value(key);
         if (value.isMissingNode()) {
--- a/src/main/java/pondridge/settings/SettingsFile.java
+++ b/src/main/java/pondridge/settings/SettingsFile.java
@@ -47,9 +47,9 @@
         try {
             return new SettingsFile(name, new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
-            String where =
+            String location =
                     e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr() + ": ";
-            throw new SettingsException(name, "", "not TOML: " + where + e.getOriginalMessage());
+            throw new SettingsException(name, "", "not TOML: " + location + e.getOriginalMessage());
         }
     }
 
@@ -64,12 +64,12 @@
         return new SettingsFile(name, merged);
     }
 
-    private static void merge(ObjectNode into, JsonNode from) {
-        from.properties().forEach(field -> {
-            if (field.getValue().isObject() && into.path(field.getKey()).isObject()) {
-                merge((ObjectNode) into.get(field.getKey()), field.getValue());
+    private static void merge(ObjectNode target, JsonNode source) {
+        source.properties().forEach(field -> {
+            if (field.getValue().isObject() && target.path(field.getKey()).isObject()) {
+                merge((ObjectNode) target.get(field.getKey()), field.getValue());
             } else {
-                into.set(field.getKey(), field.getValue());
+                target.set(field.getKey(), field.getValue());
             }
         });
     }
--- a/src/test/java/pondridge/gateway/CrossSiteTest.java
+++ b/src/test/java/pondridge/gateway/CrossSiteTest.java
@@ -25,8 +25,8 @@
 import pondridge.standin.redis.RedisStandin;
 
 /**
- * Tests two and three sites with servers, gateways and faulty links; each test ends by checking the effect
- * ledger.
+ * Tests two and three sites with servers, gateways and faulty links; each test ends by checking the
+ * execution ledger.
  */
 class CrossSiteTest {
     private static final long MS = 1_000_000;
@@ -156,7 +156,7 @@
     }
 
     /**
-     * A response is lost on the way back; the repeat gets the same response from the gateway or a server,
+     * A response is lost in transit; the repeat gets the same response from the gateway or a server,
      * without a second run.
      */
     @Test
@@ -183,7 +183,7 @@
      * deadline.
      */
     @Test
-    void cutAndStalledAtOnce() throws Exception {
+    void siteCutWhileTheLinkStalls() throws Exception {
         try (SiteTestbed sites = sites(2, 20 * MS, "", "a", "b")) {
             awaitLink(sites, "a");
             CompletableFuture<Void> load = sites.load("a", SEED).start(Fleet.mixedPlan(600, 200, CLIENT_TIMEOUT_MS));
@@ -246,8 +246,8 @@
     @Test
     void lostSiteIsServedByCapacityAndNotByDistance() throws Exception {
         StringBuilder plan = new StringBuilder("[site_plan]\nreserve = 0\n");
-        for (String kind : StandinOptions.withDeadline(CLIENT_TIMEOUT_MS).objectNames("profiles")) {
-            plan.append("[site_plan.classes.").append(kind).append("]\nwork = \"5ms\"\naim = \"1s\"\n");
+        for (String className : StandinOptions.withDeadline(CLIENT_TIMEOUT_MS).objectNames("profiles")) {
+            plan.append("[site_plan.classes.").append(className).append("]\nwork = \"5ms\"\naim = \"1s\"\n");
         }
         plan.append("[site_plan.sites]\na = { capacity = 4, asked = { stock-check = 100 } }\n"
                 + "b = { capacity = 1 }\nc = { capacity = 3 }\n"
@@ -443,7 +443,7 @@
      * is not overloaded.
      */
     @Test
-    void coldServerIsNotOverloadedWhateverTheListsClock() throws Exception {
+    void coldServerIsNotOverloadedDespiteClockOffset() throws Exception {
         for (long clockOffset : new long[] {-30_000, 30_000}) {
             try (SiteTestbed sites = sites(1, 5 * MS, "", "a")) {
                 sites.site("a").publishState(UpstreamState.READY);
--- a/src/test/java/pondridge/gateway/GatewayStateTest.java
+++ b/src/test/java/pondridge/gateway/GatewayStateTest.java
@@ -17,7 +17,7 @@
 import pondridge.http2.BufferBudget;
 
 /**
- * Unit tests of the state behind a link without I/O: idempotency cache, timestamps, credit, held bytes and
+ * Unit tests of the state behind a link without I/O: idempotency cache, timestamps, credit, buffered bytes and
  * start times.
  */
 class GatewayStateTest {
@@ -156,37 +156,37 @@
     }
 
     /**
-     * No connection holds more than its share and all together no more than the total; a connection at its
+     * No connection reserves more than its share and all together no more than the total; a connection at its
      * share does not affect the others.
      */
     @Test
-    void bytesHeldByOneConnectionDoNotStarveOthers() {
+    void bytesBufferedForOneConnectionDoNotStarveOthers() {
         Random random = new Random(5);
-        BufferBudget bytes = new BufferBudget(4_000);
+        BufferBudget budget = new BufferBudget(4_000);
         List<BufferBudget.ConnectionShare> shares = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            shares.add(bytes.newShare());
+            shares.add(budget.newShare());
         }
-        int turnedAway = 0;
+        int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
             BufferBudget.ConnectionShare share = shares.get(random.nextInt(8));
             long before = share.reservedBytes();
             long additional = random.nextInt(400);
             if (random.nextBoolean()) {
-                boolean fits = before + additional <= 1_000 && bytes.reservedBytes() + additional <= 4_000;
+                boolean fits = before + additional <= 1_000 && budget.reservedBytes() + additional <= 4_000;
                 assertEquals(fits, share.tryReserve(additional));
-                turnedAway += fits ? 0 : 1;
+                rejected += fits ? 0 : 1;
             } else {
                 share.release(Math.min(before, additional));
             }
-            assertEquals(share.reservedBytes() < 1_000 && bytes.reservedBytes() < 4_000, share.hasCapacity());
+            assertEquals(share.reservedBytes() < 1_000 && budget.reservedBytes() < 4_000, share.hasCapacity());
             assertEquals(
-                    bytes.reservedBytes(),
+                    budget.reservedBytes(),
                     shares.stream()
                             .mapToLong(BufferBudget.ConnectionShare::reservedBytes)
                             .sum());
         }
-        assertTrue(turnedAway > 1_000, "often rejected: " + turnedAway);
+        assertTrue(rejected > 1_000, "often rejected: " + rejected);
     }
 
     /**
--- a/src/test/java/pondridge/gateway/LinkRequestHandlerTest.java
+++ b/src/test/java/pondridge/gateway/LinkRequestHandlerTest.java
@@ -37,7 +37,7 @@
  */
 class LinkRequestHandlerTest {
     private static final long MS = 1_000_000;
-    private static final long MAX_HELD_BYTES = 64 << 10;
+    private static final long MAX_BUFFERED_BYTES = 64 << 10;
     private static final long CLIENT_TIMEOUT_NANOS = 3_000 * MS;
     private final OkHttpClient client = new OkHttpClient.Builder()
             .protocols(List.of(Protocol.H2_PRIOR_KNOWLEDGE))
@@ -233,7 +233,7 @@
         assertTrue(served >= 3 && served < 12, "served " + served);
     }
 
-    private long held() {
+    private long bufferedBytes() {
         return sites.site("b").count("link_held_bytes");
     }
 
@@ -243,7 +243,7 @@
     }
 
     /**
-     * Connections that are not links or are hostile: each is closed within its limit, the bytes it held are
+     * Connections that are not links or are hostile: each is closed within its limit, the bytes buffered for it are
      * released, and the gateway keeps serving.
      */
     @Test
@@ -268,7 +268,7 @@
                 .close());
         floods.put("requests whose responses are not read", peer -> {
             peer.handshake(0).keepAlive().sendRequests(100, linkHeaders(), fetchTimestamp());
-            TransportHarness.waitUntil(() -> held() > MAX_HELD_BYTES / 4, "responses that can't be sent");
+            TransportHarness.waitUntil(() -> bufferedBytes() > MAX_BUFFERED_BYTES / 4, "responses that can't be sent");
             long takenBefore = sites.site("b").count("by_link");
             peer.sendRequests(50, linkHeaders(), fetchTimestamp()).awaitResets(1);
             assertEquals(
@@ -282,9 +282,10 @@
                 each.getValue().run(peer);
                 assertTrue(peer.isClosed(), each.getKey());
             }
-            assertTrue(held() <= MAX_HELD_BYTES, each.getKey());
+            assertTrue(bufferedBytes() <= MAX_BUFFERED_BYTES, each.getKey());
         }
-        // Silent connections take all places but two, and more try: they are closed, and the link connects
+        // Silent connections use all but two of the allowed connections, and more are opened: they are closed, and the
+        // link connects
         // again.
         List<RawHttp2Client> idleConnections = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
@@ -295,7 +296,7 @@
             each.close();
         }
         TransportHarness.waitUntil(() -> sites.site("a").count("links_up") == 1, "the link, again");
-        TransportHarness.waitUntil(() -> held() == 0, "all bytes released");
+        TransportHarness.waitUntil(() -> bufferedBytes() == 0, "all bytes released");
         sites.site("a").publishState(UpstreamState.DRAINING);
         sites.load("a", 5).start(Fleet.mixedPlan(100, 100, 3_000)).get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(sites.awaitIdle(Fleet.TIMEOUT_SECONDS * 1_000));
--- a/src/test/java/pondridge/gateway/RouterTest.java
+++ b/src/test/java/pondridge/gateway/RouterTest.java
@@ -33,8 +33,8 @@
     private static final List<RequestClass> CLASSES = List.of(CHECK, HOLD, CONFIRM, BOOK);
     private static final LocalSiteHealth.Limits LIMITS = new LocalSiteHealth.Limits(5, 200 * MS, SECOND, 0.05, SECOND);
 
-    private static RequestClass newClass(double worth, RetrySemantics semantics, KeyScope scope, long keyTtlNanos) {
-        return new RequestClass(500 * MS, 0, 12 * SECOND, worth, 0, semantics, scope, keyTtlNanos, false);
+    private static RequestClass newClass(double utility, RetrySemantics semantics, KeyScope scope, long keyTtlNanos) {
+        return new RequestClass(500 * MS, 0, 12 * SECOND, utility, 0, semantics, scope, keyTtlNanos, false);
     }
 
     private static Router.SiteSnapshot site(long roundTripNanos, boolean reachable, int credit) {
@@ -223,19 +223,19 @@
     }
 
     @Test
-    void budgetIsNeverExceededAndReservedForHigherWorth() {
+    void budgetIsNeverExceededAndReservedForHigherUtility() {
         CrossSiteBudget budget = budget(10, 20, 0.5);
         assertEquals(
                 List.of(8, 12),
-                List.of(taken(budget, 0, 0), taken(budget, 2, 0)),
-                "most is reserved for the class of highest worth");
+                List.of(takeAll(budget, 0, 0), takeAll(budget, 2, 0)),
+                "most is reserved for the class of highest utility");
         assertFalse(budget.tryTake(2, SECOND), "time alone adds no tokens without arrivals");
         budget.requestArrived(0);
         budget.requestArrived(0);
-        assertEquals(1, taken(budget, 2, SECOND));
+        assertEquals(1, takeAll(budget, 2, SECOND));
     }
 
-    private static int taken(CrossSiteBudget budget, int requestClass, long now) {
+    private static int takeAll(CrossSiteBudget budget, int requestClass, long now) {
         int taken = 0;
         while (taken < 1_000 && budget.tryTake(requestClass, now)) {
             taken++;
@@ -245,7 +245,7 @@
 
     /**
      * A class's own rate and arrival share bind that class only, and its reserved fraction is as configured,
-     * not derived from its worth.
+     * not derived from its utility.
      */
     @Test
     void classLimitsApplyWithinTheCommonBudget() {
@@ -258,27 +258,27 @@
                         free,
                         free),
                 0);
-        assertEquals(List.of(5, 5, 90), List.of(taken(budget, 0, 0), taken(budget, 1, 0), taken(budget, 2, 0)));
+        assertEquals(List.of(5, 5, 90), List.of(takeAll(budget, 0, 0), takeAll(budget, 1, 0), takeAll(budget, 2, 0)));
         for (int i = 0; i < 100; i++) {
             budget.requestArrived(i % 2);
         }
         // After one second its own rate has added 2 of the 25 tokens that its arrival share added; the others
         // have the rest.
-        assertEquals(List.of(2, 98), List.of(taken(budget, 0, SECOND), taken(budget, 3, SECOND)));
+        assertEquals(List.of(2, 98), List.of(takeAll(budget, 0, SECOND), takeAll(budget, 3, SECOND)));
     }
 
     /** A lease replaces the default rate for its duration, also if the budget was not used meanwhile. */
     @Test
     void leaseAppliesOnlyForItsDuration() {
         CrossSiteBudget budget = budget(10, 1_000, 1);
-        taken(budget, 2, 0);
+        takeAll(budget, 2, 0);
         for (int i = 0; i < 1_000; i++) {
             budget.requestArrived(2);
         }
         budget.lease(100, 0, SECOND);
-        assertEquals(100 + 10, taken(budget, 2, 2 * SECOND), 1);
+        assertEquals(100 + 10, takeAll(budget, 2, 2 * SECOND), 1);
         budget.lease(0, 2 * SECOND, 3 * SECOND);
-        assertEquals(0, taken(budget, 2, 3 * SECOND));
+        assertEquals(0, takeAll(budget, 2, 3 * SECOND));
     }
 
     @Test
@@ -327,19 +327,19 @@
      * follow the plan.
      */
     @Test
-    void lostSiteIsSplitByCapacityAlikeAtAllItsGateways() {
-        List<Topology.TrafficClass> kinds = new ArrayList<>();
-        Map<String, Double> asked = new HashMap<>();
+    void allGatewaysDistributeTheLoadOfTheirLostSiteByCapacity() {
+        List<Topology.TrafficClass> trafficClasses = new ArrayList<>();
+        Map<String, Double> demandPerSecond = new HashMap<>();
         for (int i = 0; i < CLASSES.size(); i++) {
-            kinds.add(new Topology.TrafficClass("k" + i, CLASSES.get(i).utility(), 0.1, 0.5));
-            asked.put("k" + i, 10.0);
+            trafficClasses.add(new Topology.TrafficClass("k" + i, CLASSES.get(i).utility(), 0.1, 0.5));
+            demandPerSecond.put("k" + i, 10.0);
         }
         Topology topology = new Topology(
                 List.of(
-                        new Topology.Site("a", 9, asked),
+                        new Topology.Site("a", 9, demandPerSecond),
                         new Topology.Site("b", 0.8, Map.of()),
                         new Topology.Site("c", 2.4, Map.of())),
-                kinds,
+                trafficClasses,
                 List.of(new Topology.SiteLink("a", "b", 1e6, 0), new Topology.SiteLink("a", "c", 1e6, 0)),
                 0);
         SiteFailoverRouting failoverRouting = SiteFailoverRouting.of(topology, "a", List.of("k0", "k1", "k2", "k3"));
@@ -355,7 +355,7 @@
         long admittedKey = -1;
         for (long key = 0; key < 8_000; key++) {
             String firstSite = siteFor(gateways.get(0), 2, key, sites);
-            assertEquals(firstSite, siteFor(gateways.get(1), 2, key, sites), "the other gateway does the same");
+            assertEquals(firstSite, siteFor(gateways.get(1), 2, key, sites), "the other gateway selects the same site");
             confirmsBySite["bc-".indexOf(firstSite)]++;
             String checkSite = siteFor(gateways.get(0), 0, key, sites);
             admittedKey = checkSite.equals("-") ? admittedKey : key;
@@ -372,11 +372,11 @@
                     ? 1
                     : 0;
         }
-        assertEquals(0, checksWithoutB, "without b the capacity goes to classes of higher worth and to no check");
+        assertEquals(0, checksWithoutB, "without b the capacity goes to classes of higher utility and to no check");
         Map<String, Router.SiteSnapshot> littleCredit = Map.of("b", site(MS, true, 3), "c", site(5 * MS, true, 3));
         assertTrue(
                 "bc".contains(siteFor(gateways.get(0), 2, 1, littleCredit)),
-                "3 of 10 credits suffice for a class of high worth");
+                "3 of 10 credits suffice for a class of high utility");
         assertEquals(
                 "own", siteFor(gateways.get(0), 0, admittedKey, littleCredit), "checks are tried at the local site");
         assertEquals(0, confirmsBySite[2], "all confirmations fit");
--- a/src/test/java/pondridge/siteloss/SiteLossPlannerTest.java
+++ b/src/test/java/pondridge/siteloss/SiteLossPlannerTest.java
@@ -119,7 +119,7 @@
                 for (int i = 0; i < lost.size(); i++) {
                     String pair = lost.get(i).name() + survivors.get(j).name();
                     SiteLink link = topology.links().stream()
-                            .filter(w -> (w.from() + w.to()).equals(pair))
+                            .filter(each -> (each.from() + each.to()).equals(pair))
                             .findFirst()
                             .orElse(null);
                     boolean useful = link != null
