--- a/src/main/java/pondridge/gateway/CreditControl.java
+++ b/src/main/java/pondridge/gateway/CreditControl.java
@@ -3,7 +3,7 @@
 /**
  * Limits how many requests of one other site this gateway takes at a time. The limit grows by 1/limit with
  * each served request and halves, at most once per interval, when the local site rejects one. It never falls
- * to 0, since then nobody would find out that the site has recovered. Additive increase, multiplicative
+ * to 0, since then its recovery could not be detected. Additive increase, multiplicative
  * decrease (Chiu and Jain, 1989). Times are in nanoseconds.
  */
 final class CreditControl {
--- a/src/main/java/pondridge/siteloss/SiteLossPlan.java
+++ b/src/main/java/pondridge/siteloss/SiteLossPlan.java
@@ -29,17 +29,17 @@
     public record RefusedLoad(String from, String trafficClass, double requestsPerSecond, double demandPerSecond) {}
 
     /** Returns how much of a lost site's load of a class is taken over, in requests per second. */
-    public double acceptedPerSecond(String from, String kind) {
+    public double acceptedPerSecond(String from, String className) {
         return flows.stream()
-                .filter(flow -> flow.from.equals(from) && flow.trafficClass.equals(kind))
+                .filter(flow -> flow.from.equals(from) && flow.trafficClass.equals(className))
                 .mapToDouble(Flow::requestsPerSecond)
                 .sum();
     }
 
     /** Returns the fraction of a lost site's load of a class that is taken over; 1 if there is no demand. */
-    public double admittedFraction(String from, String kind) {
+    public double admittedFraction(String from, String className) {
         return refused.stream()
-                .filter(each -> each.from.equals(from) && each.trafficClass.equals(kind))
+                .filter(each -> each.from.equals(from) && each.trafficClass.equals(className))
                 .mapToDouble(each -> 1 - each.requestsPerSecond / each.demandPerSecond)
                 .findFirst()
                 .orElse(1);
--- a/src/test/java/pondridge/gateway/CrossSiteTest.java
+++ b/src/test/java/pondridge/gateway/CrossSiteTest.java
@@ -25,8 +25,8 @@
 import pondridge.standin.redis.RedisStandin;
 
 /**
- * Tests two and three sites with servers, gateways and faulty links; each test ends by checking the
- * execution ledger.
+ * Tests two and three sites with servers, gateways and faulty links; each test ends by checking the execution
+ * ledger.
  */
 class CrossSiteTest {
     private static final long MS = 1_000_000;
@@ -156,8 +156,8 @@
     }
 
     /**
-     * A response is lost in transit; the repeat gets the same response from the gateway or a server,
-     * without a second run.
+     * A response is lost in transit; the repeat gets the same response from the gateway or a server, without
+     * a second run.
      */
     @Test
     void lostResponseIsReplayedWithoutASecondRun() throws Exception {
@@ -391,7 +391,7 @@
                 assertTrue(verdict.served() > 180, verdict::toString);
                 FaultyLink.Condition link = FaultyLink.Condition.delayed(20 * MS, 0);
                 sites.site("b").links().get(0).setCondition(FaultyLink.Direction.FORWARD, link.withStalled(true));
-                long takenBefore = sites.site("b").count("by_link");
+                long acceptedBefore = sites.site("b").count("by_link");
                 awaitVerdict(
                         sites,
                         sites.load("a", SEED + 1)
@@ -399,7 +399,9 @@
                 sites.site("b").links().get(0).setCondition(link);
                 TransportHarness.waitUntil(() -> sites.site("a").count("links_up") > 0, "the recovery");
                 assertEquals(
-                        takenBefore, sites.site("b").count("by_link"), "late requests are rejected for either offset");
+                        acceptedBefore,
+                        sites.site("b").count("by_link"),
+                        "late requests are rejected for either offset");
             }
         }
     }
--- a/src/test/java/pondridge/gateway/GatewayStateTest.java
+++ b/src/test/java/pondridge/gateway/GatewayStateTest.java
@@ -80,7 +80,7 @@
                 String ended = running.remove(random.nextInt(running.size()));
                 ExpectedEntry done = expectedEntries.get(ended);
                 boolean served = random.nextInt(3) > 0;
-                done.response = served ? "answer " + i : null;
+                done.response = served ? "response " + i : null;
                 long ttlNanos = random.nextBoolean() ? 100 : 750;
                 done.expiresAt = now + ttlNanos;
                 int sizeBytes = 10 + random.nextInt(80);
@@ -133,11 +133,11 @@
     @Test
     void creditHalvesOnRejectionsAndRecovers() {
         CreditControl credit = new CreditControl(64, 200 * MS, 0);
-        int taken = 0;
+        int accepted = 0;
         while (credit.tryTake()) {
-            taken++;
+            accepted++;
         }
-        assertEquals(64, taken);
+        assertEquals(64, accepted);
         for (int i = 0; i < 64; i++) {
             credit.requestEnded(true, MS);
         }
--- a/src/test/java/pondridge/gateway/LinkRequestHandlerTest.java
+++ b/src/test/java/pondridge/gateway/LinkRequestHandlerTest.java
@@ -243,8 +243,8 @@
     }
 
     /**
-     * Connections that are not links or are hostile: each is closed within its limit, the bytes buffered for it are
-     * released, and the gateway keeps serving.
+     * Connections that are not links or are hostile: each is closed within its limit, the bytes buffered for
+     * it are released, and the gateway keeps serving.
      */
     @Test
     void floodsAndSlowReadersAreClosedAndAffectNoOther() throws Exception {
@@ -269,12 +269,12 @@
         floods.put("requests whose responses are not read", peer -> {
             peer.handshake(0).keepAlive().sendRequests(100, linkHeaders(), fetchTimestamp());
             TransportHarness.waitUntil(() -> bufferedBytes() > MAX_BUFFERED_BYTES / 4, "responses that can't be sent");
-            long takenBefore = sites.site("b").count("by_link");
+            long acceptedBefore = sites.site("b").count("by_link");
             peer.sendRequests(50, linkHeaders(), fetchTimestamp()).awaitResets(1);
             assertEquals(
-                    takenBefore,
+                    acceptedBefore,
                     sites.site("b").count("by_link"),
-                    "no more requests are taken while the peer reads nothing");
+                    "no more requests are accepted while the peer reads nothing");
             peer.close();
         });
         for (Map.Entry<String, Flood> each : floods.entrySet()) {
@@ -284,9 +284,8 @@
             }
             assertTrue(bufferedBytes() <= MAX_BUFFERED_BYTES, each.getKey());
         }
-        // Silent connections use all but two of the allowed connections, and more are opened: they are closed, and the
-        // link connects
-        // again.
+        // Silent connections use all but two of the allowed connections, and more are opened: they are closed,
+        // and the link connects again.
         List<RawHttp2Client> idleConnections = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             idleConnections.add(new RawHttp2Client(port()));
--- a/src/test/java/pondridge/gateway/LinkSecurityTest.java
+++ b/src/test/java/pondridge/gateway/LinkSecurityTest.java
@@ -103,14 +103,14 @@
     void invalidCertificatesAreRejected() throws Exception {
         Path foreign = Files.createDirectory(folder.resolve("foreign"));
         Certificates certificates = new Certificates(folder);
-        Certificates others = new Certificates(foreign);
+        Certificates foreignCertificates = new Certificates(foreign);
         Instant later = Instant.now().plus(1, ChronoUnit.DAYS);
-        List<CertificateSettings> bad = List.of(
+        List<CertificateSettings> invalidSettings = List.of(
                 name -> certificates.issue(name, name, Instant.now().minus(1, ChronoUnit.HOURS)),
                 name -> certificates.issue(name, name.equals("a") ? "c" : "b", later),
                 name -> certificates.issue(name, name.equals("b") ? "c" : "a", later),
-                name -> name.equals("a") ? others.issue(name) : certificates.issue(name));
-        for (CertificateSettings certificateSettings : bad) {
+                name -> name.equals("a") ? foreignCertificates.issue(name) : certificates.issue(name));
+        for (CertificateSettings certificateSettings : invalidSettings) {
             try (SiteTestbed sites = sites(toFunction(certificateSettings))) {
                 Verdict verdict = load(sites, 40);
                 assertEquals(40, verdict.refused(), verdict::toString);
--- a/src/test/java/pondridge/gateway/RawHttp2Client.java
+++ b/src/test/java/pondridge/gateway/RawHttp2Client.java
@@ -32,7 +32,7 @@
     private final DataInputStream in;
     private volatile boolean closedByPeer;
     private boolean flooded;
-    private int nextStream = 1;
+    private int nextStreamId = 1;
 
     RawHttp2Client(int port) throws IOException {
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -83,8 +83,8 @@
                 closedByPeer = true;
             }
         });
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FLOOD_SECONDS);
-        while (System.nanoTime() - until < 0 && !closedByPeer) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(FLOOD_SECONDS);
+        while (System.nanoTime() - deadlineNanos < 0 && !closedByPeer) {
             try {
                 out.write(batch);
                 LockSupport.parkNanos(WRITE_INTERVAL_NANOS);
@@ -184,17 +184,17 @@
                     "2500",
                     "req-id",
                     "raw" + i));
-            write(frame(HEADERS, END_HEADERS | END_STREAM, nextStream, headerBlock(headers)));
-            nextStream += 2;
+            write(frame(HEADERS, END_HEADERS | END_STREAM, nextStreamId, headerBlock(headers)));
+            nextStreamId += 2;
         }
         return this;
     }
 
     /** Reads until this many streams have been reset or a GOAWAY was received. */
     RawHttp2Client awaitResets(int count) throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         for (int left = count; left > 0; ) {
-            if (System.nanoTime() - until > 0) {
+            if (System.nanoTime() - deadlineNanos > 0) {
                 throw new IOException("streams not reset: " + left);
             }
             int length = in.readUnsignedByte() << 16 | in.readUnsignedShort();
--- a/src/test/java/pondridge/gateway/RouterTest.java
+++ b/src/test/java/pondridge/gateway/RouterTest.java
@@ -296,11 +296,11 @@
             }
             assertTrue(now - cutAt >= waited, "each return waits longer");
             waited = (now - cutAt) * 3 / 2;
-            int taken = 0;
+            int admitted = 0;
             for (int i = 0; i < 100; i++) {
-                taken += localSite.admits(now) ? 1 : 0;
+                admitted += localSite.admits(now) ? 1 : 0;
             }
-            assertTrue(taken >= 4 && taken <= 6, "initial share of one twentieth: " + taken);
+            assertTrue(admitted >= 4 && admitted <= 6, "initial share of one twentieth: " + admitted);
         }
         assertTrue(localSite.admits(now + 5 * SECOND), "the whole load in the end");
         assertEquals(LocalSiteHealth.State.IN, localSite.state());
