--- a/src/main/java/pondridge/gateway/Gateway.java
+++ b/src/main/java/pondridge/gateway/Gateway.java
@@ -293,7 +293,7 @@
         result.put("remembered_bytes", linkRequestHandler.cachedBytes());
         result.put("certificates_taken", certificateReloads);
         result.put("certificates_refused", certificateReloadFailures);
-        result.put("link_connections", (long) linkRequestHandler.connections());
+        result.put("link_connections", (long) linkRequestHandler.connectionCount());
         result.put("link_held_bytes", linkRequestHandler.bufferedBytes());
         if (store != null) {
             store.counts().forEach((name, count) -> result.put("store_" + name, count));
--- a/src/main/java/pondridge/gateway/LinkListener.java
+++ b/src/main/java/pondridge/gateway/LinkListener.java
@@ -83,8 +83,8 @@
     }
 
     /** Open connections. */
-    int connections() {
-        return server.connections();
+    int connectionCount() {
+        return server.connectionCount();
     }
 
     /** Bytes of requests and responses that are buffered for links. */
--- a/src/main/java/pondridge/gateway/LinkRequestHandler.java
+++ b/src/main/java/pondridge/gateway/LinkRequestHandler.java
@@ -115,8 +115,8 @@
         return listener.bufferedBytes();
     }
 
-    int connections() {
-        return listener.connections();
+    int connectionCount() {
+        return listener.connectionCount();
     }
 
     /** Reduces the credit of other sites because local clients miss their deadlines. */
--- a/src/main/java/pondridge/grpc/GrpcFrontend.java
+++ b/src/main/java/pondridge/grpc/GrpcFrontend.java
@@ -96,13 +96,13 @@
                 new Http2Server.Limits(
                         settings.listenAddress(),
                         settings.maxConnections(),
-                        settings.maxStreams(),
+                        settings.maxStreamsPerConnection(),
                         settings.idleTimeoutNanos(),
                         settings.maxHeaderBytes(),
-                        settings.maxControlFramesPerSecond(),
+                        settings.controlFramesPerSecond(),
                         settings.maxBufferedBytes(),
                         settings.maxAgeNanos(),
-                        settings.drainGraceNanos()),
+                        settings.drainTimeoutNanos()),
                 "grpc",
                 settings.tls() == null ? null : channel -> settings.tls().newHandler(channel.alloc()),
                 events,
@@ -128,7 +128,7 @@
 
     /** The number of open client connections. */
     public int connectionCount() {
-        return server.connections();
+        return server.connectionCount();
     }
 
     /** Whether no call is in flight. */
--- a/src/main/java/pondridge/grpc/GrpcSettings.java
+++ b/src/main/java/pondridge/grpc/GrpcSettings.java
@@ -33,14 +33,14 @@
  * @param classificationRules how server responses are classified
  * @param methods the methods by their names in the settings
  * @param maxConnections limit on client connections
- * @param maxStreams limit on concurrent streams of one connection
+ * @param maxStreamsPerConnection limit on concurrent streams of one connection
  * @param idleTimeoutNanos how long a connection may be idle
  * @param transferTimeoutNanos time limit for receiving a request and for sending a response
  * @param maxBufferedBytes limit on buffered requests and responses; a quarter of it for one connection
  * @param maxHeaderBytes limit on the metadata of one request
- * @param maxControlFramesPerSecond limit on frames per second from one connection that carry no data
+ * @param controlFramesPerSecond limit on frames per second from one connection that carry no data
  * @param maxAgeNanos age after which a connection is asked to close
- * @param drainGraceNanos how long such a connection may stay open for its calls in flight
+ * @param drainTimeoutNanos how long such a connection may stay open for its calls in flight
  */
 public record GrpcSettings(
         String fileName,
@@ -52,14 +52,14 @@
         ClassifiedResponse.Rules classificationRules,
         Map<String, MethodSettings> methods,
         int maxConnections,
-        int maxStreams,
+        int maxStreamsPerConnection,
         long idleTimeoutNanos,
         long transferTimeoutNanos,
         int maxBufferedBytes,
         int maxHeaderBytes,
-        int maxControlFramesPerSecond,
+        int controlFramesPerSecond,
         long maxAgeNanos,
-        long drainGraceNanos) {
+        long drainTimeoutNanos) {
     /** A method as configured. */
     record MethodSettings(String path, String className, String httpPath) {}
 
--- a/src/main/java/pondridge/http2/Connection.java
+++ b/src/main/java/pondridge/http2/Connection.java
@@ -120,7 +120,7 @@
 
     @Override
     public boolean isUsable() {
-        return !closed && table.usable();
+        return !closed && table.isUsable();
     }
 
     /** Whether any attempt on this connection has ended with {@link Outcome#OK}. */
@@ -239,7 +239,7 @@
     }
 
     private void closeIfFinished() {
-        if (table.settingsReceived() && !table.usable() && isIdle()) {
+        if (table.settingsReceived() && !table.isUsable() && isIdle()) {
             close();
         }
     }
--- a/src/main/java/pondridge/http2/Http2Attempt.java
+++ b/src/main/java/pondridge/http2/Http2Attempt.java
@@ -108,7 +108,7 @@
     }
 
     /** Whether the listener still wants the request to be sent. */
-    boolean stillWanted() {
+    boolean shouldWrite() {
         return listener.shouldWrite();
     }
 
--- a/src/main/java/pondridge/http2/Http2Server.java
+++ b/src/main/java/pondridge/http2/Http2Server.java
@@ -132,7 +132,7 @@
     }
 
     /** Returns the number of open connections. */
-    public int connections() {
+    public int connectionCount() {
         return connections.size();
     }
 
--- a/src/main/java/pondridge/http2/Http2Upstreams.java
+++ b/src/main/java/pondridge/http2/Http2Upstreams.java
@@ -177,7 +177,7 @@
     }
 
     /** Returns the number of open connections. */
-    public int connections() {
+    public int connectionCount() {
         return connectionLimit.connectionCount();
     }
 
--- a/src/main/java/pondridge/http2/ServerPool.java
+++ b/src/main/java/pondridge/http2/ServerPool.java
@@ -126,7 +126,7 @@
 
     @Override
     public void assign(Connection connection, Http2Attempt attempt) {
-        if (attempt.stillWanted()) {
+        if (attempt.shouldWrite()) {
             connection.write(attempt, System.nanoTime());
         } else {
             finishAttempt(attempt, Outcome.NEVER_SENT);
--- a/src/main/java/pondridge/http2/StreamTable.java
+++ b/src/main/java/pondridge/http2/StreamTable.java
@@ -99,7 +99,7 @@
 
     /** How many more streams may be opened now. */
     int availableStreams() {
-        if (!settingsReceived() || !usable()) {
+        if (!settingsReceived() || !isUsable()) {
             return 0;
         }
         long remainingStreams = (MAX_STREAM_ID - nextStreamId) / 2 + 1;
@@ -109,7 +109,7 @@
     /**
      * Whether streams may still be opened at some time: false after a GOAWAY, a drain or the last stream id.
      */
-    boolean usable() {
+    boolean isUsable() {
         return !closing && nextStreamId <= MAX_STREAM_ID;
     }
 
--- a/src/test/java/pondridge/grpc/GrpcTest.java
+++ b/src/test/java/pondridge/grpc/GrpcTest.java
@@ -221,7 +221,7 @@
     void healthFollowsReadiness() throws Exception {
         start(Protocol.GRPC, List.of(server("s0", 0, 0)));
         for (boolean ready : new boolean[] {false, true}) {
-            loop.submit(() -> fixture.frontEnd().setReady(ready)).get();
+            loop.submit(() -> fixture.frontend().setReady(ready)).get();
             assertEquals(
                     ready ? 1 : 2,
                     ClientCalls.blockingUnaryCall(
@@ -235,7 +235,7 @@
         start(Protocol.GRPC, List.of(server("s0", 0, 0), server("s1", 0, 0)));
         CompletableFuture<Void> drains = CompletableFuture.runAsync(() -> {
             for (int i = 0; i < 5; i++) {
-                loop.submit(() -> fixture.frontEnd().drain()).syncUninterruptibly();
+                loop.submit(() -> fixture.frontend().drain()).syncUninterruptibly();
                 LockSupport.parkNanos(200 * NANOS_PER_MILLI);
             }
         });
@@ -243,7 +243,7 @@
         drains.get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         awaitCleanVerdict(300);
         TransportHarness.waitUntil(
-                () -> loop.submit(fixture.frontEnd()::connectionCount)
+                () -> loop.submit(fixture.frontend()::connectionCount)
                                 .syncUninterruptibly()
                                 .getNow()
                         <= 1,
--- a/src/test/java/pondridge/grpc/GrpcTestFixture.java
+++ b/src/test/java/pondridge/grpc/GrpcTestFixture.java
@@ -45,7 +45,7 @@
     static final Metadata.Key<String> IDEMPOTENCY_KEY = metadataKey("idempotency-key");
     static final Metadata.Key<String> DECLINE_MARKER = metadataKey("srv-declined");
     private final Engine engine;
-    private final GrpcFrontend frontEnd;
+    private final GrpcFrontend frontend;
     private final InetSocketAddress httpAddress;
     private final ManagedChannel channel;
     private final EventLoop loop;
@@ -85,14 +85,14 @@
                     return started;
                 })
                 .get();
-        frontEnd = new GrpcFrontend(loop, settings, options, engine, "test", (event, peer, detail) -> {});
+        frontend = new GrpcFrontend(loop, settings, options, engine, "test", (event, peer, detail) -> {});
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         httpAddress = (InetSocketAddress) new Frontend(engine, options, 4_096)
                 .listen(loop, anyPort)
                 .sync()
                 .channel()
                 .localAddress();
-        grpcPort = ((InetSocketAddress) frontEnd.listen().sync().channel().localAddress()).getPort();
+        grpcPort = ((InetSocketAddress) frontend.listen().sync().channel().localAddress()).getPort();
         NettyChannelBuilder builder =
                 NettyChannelBuilder.forAddress("127.0.0.1", grpcPort).usePlaintext();
         Map<String, ?> retryPolicy = Map.of(
@@ -123,8 +123,8 @@
         return loop;
     }
 
-    GrpcFrontend frontEnd() {
-        return frontEnd;
+    GrpcFrontend frontend() {
+        return frontend;
     }
 
     InetSocketAddress httpAddress() {
@@ -138,7 +138,7 @@
 
     /** Whether no request is in flight. */
     boolean isIdle() {
-        return loop.submit(() -> engine.isIdle() && frontEnd.isIdle())
+        return loop.submit(() -> engine.isIdle() && frontend.isIdle())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -191,7 +191,7 @@
     @Override
     public void close() {
         channel.shutdownNow();
-        frontEnd.close();
+        frontend.close();
     }
 
     private static Metadata.Key<String> metadataKey(String name) {
--- a/src/test/java/pondridge/http2/Http2UpstreamsTest.java
+++ b/src/test/java/pondridge/http2/Http2UpstreamsTest.java
@@ -158,7 +158,7 @@
             for (int i = 0; i < 50; i++) {
                 harness.send(1, "w" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
-            harness.listed(1, server.address(), false);
+            harness.updateEndpoint(1, server.address(), false);
             for (int i = 0; i < 50; i++) {
                 TransportHarness.Result result = harness.nextResult();
                 assertEquals(Outcome.CONNECT_FAILED, result.outcome(), result.id());
@@ -186,7 +186,7 @@
             harness.cancel(attempt);
             assertEquals(Outcome.CANCELLED, harness.nextResult().outcome());
             harness.send(1, "drained", TransportHarness.LONG_TIMEOUT_NANOS);
-            harness.listed(1, server.address(), false);
+            harness.updateEndpoint(1, server.address(), false);
             assertEquals(Outcome.CONNECT_FAILED, harness.nextResult().outcome());
             assertEquals(0, server.executions());
         }
@@ -369,7 +369,7 @@
             byte[] first = misbehaviour.getKey().startsWith("continuation") ? frame(1, 0, 1) : new byte[0];
             try (RawServer server = new RawServer(settings, first, misbehaviour.getValue(), 20_000);
                     TransportHarness harness = new TransportHarness("control_frames = 100")) {
-                harness.listed(1, server.address(), true);
+                harness.updateEndpoint(1, server.address(), true);
                 harness.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
                 TransportHarness.Result result = harness.nextResult();
                 assertEquals(
@@ -388,7 +388,7 @@
         byte[] noIncrement = frame(8, 0, 1, new byte[4]);
         try (RawServer server = new RawServer(frame(4, 0, 0), new byte[0], noIncrement, 1);
                 TransportHarness harness = new TransportHarness("")) {
-            harness.listed(1, server.address(), true);
+            harness.updateEndpoint(1, server.address(), true);
             harness.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
             assertEquals(Outcome.ERROR, harness.nextResult().outcome());
             harness.send(1, "y", 200 * MS);
@@ -429,7 +429,7 @@
         for (byte[] greeting : List.of(http1, new byte[0])) {
             try (RawServer server = new RawServer(greeting, new byte[0], new byte[0], 0);
                     TransportHarness harness = new TransportHarness("settings_wait = \"100ms\"")) {
-                harness.listed(1, server.address(), true);
+                harness.updateEndpoint(1, server.address(), true);
                 harness.send(1, "x", TransportHarness.LONG_TIMEOUT_NANOS);
                 assertEquals(Outcome.CONNECT_FAILED, harness.nextResult().outcome());
                 StubServer.awaitNext(server.endedConnections);
--- a/src/test/java/pondridge/http2/InteropTest.java
+++ b/src/test/java/pondridge/http2/InteropTest.java
@@ -122,7 +122,7 @@
                 }
             });
             server.start(TransportHarness.local(0).getAddress(), 0);
-            harness.listed(1, TransportHarness.local(server.getPort()), true);
+            harness.updateEndpoint(1, TransportHarness.local(server.getPort()), true);
             for (int i = 0; i < 100; i++) {
                 harness.send(1, "x" + i, TransportHarness.LONG_TIMEOUT_NANOS);
             }
--- a/src/test/java/pondridge/http2/StreamTableTest.java
+++ b/src/test/java/pondridge/http2/StreamTableTest.java
@@ -287,7 +287,7 @@
         table.onSettings(null);
         assertEquals(Integer.MAX_VALUE, table.open("last"));
         assertFalse(table.canOpen());
-        assertFalse(table.usable());
+        assertFalse(table.isUsable());
     }
 
     @Test
--- a/src/test/java/pondridge/http2/TransportHarness.java
+++ b/src/test/java/pondridge/http2/TransportHarness.java
@@ -69,7 +69,7 @@
                         script,
                         ledger,
                         new IdempotencyKeyStore()));
-        listed(upstream, server.address(), true);
+        updateEndpoint(upstream, server.address(), true);
         return server;
     }
 
@@ -79,7 +79,7 @@
      */
     FaultyLink link(StandinServer server, long upstream) throws Exception {
         FaultyLink link = new FaultyLink(serverLoop, local(0), server.address(), 1);
-        listed(upstream, link.address(), true);
+        updateEndpoint(upstream, link.address(), true);
         return link;
     }
 
@@ -87,7 +87,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    void listed(long upstream, InetSocketAddress address, boolean ready) throws Exception {
+    void updateEndpoint(long upstream, InetSocketAddress address, boolean ready) throws Exception {
         loop.submit(() -> transport.updateEndpoint(upstream, address, 0, ready)).get();
     }
 
