--- a/src/main/java/pondridge/http2/Connection.java
+++ b/src/main/java/pondridge/http2/Connection.java
@@ -246,7 +246,7 @@
 
     /** Resets a stream whose attempt has ended; false if the reset budget defers it. */
     private boolean tryReset(int id, long now) {
-        if (closed || !resetBudget.take(now)) {
+        if (closed || !resetBudget.tryTake(now)) {
             return false;
         }
         resetStream(id);
@@ -277,7 +277,7 @@
         if (end.requestIncomplete()) {
             // The stream must not stay open: its body would be sent, and the request executed, as soon as the
             // upstream opens the window.
-            resetBudget.take(System.nanoTime());
+            resetBudget.tryTake(System.nanoTime());
             resetStream(end.streamId());
         } else if (end.streamOpen()) {
             tryReset(end.streamId(), System.nanoTime());
--- a/src/main/java/pondridge/http2/ResetBudget.java
+++ b/src/main/java/pondridge/http2/ResetBudget.java
@@ -19,7 +19,7 @@
     }
 
     /** Whether a reset may be sent now; it then counts as sent. */
-    boolean take(long now) {
+    boolean tryTake(long now) {
         available = Math.min(maxResets, available + Math.max(0, now - refilledAt) * refillPerNano);
         refilledAt = now;
         if (available < 1) {
--- a/src/test/java/pondridge/gateway/RouterTest.java
+++ b/src/test/java/pondridge/gateway/RouterTest.java
@@ -378,7 +378,7 @@
                 "bc".contains(siteFor(gateways.get(0), 2, 1, littleCredit)),
                 "3 of 10 credits suffice for a class of high utility");
         assertEquals(
-                "own", siteFor(gateways.get(0), 0, admittedKey, littleCredit), "checks are tried at the local site");
+                "local", siteFor(gateways.get(0), 0, admittedKey, littleCredit), "checks are tried at the local site");
         assertEquals(0, confirmsBySite[2], "all confirmations fit");
         assertEquals(0.25, confirmsBySite[0] / 8_000.0, 0.02, "by capacity, not by distance");
         assertEquals(8_000 * 8 / 10, checksBySite[2], 250, "capacity for 32 of 40; checks are refused first");
@@ -388,6 +388,6 @@
     private static String siteFor(Router router, int classIndex, long key, Map<String, Router.SiteSnapshot> sites) {
         Router.Step step =
                 router.nextStep(1, CLASSES.get(classIndex), SECOND, new AttemptHistory(classIndex, false, key), sites);
-        return step instanceof Router.Remote remote ? remote.site() : step instanceof Router.Refuse ? "-" : "own";
+        return step instanceof Router.Remote remote ? remote.site() : step instanceof Router.Refuse ? "-" : "local";
     }
 }
--- a/src/test/java/pondridge/grpc/GrpcDifferentialTest.java
+++ b/src/test/java/pondridge/grpc/GrpcDifferentialTest.java
@@ -53,7 +53,7 @@
         Pair(Protocol protocol, Fault fault, String className) throws Exception {
             this.protocol = protocol;
             this.className = className;
-            for (int frontEnd = 0; frontEnd < 2; frontEnd++) {
+            for (int frontend = 0; frontend < 2; frontend++) {
                 ExecutionLedger ledger = new ExecutionLedger(5_000 * NANOS_PER_MILLI, 2_000 * NANOS_PER_MILLI);
                 ledgers.add(ledger);
                 StandinServer server = new StandinServer(
@@ -74,7 +74,7 @@
                         List.of(new Target("s", server.address(), "a", "m", 0, UpstreamState.READY, 1, 0)),
                         false);
                 fixtures.add(fixture);
-                if (frontEnd == 0) {
+                if (frontend == 0) {
                     ends.add(new OpenLoopLoadGenerator(group.next(), List.of(fixture.httpAddress()), ledger, 1, "h")
                             .start(Fleet.plan(1, 1_000, TIMEOUT_MILLIS, Map.of(className, 1.0))));
                 } else {
@@ -86,9 +86,9 @@
             }
         }
 
-        private String result(int frontEnd) throws Exception {
-            ends.get(frontEnd).get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-            Verdict verdict = ledgers.get(frontEnd).verdict();
+        private String result(int frontend) throws Exception {
+            ends.get(frontend).get(Fleet.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            Verdict verdict = ledgers.get(frontend).verdict();
             assertEquals(1, verdict.served() + verdict.refused() + verdict.failed(), verdict::toString);
             return verdict.served() > 0 ? "served" : verdict.refused() > 0 ? "refused" : "failed";
         }
--- a/src/test/java/pondridge/grpc/GrpcTlsTest.java
+++ b/src/test/java/pondridge/grpc/GrpcTlsTest.java
@@ -52,15 +52,15 @@
         GrpcSettings settings = GrpcSettings.of(file, directory);
         file.rejectUnknownKeys();
         EventLoop loop = group.next();
-        GrpcFrontend frontEnd = new GrpcFrontend(
+        GrpcFrontend frontend = new GrpcFrontend(
                 loop,
                 settings,
                 StandinOptions.withDeadline(1_000),
                 null,
                 "test",
                 (event, peer, detail) -> events.put(event, detail));
-        int port = ((InetSocketAddress) frontEnd.listen().sync().channel().localAddress()).getPort();
-        loop.submit(() -> frontEnd.setReady(true)).sync();
+        int port = ((InetSocketAddress) frontend.listen().sync().channel().localAddress()).getPort();
+        loop.submit(() -> frontend.setReady(true)).sync();
         try {
             for (List<String> client : List.of(
                     List.of("front", "own"),
@@ -84,7 +84,7 @@
             TransportHarness.waitUntil(() -> events.containsKey("grpc_refused"), "the refusal is reported");
             assertTrue(events.keySet().stream().allMatch(event -> event.startsWith("grpc_")), events::toString);
         } finally {
-            frontEnd.close();
+            frontend.close();
             group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
--- a/src/test/java/pondridge/http2/ConnectionGuardsTest.java
+++ b/src/test/java/pondridge/http2/ConnectionGuardsTest.java
@@ -27,7 +27,7 @@
         ResetBudget budget = new ResetBudget(10, 1_000, 0);
         int resets = 0;
         for (long now = 0; now < 1_000; now++) {
-            resets += budget.take(now) ? 1 : 0;
+            resets += budget.tryTake(now) ? 1 : 0;
         }
         assertTrue(resets >= 19 && resets <= 20, "one burst plus the refill of one window: " + resets);
     }
