--- a/src/main/java/pondridge/Balancer.java
+++ b/src/main/java/pondridge/Balancer.java
@@ -8,17 +8,17 @@
  *
  * <p><b>Obligations of the host.</b> An instance belongs to one sidecar and is used by one thread. Every event
  * carries the current time in nanoseconds from one monotonic clock with an arbitrary origin. {@link #start} is
- * called first, then {@link #endpointListChanged} with a {@link EndpointListKind#CACHED} list. Request ids are never reused.
- * Every {@link Actions#send} is followed by exactly one {@link #attemptEnded}, even if the request has already ended.
- * The attempts of a request are numbered 0, 1, 2, ... in the order in which they are sent. Timers fire at or
- * after their time, never inside the call that sets them. A restarted sidecar uses a new instance with a new
- * seed.
+ * called first, then {@link #endpointListChanged} with a {@link EndpointListKind#CACHED} list. Request ids are
+ * never reused. Every {@link Actions#send} is followed by exactly one {@link #attemptEnded}, even if the request
+ * has already ended. The attempts of a request are numbered 0, 1, 2, ... in the order in which they are sent.
+ * Timers fire at or after their time, never inside the call that sets them. A restarted sidecar uses a new
+ * instance with a new seed.
  *
  * <p><b>Obligations of the instance.</b> Actions are issued during the call of an event and take effect in order,
  * at the time of that event. Each request gets one final response: the first {@link Outcome#OK}, which the host
  * forwards to the client, {@link Actions#refuse} or {@link Actions#fail}, no later than its deadline plus
- * {@link SafetyLimits#responseSlackNanos()}. Equal settings, seeds and events give equal actions. Events about requests,
- * attempts or upstreams that the instance no longer tracks are ignored.
+ * {@link SafetyLimits#responseSlackNanos()}. Equal settings, seeds and events give equal actions. Events about
+ * requests, attempts or upstreams that the instance no longer tracks are ignored.
  *
  * <p>Invalid settings are rejected with an {@link IllegalArgumentException} that names the setting.
  */
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Capabilities of the host; an action that it does not support is never issued. {@link LoadBalancingPolicy} does not use
-     * peer messages or parallel attempts.
+     * Capabilities of the host; an action that it does not support is never issued. {@link LoadBalancingPolicy} does
+     * not use peer messages or parallel attempts.
      *
      * @param maxAttempts most attempts of one request
      * @param maxRetryAfterNanos longest retry delay to give to a client, in nanoseconds
@@ -186,7 +186,7 @@
     }
 
     /**
-     * Parameters of the four service rules; times are in nanoseconds.
+     * Safety limits of the service; times are in nanoseconds.
      *
      * @param responseSlackNanos how long after its deadline a request may get its final response
      * @param endpointRefreshNanos longest interval between two requests for the endpoint list
@@ -213,15 +213,16 @@
     }
 
     /**
-     * Settings of an instance. {@link LoadBalancingPolicy} does not use the rank, zone, weights, unit of utility or over-quota
-     * utility; hosts set them for implementations that do.
+     * Settings of an instance. {@link LoadBalancingPolicy} does not use the replica index, zone, weights, unit
+     * of utility or over-quota utility; hosts set them for implementations that do.
      *
-     * @param replicaIndex index of this sidecar among {@code replicas}
+     * @param replicaIndex index of this sidecar among the {@code replicaCount} of its tier
      * @param replicaCount number of sidecars of this tier
      * @param minEventIntervalNanos shortest time between two events, in nanoseconds
      * @param loadReportFields names of the values in a load report
      * @param utilityPerWork utility is earned per unit of work instead of per request
-     * @param overQuotaUtilityFraction utility of a request beyond its tenant's quota, as a fraction of its class's utility
+     * @param overQuotaUtilityFraction utility of a request beyond its tenant's quota, as a fraction of its
+     *     class's utility
      */
     record Settings(
             int replicaIndex,
@@ -362,7 +363,10 @@
     /** Value of {@code sender} for leases on this sidecar's part of the common budget for cold upstreams. */
     int COLD_START_LEASES = 1;
 
-    /** A message from other sidecars of this tier has arrived; see {@link #PEER_OUTLIER_REPORTS} and {@link #COLD_START_LEASES}. */
+    /**
+     * A message from other sidecars of this tier has arrived; see {@link #PEER_OUTLIER_REPORTS} and {@link
+     * #COLD_START_LEASES}.
+     */
     default void peerMessageReceived(long now, int sender, byte[] message) {}
 
     private static void require(boolean valid, String setting) {
--- a/src/main/java/pondridge/LoadBalancingPolicy.java
+++ b/src/main/java/pondridge/LoadBalancingPolicy.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void firstByteReceived(long now, long request, int attempt, long upstream, long elapsed) {
+    public void firstByteReceived(long now, long request, int attempt, long upstream, long elapsedNanos) {
         Call call = tracker.calls.get(request);
         if (call != null && attempt < call.attempts.size()) {
             call.streaming = true;
@@ -90,20 +90,20 @@
             int attempt,
             long upstream,
             Outcome outcome,
-            long elapsed,
-            boolean ended,
-            float[] load) {
-        admission.fleetLoad.onReport(now, load);
-        tracker.outcome(now, request, attempt, outcome, ended);
+            long elapsedNanos,
+            boolean requestEnded,
+            float[] loadReport) {
+        admission.fleetLoad.onReport(now, loadReport);
+        tracker.onAttemptEnd(now, request, attempt, outcome, requestEnded);
         admission.drainQueues(now);
         timers.armHostTimer();
     }
 
     @Override
-    public void probeEnded(long now, long upstream, Outcome outcome, long elapsed, float[] load) {
+    public void probeEnded(long now, long upstream, Outcome outcome, long elapsedNanos, float[] loadReport) {
         Server server = serverList.servers.get(upstream);
         if (server != null) {
-            probes.onProbeResult(now, server, outcome, load);
+            probes.onProbeResult(now, server, outcome, loadReport);
         }
         timers.armHostTimer();
     }
@@ -120,9 +120,9 @@
      * {@link ServerList#coldBudgetAllows}.
      */
     @Override
-    public void peerMessageReceived(long now, int from, byte[] message) {
+    public void peerMessageReceived(long now, int sender, byte[] message) {
         ByteBuffer buffer = ByteBuffer.wrap(message);
-        while (from == COLD_START_LEASES && buffer.remaining() >= Long.BYTES + Float.BYTES + Integer.BYTES) {
+        while (sender == COLD_START_LEASES && buffer.remaining() >= Long.BYTES + Float.BYTES + Integer.BYTES) {
             Server server = serverList.servers.get(buffer.getLong());
             double permits = buffer.getFloat();
             int durationMillis = buffer.getInt();
@@ -134,7 +134,7 @@
                 server.lease = new Lease(permits, now, now + durationMillis * 1_000_000L, random.nextDouble());
             }
         }
-        while (from == PEER_OUTLIER_REPORTS && buffer.remaining() >= Long.BYTES + Float.BYTES) {
+        while (sender == PEER_OUTLIER_REPORTS && buffer.remaining() >= Long.BYTES + Float.BYTES) {
             Server server = serverList.servers.get(buffer.getLong());
             double slowdown = buffer.getFloat();
             if (server != null && slowdown > 1 && slowdown <= HealthTracker.MAX_PEER_SLOWDOWN) {
@@ -154,14 +154,14 @@
     }
 
     /**
-     * Responds to all open requests at the given time. Requests on a server that hangs beyond the shutdown
+     * Responds to all open requests at {@code endNanos}. Requests on a server that hangs beyond the shutdown
      * would otherwise get no response at all.
      */
     @Override
-    public void shutdownScheduled(long now, long at) {
+    public void shutdownScheduled(long now, long endNanos) {
         tracker.calls
                 .values()
-                .forEach(call -> timers.schedule(at, firedAt -> {
+                .forEach(call -> timers.schedule(endNanos, firedAt -> {
                     if (!call.streaming) {
                         tracker.refuseOrFail(call);
                     }
@@ -439,7 +439,7 @@
                     || switch (call.requestClass.retrySemantics()) {
                         case REPEATABLE -> true;
                         case ONCE -> false;
-                            // One quantum is subtracted because the send takes effect at the end of this event
+                            // One event interval is subtracted because the send takes effect at the end of this event
                             // batch.
                         case BY_KEY -> now + settings.minEventIntervalNanos()
                                 < uncertain.sentAt + call.requestClass.keyTtlNanos();
@@ -486,7 +486,7 @@
             actions.send(call.request.id(), server.entry.id(), uselessAfterSlo ? call.sloDeadline - now : 0);
         }
 
-        void outcome(long now, long requestId, int attemptIndex, Outcome outcome, boolean ended) {
+        void onAttemptEnd(long now, long requestId, int attemptIndex, Outcome outcome, boolean requestEnded) {
             Call call = calls.get(requestId);
             if (call == null || attemptIndex >= call.attempts.size() || !call.attempts.get(attemptIndex).outstanding) {
                 return;
@@ -504,11 +504,11 @@
                 admission.onAttemptEnd(now, attempt, outcome, call);
             }
             serverList.onAttemptEnd(now, attempt, outcome, call);
-            if (ended || call.closed) {
+            if (requestEnded || call.closed) {
                 close(call, outcome == Outcome.OK);
                 return;
             }
-            // Without an untried server, a request queued for a retry would wait in vain.
+            // Without an untried server, a request queued for a retry would never be sent.
             if (mayRetry(now, call)
                     && serverList.readyServers.stream().anyMatch(next -> mayAttemptOn(call, next))
                     && admission.retryWorthwhile(now, call)) {
@@ -557,7 +557,7 @@
         }
     }
 
-    /** The server list, its discovery subscription, and the request budgets of cold servers. */
+    /** The server list, the subscription to discovery, and the request budgets of cold servers. */
     private final class ServerList {
         /** Leases above these limits are ignored as invalid. */
         static final double MAX_LEASE_PERMITS = 1e6;
@@ -974,10 +974,10 @@
         }
 
         /**
-         * Handles a report that other sidecars find a server slow. A sidecar with few requests of its own would
-         * otherwise detect each slow server anew. The report holds until the next own response, and is used
-         * only if the last own response is older than the first trial interval: own observations always take
-         * precedence.
+         * Handles a report that other sidecars have measured a server to be slow. A sidecar with few requests
+         * of its own would otherwise detect each slow server anew. The report holds until the next own
+         * response, and is used only if the last own response is older than the first trial interval: own
+         * observations always take precedence.
          */
         void onPeerReport(long now, Server server, double reportedSlowdown) {
             if (server.lastResponseAt == 0 || now - server.lastResponseAt > shortestSloNanos) {
@@ -1015,12 +1015,12 @@
          */
         private static final double NORMAL_QUEUED_FRACTION = 0.8;
         /**
-         * Level above which requests of above-average worth are shed; most of the others are shed before any of
+         * Level above which requests of above-average utility are shed; most of the others are shed before any of
          * them.
          */
-        private static final double HIGH_WORTH_LEVEL = 0.9;
+        private static final double HIGH_UTILITY_LEVEL = 0.9;
         /**
-         * Some requests of the highest worth are always sent; without responses a recovery would go unnoticed.
+         * Some requests of the highest utility are always sent; without responses a recovery would go unnoticed.
          */
         private static final double MAX_LEVEL = 0.98;
         /** In multiples of the shortest SLO: twice the window of the on-time statistics, which decide after it. */
@@ -1028,14 +1028,14 @@
 
         private final int queueFieldIndex = settings.loadReportFields().indexOf("q");
         private final boolean manyReplicas = settings.replicaCount() >= MIN_REPLICAS;
-        private final double meanWorth = settings.classes().stream()
+        private final double meanUtility = settings.classes().stream()
                 .mapToDouble(RequestClass::utility)
                 .average()
                 .orElse(0);
         /**
          * In multiples of the shortest SLO: after this time without a report, one request is sent to obtain one.
          */
-        private static final int MAX_SILENCE_SLOS = 2;
+        private static final int MAX_REPORT_GAP_SLOS = 2;
 
         private double level;
         private long reportedAt;
@@ -1053,14 +1053,14 @@
          * Updates the level from a load report. It rises by 0.2 per shortest SLO while all servers have queues, and
          * falls faster the higher it is, so that shedding ends soon.
          */
-        void onReport(long now, float[] load) {
-            if (queueFieldIndex < 0 || load.length <= queueFieldIndex || !(load[queueFieldIndex] >= 0)) {
+        void onReport(long now, float[] loadReport) {
+            if (queueFieldIndex < 0 || loadReport.length <= queueFieldIndex || !(loadReport[queueFieldIndex] >= 0)) {
                 return;
             }
             double elapsedSlos = Math.min(1, (now - reportedAt) / (double) health.shortestSloNanos);
             level = isActive(now) ? level : 0;
             reportedAt = now;
-            double step = load[queueFieldIndex] >= 1
+            double step = loadReport[queueFieldIndex] >= 1
                     ? 1 - NORMAL_QUEUED_FRACTION
                     : -Math.max(NORMAL_QUEUED_FRACTION, level / 2);
             level = Math.max(0, Math.min(MAX_LEVEL, level + elapsedSlos * step));
@@ -1073,7 +1073,7 @@
          * small part of the servers' capacity.
          */
         private boolean admitTrial(long now) {
-            if (now - Math.max(reportedAt, trialAt) <= MAX_SILENCE_SLOS * health.shortestSloNanos) {
+            if (now - Math.max(reportedAt, trialAt) <= MAX_REPORT_GAP_SLOS * health.shortestSloNanos) {
                 return false;
             }
             trialAt = now;
@@ -1081,18 +1081,18 @@
         }
 
         double shedFraction(long now, RequestClass requestClass) {
-            double fraction = requestClass.utility() >= meanWorth
-                    ? Math.max(0, (level - HIGH_WORTH_LEVEL) / (1 - HIGH_WORTH_LEVEL))
-                    : Math.min(1, level / HIGH_WORTH_LEVEL);
+            double fraction = requestClass.utility() >= meanUtility
+                    ? Math.max(0, (level - HIGH_UTILITY_LEVEL) / (1 - HIGH_UTILITY_LEVEL))
+                    : Math.min(1, level / HIGH_UTILITY_LEVEL);
             return fraction > 0 && admitTrial(now) ? 0 : fraction;
         }
     }
 
-    /** The queued requests of one tenant and its recent use of its quota. */
+    /** The queued requests of one tenant and its recent usage of its quota. */
     private static final class TenantQueue {
         /**
          * Newest first. First-in first-out under overload delays all requests until every response is late, and
-         * stays so after the overload has passed. With newest first, some requests wait in vain and the rest
+         * stays so after the overload has passed. With newest first, some requests time out in the queue and the rest
          * are on time.
          */
         private final ArrayDeque<Call> calls = new ArrayDeque<>();
@@ -1156,8 +1156,8 @@
     /** Learned concurrency limits, queued requests, refusals, and the retry budget. */
     private final class AdmissionControl {
         /**
-         * Enough for the choice between two servers; no higher, because many sidecars start together with
-         * nothing known.
+         * Enough for the choice between two servers; no higher, because many sidecars start together without
+         * any observations.
          */
         static final double INITIAL_CONCURRENCY_LIMIT = 2;
         /**
@@ -1377,8 +1377,8 @@
     private final class LoadProbes {
         /** Enough that all of the probed servers are rarely busy. */
         private static final int PROBES_PER_REQUEST = 5;
-        /** Fraction of the total worth that may be charged for probes. */
-        private static final double MAX_PROBE_CHARGE = 0.01;
+        /** Fraction of the total utility that probes may cost. */
+        private static final double MAX_PROBE_COST = 0.01;
         /**
          * Divisor of the SLO: the time to wait for probe results. A healthy upstream answers probes at once,
          * past its queue.
@@ -1388,7 +1388,7 @@
         private final int inFlightFieldIndex = settings.loadReportFields().indexOf("rif");
         private final boolean affordable = inFlightFieldIndex >= 0
                 && settings.capabilities().canProbe()
-                && settings.overheadCosts().probe() * PROBES_PER_REQUEST <= MAX_PROBE_CHARGE;
+                && settings.overheadCosts().probe() * PROBES_PER_REQUEST <= MAX_PROBE_COST;
         /** Fraction of the SLO that an upstream's requests in flight may take up; the rest is for variation. */
         private static final double FULL_SLO_FRACTION = 0.6;
 
@@ -1422,9 +1422,9 @@
             return call.pendingProbes > 0;
         }
 
-        void onProbeResult(long now, Server server, Outcome outcome, float[] load) {
-            if (outcome == Outcome.OK && load.length > inFlightFieldIndex && inFlightFieldIndex >= 0) {
-                server.reportedInFlight = load[inFlightFieldIndex];
+        void onProbeResult(long now, Server server, Outcome outcome, float[] loadReport) {
+            if (outcome == Outcome.OK && loadReport.length > inFlightFieldIndex && inFlightFieldIndex >= 0) {
+                server.reportedInFlight = loadReport[inFlightFieldIndex];
                 meanInFlight += 0.05 * (server.reportedInFlight - meanInFlight);
             }
             List<Call> waiters = List.copyOf(server.probeWaiters);
--- a/src/main/java/pondridge/adapter/EventDispatcher.java
+++ b/src/main/java/pondridge/adapter/EventDispatcher.java
@@ -35,90 +35,93 @@
     }
 
     /** Handles all records of a frame. */
-    void dispatchBatch(long now, long records, FrameReader in) {
+    void dispatchBatch(long now, long records, FrameReader frame) {
         for (long i = 0; i < records; i++) {
-            dispatch(now, in.nextRecord(), in);
-            in.endRecord();
+            dispatch(now, frame.nextRecord(), frame);
+            frame.endRecord();
         }
-        if (!in.atEnd()) {
+        if (!frame.atEnd()) {
             throw new MalformedFrameException("bytes left over after the last of " + records + " records");
         }
     }
 
-    private void dispatch(long now, int code, FrameReader in) {
+    private void dispatch(long now, int code, FrameReader frame) {
         switch (code) {
-            case 1 -> createInstance(now, in);
-            case 2 -> endpointListChanged(now, in);
-            case 3 -> requestArrived(now, in);
-            case 4 -> instance(in).firstByteReceived(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
-            case 5 -> instance(in)
+            case 1 -> createInstance(now, frame);
+            case 2 -> endpointListChanged(now, frame);
+            case 3 -> requestArrived(now, frame);
+            case 4 -> instance(frame)
+                    .firstByteReceived(now, frame.u32(), frame.u8(), frame.upstream(), frame.time("timeTaken"));
+            case 5 -> instance(frame)
                     .attemptEnded(
                             now,
-                            in.u32(),
-                            in.u8(),
-                            in.upstream(),
-                            in.enumValue(OUTCOMES, in.u8(), "stateCode"),
-                            in.time("timeTaken"),
-                            in.u8() != 0,
-                            in.loadReport());
-            case 6 -> instance(in).clientDisconnected(now, in.u32());
-            case 7 -> instance(in).timerFired(now, in.i64());
-            case 8 -> instance(in)
+                            frame.u32(),
+                            frame.u8(),
+                            frame.upstream(),
+                            frame.enumValue(OUTCOMES, frame.u8(), "stateCode"),
+                            frame.time("timeTaken"),
+                            frame.u8() != 0,
+                            frame.loadReport());
+            case 6 -> instance(frame).clientDisconnected(now, frame.u32());
+            case 7 -> instance(frame).timerFired(now, frame.i64());
+            case 8 -> instance(frame)
                     .probeEnded(
                             now,
-                            in.upstream(),
-                            in.enumValue(OUTCOMES, in.u8(), "stateCode"),
-                            in.time("timeTaken"),
-                            in.loadReport());
-            case 9 -> instance(in).peerMessageReceived(now, in.u16(), in.bytes(in.u16()));
-            case 10 -> instances.remove(in.u16());
-            case 11 -> defineList(in);
-            default -> throw new MalformedFrameException("unknown event code " + code + " at byte " + in.recordStart());
+                            frame.upstream(),
+                            frame.enumValue(OUTCOMES, frame.u8(), "stateCode"),
+                            frame.time("timeTaken"),
+                            frame.loadReport());
+            case 9 -> instance(frame).peerMessageReceived(now, frame.u16(), frame.bytes(frame.u16()));
+            case 10 -> instances.remove(frame.u16());
+            case 11 -> defineList(frame);
+            default -> throw new MalformedFrameException(
+                    "unknown event code " + code + " at byte " + frame.recordStart());
         }
     }
 
-    private Balancer instance(FrameReader in) {
-        int sidecar = in.u16();
+    private Balancer instance(FrameReader frame) {
+        int sidecar = frame.u16();
         Balancer instance = instances.get(sidecar);
         if (instance == null) {
-            throw new MalformedFrameException("event for unknown instance " + sidecar + " at byte " + in.recordStart());
+            throw new MalformedFrameException(
+                    "event for unknown instance " + sidecar + " at byte " + frame.recordStart());
         }
         return instance;
     }
 
-    private void createInstance(long now, FrameReader in) {
-        int sidecar = in.u16();
-        long seed = in.i64();
+    private void createInstance(long now, FrameReader frame) {
+        int sidecar = frame.u16();
+        long seed = frame.i64();
         Balancer instance = new LoadBalancingPolicy(
-                new BalancerOptions(in.text(in.u32())).settings(), seed, replyWriter.actionsOf(sidecar));
+                new BalancerOptions(frame.text(frame.u32())).settings(), seed, replyWriter.actionsOf(sidecar));
         instances.put(sidecar, instance);
         instance.start(now);
     }
 
-    private void endpointListChanged(long now, FrameReader in) {
-        Balancer instance = instance(in);
-        EndpointListKind kind = in.enumValue(LIST_KINDS, in.u8(), "form");
-        in.i64();
-        long number = in.u32();
+    private void endpointListChanged(long now, FrameReader frame) {
+        Balancer instance = instance(frame);
+        EndpointListKind kind = frame.enumValue(LIST_KINDS, frame.u8(), "form");
+        frame.i64();
+        long number = frame.u32();
         if (kind == EndpointListKind.FAILED) {
             instance.endpointListChanged(now, kind, List.of());
             return;
         }
         if (number >= MAX_LISTS || endpointLists.get((int) number) == null) {
-            throw new MalformedFrameException("unknown list number " + number + " at byte " + in.recordStart());
+            throw new MalformedFrameException("unknown list number " + number + " at byte " + frame.recordStart());
         }
         instance.endpointListChanged(now, kind, endpointLists.get((int) number));
     }
 
-    private void requestArrived(long now, FrameReader in) {
-        Balancer instance = instance(in);
-        long id = in.u32();
-        int requestClass = in.u8();
-        int tenant = in.u16();
-        long key = in.i64();
-        long clientTimeoutNanos = in.time("left");
-        long costHintNanos = in.time("costGuess");
-        int flags = in.u8();
+    private void requestArrived(long now, FrameReader frame) {
+        Balancer instance = instance(frame);
+        long id = frame.u32();
+        int requestClass = frame.u8();
+        int tenant = frame.u16();
+        long key = frame.i64();
+        long clientTimeoutNanos = frame.time("left");
+        long costHintNanos = frame.time("costGuess");
+        int flags = frame.u8();
         instance.requestArrived(
                 now,
                 new Request(
@@ -132,22 +135,22 @@
                         (flags & 4) != 0));
     }
 
-    private void defineList(FrameReader in) {
-        long number = in.u32();
+    private void defineList(FrameReader frame) {
+        long number = frame.u32();
         if (number >= MAX_LISTS) {
-            throw new MalformedFrameException("list number " + number + " out of range at byte " + in.recordStart());
+            throw new MalformedFrameException("list number " + number + " out of range at byte " + frame.recordStart());
         }
-        long count = in.u32();
+        long count = frame.u32();
         List<Upstream> entries = new ArrayList<>((int) Math.min(count, MAX_INITIAL_CAPACITY));
         for (long i = 0; i < count; i++) {
             entries.add(new Upstream(
-                    in.upstream(),
-                    in.u8(),
-                    in.u16(),
-                    in.u16(),
-                    in.enumValue(STATES, in.u8(), "status"),
-                    in.f32(),
-                    in.time("lastStart")));
+                    frame.upstream(),
+                    frame.u8(),
+                    frame.u16(),
+                    frame.u16(),
+                    frame.enumValue(STATES, frame.u8(), "status"),
+                    frame.f32(),
+                    frame.time("lastStart")));
         }
         endpointLists.set((int) number, entries);
     }
--- a/src/main/java/pondridge/core/Client.java
+++ b/src/main/java/pondridge/core/Client.java
@@ -7,7 +7,7 @@
  */
 public interface Client {
     /** Called right before {@link #refused} or {@link #failed}, with a summary of the attempts. */
-    default void reportAttempts(AttemptSummary tried) {}
+    default void reportAttempts(AttemptSummary attempts) {}
 
     /**
      * Whether the client is still connected; called right before an attempt is written for it. An
--- a/src/main/java/pondridge/core/Engine.java
+++ b/src/main/java/pondridge/core/Engine.java
@@ -25,8 +25,8 @@
 import pondridge.LoadBalancingPolicy;
 
 /**
- * Hosts the {@link Balancer}: passes it one event at a time on the event loop and carries out the actions it
- * orders. Whatever the balancer and the upstreams do, each request gets exactly one final response and each
+ * Hosts the {@link Balancer}: passes it one event at a time on the event loop and executes the actions it
+ * issues. Whatever the balancer and the upstreams do, each request gets exactly one final response and each
  * send exactly one outcome. Times and durations are in nanoseconds unless a name says otherwise.
  */
 public final class Engine implements Balancer.Actions, RequestProcessor {
@@ -93,9 +93,9 @@
             attempts.stream().filter(Objects::nonNull).forEach(Transport.Attempt::withdraw);
         }
 
-        private void refused(long retryAfter) {
+        private void refused(long retryAfterNanos) {
             reportAttempts();
-            client.refused(retryAfter);
+            client.refused(retryAfterNanos);
         }
 
         private void failed() {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** One attempt, from the balancer's order to its outcome. */
+    /** One attempt, from the balancer's send action to its outcome. */
     private final class PendingAttempt implements Transport.Listener {
         private final long requestId;
         private final OpenRequest request;
@@ -132,8 +132,8 @@
                     : request.deadline;
         }
 
-        void start(long timeout) {
-            request.attempts.set(number, transport.send(upstream, request.job, timeout, this));
+        void start(long timeoutNanos) {
+            request.attempts.set(number, transport.send(upstream, request.job, timeoutNanos, this));
             // A connection may take longer to establish than servers remember the idempotency key.
             if (writeDeadline < request.deadline) {
                 withdrawTimer = loop.schedule(
@@ -160,7 +160,7 @@
     private final EventLoop loop;
     private final Balancer balancer;
     private final List<RequestClass> classes;
-    private final int tryLimit;
+    private final int maxAttempts;
     private final int maxOpenRequests;
     private final Transport transport;
     private final Map<Long, OpenRequest> openRequests = new HashMap<>();
@@ -201,7 +201,7 @@
         this.loop = loop;
         this.balancer = new LoadBalancingPolicy(settings, seed, this);
         this.classes = settings.classes();
-        this.tryLimit = settings.capabilities().maxAttempts();
+        this.maxAttempts = settings.capabilities().maxAttempts();
         this.maxOpenRequests = maxOpenRequests;
         this.transport = transport;
         options.list("zones").forEach(zone -> numberOf(zoneNumbers, zone));
@@ -251,9 +251,9 @@
          * An attempt has ended.
          *
          * @param uid the server's name in the endpoint list
-         * @param tookNanos from the balancer's order to the outcome
+         * @param elapsedNanos from the balancer's send action to the outcome
          */
-        void attemptEnded(String uid, int requestClass, Outcome outcome, long tookNanos);
+        void attemptEnded(String uid, int requestClass, Outcome outcome, long elapsedNanos);
     }
 
     /**
@@ -298,22 +298,22 @@
     /**
      * Permission to send requests to a recently started server.
      *
-     * @param count how many requests may be sent
-     * @param millis validity from now, in milliseconds
+     * @param permits how many requests may be sent
+     * @param durationMillis validity from now, in milliseconds
      */
-    public record Lease(float count, int millis) {}
+    public record Lease(float permits, int durationMillis) {}
 
     /** Passes to the balancer this sidecar's leases on the load that all sidecars may send to cold servers. */
     public void applyLeases(Map<String, Lease> leases) {
-        List<Map.Entry<String, Lease>> known = leases.entrySet().stream()
+        List<Map.Entry<String, Lease>> entries = leases.entrySet().stream()
                 .filter(each -> upstreamIds.containsKey(each.getKey()))
                 .toList();
-        for (int i = 0; i < known.size(); i += MAX_LEASE_ENTRIES) {
-            List<Map.Entry<String, Lease>> batch = known.subList(i, Math.min(known.size(), i + MAX_LEASE_ENTRIES));
+        for (int i = 0; i < entries.size(); i += MAX_LEASE_ENTRIES) {
+            List<Map.Entry<String, Lease>> batch = entries.subList(i, Math.min(entries.size(), i + MAX_LEASE_ENTRIES));
             ByteBuffer message = ByteBuffer.allocate(LEASE_ENTRY_BYTES * batch.size());
             batch.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
-                    .putFloat(each.getValue().count)
-                    .putInt(each.getValue().millis));
+                    .putFloat(each.getValue().permits)
+                    .putInt(each.getValue().durationMillis));
             dispatch(now -> balancer.peerMessageReceived(now, Balancer.COLD_START_LEASES, message.array()));
         }
     }
@@ -324,15 +324,15 @@
      * @param slowdownByServer how many times slower than its baseline each server is, by server name
      */
     public void applySlowdownReports(Map<String, Double> slowdownByServer) {
-        List<Map.Entry<String, Double>> known = slowdownByServer.entrySet().stream()
+        List<Map.Entry<String, Double>> entries = slowdownByServer.entrySet().stream()
                 .filter(each -> upstreamIds.containsKey(each.getKey()))
                 .limit(MAX_SLOWDOWN_ENTRIES)
                 .toList();
-        if (known.isEmpty()) {
+        if (entries.isEmpty()) {
             return;
         }
-        ByteBuffer message = ByteBuffer.allocate(SLOWDOWN_ENTRY_BYTES * known.size());
-        known.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
+        ByteBuffer message = ByteBuffer.allocate(SLOWDOWN_ENTRY_BYTES * entries.size());
+        entries.forEach(each -> message.putLong(upstreamIds.get(each.getKey()))
                 .putFloat(each.getValue().floatValue()));
         dispatch(now -> balancer.peerMessageReceived(now, Balancer.PEER_OUTLIER_REPORTS, message.array()));
     }
@@ -388,10 +388,10 @@
         long id = ++lastRequestId;
         log.requestReceived(id, job);
         long receivedAt = now();
-        long timeLeft = Math.max(
+        long timeLeftNanos = Math.max(
                 1, Math.min(job.clientTimeoutMillis() * 1_000_000 - RESPONSE_MARGIN_NANOS, shutdownAt - receivedAt));
         OpenRequest request = new OpenRequest(job, client);
-        request.deadline = receivedAt + timeLeft;
+        request.deadline = receivedAt + timeLeftNanos;
         openRequests.put(id, request);
         // The balancer responds by its own deadline; this timer covers requests that it missed.
         request.timer = loop.schedule(
@@ -399,7 +399,7 @@
                     finish(id, request, "failed at the deadline", request::failed);
                     balancer.clientDisconnected(now, id);
                 }),
-                timeLeft + RESPONSE_MARGIN_NANOS / 2,
+                timeLeftNanos + RESPONSE_MARGIN_NANOS / 2,
                 TimeUnit.NANOSECONDS);
         if (checkingClient || receivedAt - previousTurnEnd > MAX_UNREAD_NANOS) {
             // The client's end of stream may be right behind in the socket, which must not be read from within
@@ -469,7 +469,7 @@
         if (request != null && !request.closed) {
             log.clientDisconnected(id);
             request.close();
-            // Kept until the balancer has been notified: a send it orders before that needs an outcome, too.
+            // Kept until the balancer has been notified: an attempt that it sends before that needs an outcome, too.
             dispatch(now -> {
                 balancer.clientDisconnected(now, id);
                 forget(id, request);
@@ -515,7 +515,7 @@
     }
 
     @Override
-    public void send(long requestId, long upstream, long timeout) {
+    public void send(long requestId, long upstream, long timeoutNanos) {
         OpenRequest request = openRequests.get(requestId);
         long now = now();
         if (request == null) {
@@ -525,17 +525,17 @@
         request.inFlight++;
         request.attempts.add(null);
         PendingAttempt attempt = new PendingAttempt(requestId, request, number, upstream, now);
-        if (request.closed || now >= attempt.writeDeadline || number >= tryLimit) {
+        if (request.closed || now >= attempt.writeDeadline || number >= maxAttempts) {
             attemptEnded(attempt, Outcome.NEVER_SENT, null, LoadReports.NONE);
             return;
         }
-        long attemptTimeout = request.deadline - now;
-        if (timeout > 0) {
-            attemptTimeout = Math.min(attemptTimeout, timeout);
+        long attemptTimeoutNanos = request.deadline - now;
+        if (timeoutNanos > 0) {
+            attemptTimeoutNanos = Math.min(attemptTimeoutNanos, timeoutNanos);
         }
         request.attemptsSent++;
-        log.attemptSent(requestId, number, namesForLog.get(upstream), attemptTimeout);
-        attempt.start(attemptTimeout);
+        log.attemptSent(requestId, number, namesForLog.get(upstream), attemptTimeoutNanos);
+        attempt.start(attemptTimeoutNanos);
     }
 
     private void attemptEnded(PendingAttempt attempt, Outcome outcome, UpstreamResponse response, float[] load) {
@@ -561,10 +561,10 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfter) {
+    public void refuse(long requestId, long retryAfterNanos) {
         OpenRequest request = openRequests.get(requestId);
         if (request != null) {
-            finish(requestId, request, "refused", () -> request.refused(retryAfter));
+            finish(requestId, request, "refused", () -> request.refused(retryAfterNanos));
         }
     }
 
@@ -585,12 +585,14 @@
     }
 
     @Override
-    public void setTimer(long token, long at) {
+    public void setTimer(long token, long dueNanos) {
         if (retired && openRequests.isEmpty()) {
             return;
         }
         loop.schedule(
-                () -> dispatch(now -> balancer.timerFired(now, token)), Math.max(0, at - now()), TimeUnit.NANOSECONDS);
+                () -> dispatch(now -> balancer.timerFired(now, token)),
+                Math.max(0, dueNanos - now()),
+                TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -619,8 +621,8 @@
     }
 
     @Override
-    public void setSubscription(boolean on) {
-        discovery.watch(on);
+    public void setSubscription(boolean subscribed) {
+        discovery.watch(subscribed);
     }
 
     @Override
--- a/src/main/java/pondridge/lab/ColdStartBudget.java
+++ b/src/main/java/pondridge/lab/ColdStartBudget.java
@@ -5,8 +5,9 @@
 
 /**
  * Checks the load of a server against the limit that holds during its cold-start ramp. In any window of length
- * {@code tipAfter}, at most N + 2 x sqrt(N) + 2 requests of mean work may arrive, rejected ones included. N is
- * the overload factor times the server's present capacity times the length of the window.
+ * {@link SafetyLimits#overloadWindowNanos()}, at most N + 2 x sqrt(N) + 2 requests of mean work may arrive,
+ * rejected ones included. N is the overload factor times the server's present capacity times the length of the
+ * window.
  * The limit is the one in the operators' specification of cold servers.
  */
 public final class ColdStartBudget {
--- a/src/main/java/pondridge/lab/Simulation.java
+++ b/src/main/java/pondridge/lab/Simulation.java
@@ -16,9 +16,9 @@
 import pondridge.Balancer.UpstreamState;
 import pondridge.LoadBalancingPolicy;
 
-/** Runs a {@link SimulationScenario} with the real decision module. */
+/** Runs a {@link SimulationScenario} with the real load-balancing policy. */
 public final class Simulation {
-    /** Start of the modules' clock. It is not 0, since a start time of 0 in a list means a server that is long warm. */
+    /** Start of the policies' clock. It is not 0: a start time of 0 in a list means a server that is long warm. */
     private static final long CLOCK_START_NANOS = 1_000_000_000_000L;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -141,7 +141,7 @@
                 list.add(entry(i));
             }
         }
-        sidecars[index].module.start(CLOCK_START_NANOS + atNanos);
+        sidecars[index].balancer.start(CLOCK_START_NANOS + atNanos);
         sidecars[index].deliverList(atNanos, EndpointListKind.CACHED, list);
     }
 
@@ -166,31 +166,31 @@
         });
     }
 
-    /** One sidecar: executes the actions of its decision module. */
+    /** One sidecar: executes the actions of its load-balancing policy. */
     private final class SidecarHost implements Actions {
-        private final LoadBalancingPolicy module;
+        private final LoadBalancingPolicy balancer;
         private final Map<Long, Try> tries = new HashMap<>();
         private boolean stopped;
         private long pausedUntilNanos;
 
-        SidecarHost(int rank, long seed) {
-            Settings all = scenario.settings();
-            this.module = new LoadBalancingPolicy(
+        SidecarHost(int replicaIndex, long seed) {
+            Settings shared = scenario.settings();
+            this.balancer = new LoadBalancingPolicy(
                     new Settings(
-                            rank,
-                            all.replicaCount(),
-                            all.zone(),
-                            all.minEventIntervalNanos(),
-                            all.discoveryMode(),
-                            all.weightKind(),
-                            all.classes(),
-                            all.tenants(),
-                            all.capabilities(),
-                            all.safetyLimits(),
-                            all.loadReportFields(),
-                            all.overheadCosts(),
-                            all.utilityPerWork(),
-                            all.overQuotaUtilityFraction()),
+                            replicaIndex,
+                            shared.replicaCount(),
+                            shared.zone(),
+                            shared.minEventIntervalNanos(),
+                            shared.discoveryMode(),
+                            shared.weightKind(),
+                            shared.classes(),
+                            shared.tenants(),
+                            shared.capabilities(),
+                            shared.safetyLimits(),
+                            shared.loadReportFields(),
+                            shared.overheadCosts(),
+                            shared.utilityPerWork(),
+                            shared.overQuotaUtilityFraction()),
                     seed,
                     this);
         }
@@ -198,7 +198,7 @@
         void deliverList(long atNanos, EndpointListKind kind, List<Upstream> entries) {
             nowNanos = atNanos;
             if (!stopped) {
-                module.endpointListChanged(CLOCK_START_NANOS + atNanos, kind, entries);
+                balancer.endpointListChanged(CLOCK_START_NANOS + atNanos, kind, entries);
             }
         }
 
@@ -229,7 +229,7 @@
                 double workHint = scenario.arrivals().workHinted()
                         ? clientRequest.relativeWork * scenario.arrivals().meanWorkNanos()
                         : 0;
-                module.requestArrived(
+                balancer.requestArrived(
                         CLOCK_START_NANOS + dueNanos,
                         new Request(
                                 id,
@@ -291,12 +291,12 @@
                 clientTry.ended = true;
                 RequestClass requestClass = scenario.settings().classes().get(clientTry.clientRequest.classIndex);
                 if (atNanos - clientTry.clientRequest.startNanos <= requestClass.sloNanos()) {
-                    result.secondAt(clientTry.clientRequest.startNanos).answeredInTime++;
+                    result.secondAt(clientTry.clientRequest.startNanos).servedOnTime++;
                 } else {
-                    result.secondAt(clientTry.clientRequest.startNanos).answeredLate++;
+                    result.secondAt(clientTry.clientRequest.startNanos).servedLate++;
                 }
             }
-            module.attemptEnded(
+            balancer.attemptEnded(
                     CLOCK_START_NANOS + atNanos,
                     request,
                     attempt,
@@ -364,7 +364,7 @@
                     Math.max(nowNanos, atNanos - CLOCK_START_NANOS),
                     firedNanos -> runWhenResumed(firedNanos, dueNanos -> {
                         if (!stopped) {
-                            module.timerFired(CLOCK_START_NANOS + dueNanos, token);
+                            balancer.timerFired(CLOCK_START_NANOS + dueNanos, token);
                         }
                     }));
         }
--- a/src/main/java/pondridge/lab/SimulationResult.java
+++ b/src/main/java/pondridge/lab/SimulationResult.java
@@ -13,10 +13,10 @@
         public int offered;
         /** Retries of clients after a refusal. */
         public int retries;
-        /** Requests answered within the latency objective of their class, counted from the first try. */
-        public int answeredInTime;
-        /** Requests answered after the latency objective. */
-        public int answeredLate;
+        /** Requests served within the latency objective of their class, counted from the first try. */
+        public int servedOnTime;
+        /** Requests served after the latency objective. */
+        public int servedLate;
         /** Requests refused or failed with no retry left. */
         public int refused;
         /** Tries that a sidecar refused on arrival in this second: shed, or unlikely to meet the deadline. */
--- a/src/main/java/pondridge/lab/SimulationScenario.java
+++ b/src/main/java/pondridge/lab/SimulationScenario.java
@@ -6,9 +6,9 @@
 /**
  * Input of one simulation run. Times are in nanoseconds from the start of the run.
  *
- * @param seed the only source of randomness; the seeds of the decision modules are drawn from it
- * @param settings settings of every decision module, except for its rank
- * @param sidecars number of sidecars; {@code settings.replicas} may differ from it
+ * @param seed the only source of randomness; the seeds of the load-balancing policies are drawn from it
+ * @param settings settings of every load-balancing policy, except for its replica index
+ * @param sidecars number of sidecars; {@code settings.replicaCount} may differ from it
  * @param servers the servers, numbered from 0; each is listed as warm unless an event restarts it
  * @param arrivals requests of clients to all sidecars together
  * @param events what happens to servers, sidecars and clients, in any order
--- a/src/main/java/pondridge/platform/DiscoveryClient.java
+++ b/src/main/java/pondridge/platform/DiscoveryClient.java
@@ -155,8 +155,8 @@
     }
 
     /** Sets the log for calls and lists. Call before the first call to discovery. */
-    public void setRequestLog(RequestLog newLog) {
-        requestLog = newLog;
+    public void setRequestLog(RequestLog requestLog) {
+        this.requestLog = requestLog;
     }
 
     /** Starts watching if lists are pushed; otherwise does nothing, since the balancer requests the watch. */
--- a/src/main/java/pondridge/platform/PlatformConfig.java
+++ b/src/main/java/pondridge/platform/PlatformConfig.java
@@ -56,7 +56,7 @@
         if (maxSockets < MIN_SOCKETS) {
             throw new IllegalArgumentException("expected at least " + MIN_SOCKETS + ": limits.sockets");
         }
-        DiscoveryClient.EndpointList known = root.has("known")
+        DiscoveryClient.EndpointList cachedList = root.has("known")
                 ? DiscoveryClient.EndpointList.of(root.get("known"))
                 : DiscoveryClient.EndpointList.EMPTY;
         return new PlatformConfig(
@@ -65,7 +65,7 @@
                 address(root, "discovery"),
                 seed(root),
                 maxSockets,
-                known,
+                cachedList,
                 options);
     }
 
--- a/src/main/java/pondridge/scale/HollowSidecar.java
+++ b/src/main/java/pondridge/scale/HollowSidecar.java
@@ -14,7 +14,7 @@
 import pondridge.core.Transport;
 
 /**
- * A sidecar reduced to the part that follows the endpoint list: the real decision module in the real engine, and
+ * A sidecar reduced to the part that follows the endpoint list: the real load-balancing policy in the real engine, and
  * the real list client over a real socket. It has no frontend and no upstream transport, so it handles no
  * requests, and its memory does not include connection pools. Used on the thread of its event loop only.
  */
--- a/src/main/java/pondridge/scale/PropagationTracker.java
+++ b/src/main/java/pondridge/scale/PropagationTracker.java
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Records that a follower's decision module has received a version. */
+    /** Records that a follower's load-balancing policy has received a version. */
     public synchronized void recordReceived(int follower, long version, long nowNanos) {
         if (version > receivedVersion[follower]) {
             for (Map.Entry<Long, Long> published : publishedNanos
--- a/src/main/java/pondridge/store/SharedStoreBinding.java
+++ b/src/main/java/pondridge/store/SharedStoreBinding.java
@@ -15,7 +15,7 @@
     /**
      * Starts the exchanges. To be called on the event loop, before the engine starts.
      *
-     * @param limits the safety limits of the decision module
+     * @param limits the safety limits of the load-balancing policy
      */
     public static SharedStore start(
             EventLoop loop, Engine engine, StoreSettings settings, Balancer.SafetyLimits limits, long seed) {
--- a/src/test/java/pondridge/ColdServerLoadTest.java
+++ b/src/test/java/pondridge/ColdServerLoadTest.java
@@ -229,10 +229,10 @@
         }
         for (int second = 0; second < 10; second++) {
             assertEquals(
-                    List.of(runs[0].second(second).arrivedRequests[0], runs[0].second(second).answeredInTime),
-                    List.of(runs[1].second(second).arrivedRequests[0], runs[1].second(second).answeredInTime));
+                    List.of(runs[0].second(second).arrivedRequests[0], runs[0].second(second).servedOnTime),
+                    List.of(runs[1].second(second).arrivedRequests[0], runs[1].second(second).servedOnTime));
         }
-        assertTrue(runs[0].second(8).answeredInTime > 0.95 * runs[0].second(8).offered);
+        assertTrue(runs[0].second(8).servedOnTime > 0.95 * runs[0].second(8).offered);
     }
 
     /** Sends to a single cold server in 0.4 s, out of 40 requests, after three warm servers were removed. */
--- a/src/test/java/pondridge/DiscoverySubscriptionTest.java
+++ b/src/test/java/pondridge/DiscoverySubscriptionTest.java
@@ -43,7 +43,7 @@
 
     private static Settings settings(long askWithin, long drainGrace, int replicas) {
         Settings base = RecordingHost.settings(DiscoveryMode.SUBSCRIBE, RecordingHost.REPEATABLE);
-        SafetyLimits old = base.safetyLimits();
+        SafetyLimits baseLimits = base.safetyLimits();
         return new Settings(
                 0,
                 replicas,
@@ -55,13 +55,13 @@
                 base.tenants(),
                 base.capabilities(),
                 new SafetyLimits(
-                        old.responseSlackNanos(),
+                        baseLimits.responseSlackNanos(),
                         askWithin,
                         drainGrace,
-                        old.coldCapacityFraction(),
-                        old.rampNanos(),
-                        old.overloadFactor(),
-                        old.overloadWindowNanos()),
+                        baseLimits.coldCapacityFraction(),
+                        baseLimits.rampNanos(),
+                        baseLimits.overloadFactor(),
+                        baseLimits.overloadWindowNanos()),
                 List.of(),
                 base.overheadCosts(),
                 false,
--- a/src/test/java/pondridge/FleetGoodputTest.java
+++ b/src/test/java/pondridge/FleetGoodputTest.java
@@ -134,7 +134,7 @@
             summary.append(String.format(
                     Locale.ROOT,
                     " %d(%d,%d,%d;%d)",
-                    second.answeredInTime,
+                    second.servedOnTime,
                     second.refusedImmediately,
                     second.refusedAfterQueueing,
                     second.refusedAfterAttempts,
@@ -146,8 +146,8 @@
 
     private static void assertInTime(SimulationResult tally, int second, double requests, double minFraction) {
         assertTrue(
-                tally.second(second).answeredInTime >= minFraction * requests,
-                "second " + second + ": " + tally.second(second).answeredInTime + " in time of " + requests);
+                tally.second(second).servedOnTime >= minFraction * requests,
+                "second " + second + ": " + tally.second(second).servedOnTime + " in time of " + requests);
     }
 
     /** Without disturbance nothing is refused, whatever the phase of the arrivals at the sidecars. */
--- a/src/test/java/pondridge/LoadBalancingPolicyTest.java
+++ b/src/test/java/pondridge/LoadBalancingPolicyTest.java
@@ -487,14 +487,14 @@
         return new double[] {1 - sent[0] / (double) (to - from), 1 - sent[1] / (double) (to - from)};
     }
 
-    /** Reported queues cause low-value requests to be shed before responses are late, and only while queues last. */
+    /** Reported queues cause low-utility requests to be shed before responses are late, and only while queues last. */
     @Test
-    void manySidecarsShedByWorthWhileAllServersHaveQueues() {
+    void manySidecarsShedByUtilityWhileAllServersHaveQueues() {
         RecordingHost host = new RecordingHost(RecordingHost.queueReportingSettings(100), 7).withUpstreams(20);
         assertEquals(0, refusedFractions(host, 0, 50, 20 * MS, 5, 0)[0], "idle");
         double[] full = refusedFractions(host, 50, 250, 20 * MS, 5, 3);
-        assertTrue(full[0] > 0.8, "low-worth class: " + full[0]);
-        assertTrue(full[1] > 0 && full[1] < 0.9, "high-worth class: " + full[1]);
+        assertTrue(full[0] > 0.8, "low-utility class: " + full[0]);
+        assertTrue(full[1] > 0 && full[1] < 0.9, "high-utility class: " + full[1]);
         refusedFractions(host, 250, 265, 20 * MS, 5, 0);
         double[] after = refusedFractions(host, 265, 300, 20 * MS, 5, 0);
         assertEquals(0, after[0] + after[1], "six SLOs later");
@@ -529,7 +529,7 @@
                 host.request(10_000 + i, 0);
                 host.advance(500 * MS);
             }
-            assertTrue(host.sends.size() > before, "seed " + seed + ": eight SLOs with one low-worth request each");
+            assertTrue(host.sends.size() > before, "seed " + seed + ": eight SLOs with one low-utility request each");
         }
     }
 
@@ -657,11 +657,11 @@
         int sent = host.sends.size();
         host.policy.clientDisconnected(host.now, 5);
         host.advance(600 * MS);
-        int answered = host.finalResponses.size();
+        int responsesBefore = host.finalResponses.size();
         host.request(50, 0, 400 * MS);
         assertEquals(
                 List.of("refuse 50"),
-                host.finalResponses.subList(answered, host.finalResponses.size()),
+                host.finalResponses.subList(responsesBefore, host.finalResponses.size()),
                 "600 ms of an SLO of 500 ms have passed");
         assertEquals(sent, host.sends.size());
     }
@@ -721,9 +721,9 @@
         for (int i = 0; i < 30; i++) {
             host.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
         }
-        int answered = host.finalResponses.size();
+        int responsesBefore = host.finalResponses.size();
         host.request(50, 0, 600 * MS);
-        assertEquals(answered, host.finalResponses.size(), "first tries have 600 ms: queued, not refused");
+        assertEquals(responsesBefore, host.finalResponses.size(), "first tries have 600 ms: queued, not refused");
     }
 
     @Test
--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -198,7 +198,7 @@
         assertTrue(nextId > 2_000, "too few requests");
     }
 
-    /** Advances the clock in steps of one quantum, as a host with a batch clock does. */
+    /** Advances the clock in steps of the minimum event interval, as a host with a batch clock does. */
     private void tick(int millis) {
         for (int passed = 0; passed < millis; passed += 5) {
             host.advance(5 * MS);
--- a/src/test/java/pondridge/RecordingHost.java
+++ b/src/test/java/pondridge/RecordingHost.java
@@ -90,9 +90,9 @@
                 1);
     }
 
-    /** Upstreams report how many requests are queued; one class of low worth and one of high worth. */
+    /** Upstreams report how many requests are queued; one class of low utility and one of high utility. */
     static Settings queueReportingSettings(int replicas) {
-        Settings base = settings(classWithWorth(1), classWithWorth(10));
+        Settings base = settings(classWithUtility(1), classWithUtility(10));
         return new Settings(
                 0,
                 replicas,
@@ -110,8 +110,8 @@
                 1);
     }
 
-    private static RequestClass classWithWorth(double worth) {
-        return new RequestClass(500 * MS, 0, 1_000 * MS, worth, 0, RetrySemantics.REPEATABLE, KeyScope.ALL, 0, false);
+    private static RequestClass classWithUtility(double utility) {
+        return new RequestClass(500 * MS, 0, 1_000 * MS, utility, 0, RetrySemantics.REPEATABLE, KeyScope.ALL, 0, false);
     }
 
     static Upstream upstream(long id) {
@@ -227,7 +227,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        actions.add("tell " + peer);
+        actions.add("sendToPeer " + peer);
     }
 
     @Override
--- a/src/test/java/pondridge/UnusualSettingsTest.java
+++ b/src/test/java/pondridge/UnusualSettingsTest.java
@@ -22,8 +22,8 @@
 class UnusualSettingsTest {
 
     /** A host that allows nothing but sending, with the given try limit. */
-    private static RecordingHost minimalHost(int tryLimit, RequestClass... classes) {
-        HostCapabilities allowed = new HostCapabilities(false, false, false, false, false, tryLimit, 0, 0);
+    private static RecordingHost minimalHost(int maxAttempts, RequestClass... classes) {
+        HostCapabilities capabilities = new HostCapabilities(false, false, false, false, false, maxAttempts, 0, 0);
         SafetyLimits limits = new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
         return new RecordingHost(
                 new Settings(
@@ -35,7 +35,7 @@
                         WeightKind.SILENT,
                         List.of(classes),
                         List.of(),
-                        allowed,
+                        capabilities,
                         limits,
                         List.of(),
                         Balancer.OverheadCosts.NONE,
@@ -87,7 +87,9 @@
         }
         host.policy.clientDisconnected(host.now, host.lastSend().request());
         host.advance(3_000 * MS);
-        assertTrue(host.actions.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")), "disallowed action");
+        assertTrue(
+                host.actions.stream().noneMatch(l -> l.matches("(cancel|probe|sendToPeer|close).*")),
+                "disallowed action");
         assertTrue(host.actions.stream().anyMatch(l -> l.startsWith("refuse")));
         assertTrue(host.actions.stream().noneMatch(l -> l.matches("refuse \\d+ [1-9].*")), "no retry-after time");
     }
--- a/src/test/java/pondridge/sidecar/RequestLogTest.java
+++ b/src/test/java/pondridge/sidecar/RequestLogTest.java
@@ -32,8 +32,8 @@
             }
 
             @Override
-            public void responseSent(long number, String answer) {
-                events.add(answer);
+            public void responseSent(long number, String result) {
+                events.add(result);
             }
         };
         try (StubServer upstream = StubServer.serving("x");
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -170,9 +170,9 @@
     /** Srv-Declined proves that nothing was executed; a 503 without that header proves nothing (tested above). */
     @Test
     void declinedUnsafeRequestIsRetriedOnAnotherServer() throws Exception {
-        StubServer.Script declines = (socket, head) -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-        try (StubServer one = new StubServer(declines);
-                StubServer two = new StubServer(declines);
+        StubServer.Script declining = (socket, head) -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
+        try (StubServer one = new StubServer(declining);
+                StubServer two = new StubServer(declining);
                 SidecarFixture sidecar = SidecarFixture.with(one, two)) {
             SidecarFixture.Response response = sidecar.exchange(SidecarFixture.postRequest("book", "", "b"));
             assertEquals(503, response.status());
