--- a/src/main/java/pondridge/BalancerOptions.java
+++ b/src/main/java/pondridge/BalancerOptions.java
@@ -75,8 +75,8 @@
                 enumValue(WeightKind.class, "weights", WeightKind.SILENT),
                 classes,
                 tenants,
-                allowed(),
-                limits(),
+                capabilities(),
+                safetyLimits(),
                 list("report.fields"),
                 new OverheadCosts(number("charges.probe", 0), number("charges.peer", 0)),
                 "work".equals(values.get("valueBy")),
@@ -97,7 +97,7 @@
                 flag(path + "stream"));
     }
 
-    private HostCapabilities allowed() {
+    private HostCapabilities capabilities() {
         return new HostCapabilities(
                 flag("caps.mayCancel"),
                 flag("caps.mayProbe"),
@@ -109,7 +109,7 @@
                 (long) number("caps.connectTimeout", 0));
     }
 
-    private SafetyLimits limits() {
+    private SafetyLimits safetyLimits() {
         // An interval of 0 would make the balancer request the endpoint list repeatedly within one event.
         double refreshNanos = number("rules.askWithin", 0);
         return new SafetyLimits(
--- a/src/main/java/pondridge/LoadBalancingPolicy.java
+++ b/src/main/java/pondridge/LoadBalancingPolicy.java
@@ -192,7 +192,7 @@
         /**
          * Returns whichever of the current entry and the next has fewer requests in flight, the current one on
          * a tie. Entries that are not eligible for this request are skipped. Only first attempts advance the
-         * position: a retry has few eligible entries and would make the turns uneven. Returns null if no entry
+         * position: a retry has few eligible entries and would distribute the turns unevenly. Returns null if no entry
          * is eligible.
          */
         Server pick(long now, Call call, boolean ignoreHealth) {
@@ -594,7 +594,7 @@
         /** Up to this number of replicas, discovery calls are not slowed down: they cost little. */
         private static final double REPLICAS_AT_FULL_PACE = 8;
         /**
-         * Upper limit of the pause after a call that outlasted its interval. An unanswered call has used up
+         * Upper limit of the pause after a call that outlasted its interval. A call without a response has used up
          * half of the 6 s by then.
          */
         private static final long MAX_PAUSE_AFTER_CALL_NANOS = 200_000_000L;
--- a/src/main/java/pondridge/core/Engine.java
+++ b/src/main/java/pondridge/core/Engine.java
@@ -63,7 +63,7 @@
         private long mayHaveRunSince;
 
         private long lastSocketReadAt;
-        /** A connection check found the client gone; the front end reports that as well, later. */
+        /** A connection check found the client gone; the frontend reports that as well, later. */
         private boolean clientGone;
 
         private boolean closed;
@@ -337,7 +337,7 @@
         dispatch(now -> balancer.peerMessageReceived(now, Balancer.PEER_OUTLIER_REPORTS, message.array()));
     }
 
-    /** Takes over an endpoint list or a change to it, or the failure of a discovery call. */
+    /** Applies an endpoint list or a change to it, or passes on the failure of a discovery call. */
     public void updateEndpoints(EndpointListKind kind, List<Target> targets) {
         List<Upstream> entries = new ArrayList<>(targets.size());
         Map<Long, Target> targetsById = new HashMap<>();
--- a/src/main/java/pondridge/core/Job.java
+++ b/src/main/java/pondridge/core/Job.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A complete client request, independent of the protocol. Front ends of every protocol create one; transports
+ * A complete client request, independent of the protocol. Frontends of every protocol create one; transports
  * translate it into theirs.
  *
  * @param requestClass index of its class in the settings
--- a/src/main/java/pondridge/core/ObservedEndpoints.java
+++ b/src/main/java/pondridge/core/ObservedEndpoints.java
@@ -9,7 +9,7 @@
 
 /**
  * The endpoint list as an {@link Engine.Observer} needs it: server names by upstream id, which servers are
- * ready, and since when each instance has been known here. Times are nanoseconds of any monotonic clock. Not
+ * ready, and when each instance was first seen here. Times are nanoseconds of any monotonic clock. Not
  * thread-safe.
  */
 final class ObservedEndpoints {
@@ -33,21 +33,21 @@
     }
 
     /**
-     * Servers that are ready and were first seen less than {@code maxAge} ago, by name. The age is never more
+     * Servers that are ready and were first seen less than {@code maxAgeNanos} ago, by name. The age is never more
      * than the time since the start.
      */
-    Map<String, Engine.ServerStart> started(long maxAge, long now) {
+    Map<String, Engine.ServerStart> started(long maxAgeNanos, long now) {
         Map<String, Engine.ServerStart> recent = new HashMap<>();
         for (String uid : ready) {
             Instance instance = instances.get(uid);
-            if (now - instance.since < maxAge) {
+            if (now - instance.since < maxAgeNanos) {
                 recent.put(uid, new Engine.ServerStart(instance.startedMillis, now - instance.since));
             }
         }
         return recent;
     }
 
-    /** Takes over a list or a change to it; {@code wallClockMillis} is the local clock in Unix milliseconds. */
+    /** Applies a list or a change to it; {@code wallClockMillis} is the local clock in Unix milliseconds. */
     void update(EndpointListKind kind, Map<Long, Target> targetsById, long now, long wallClockMillis) {
         if (kind == EndpointListKind.FULL) {
             names.clear();
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Since when a new instance counts as known: from now on, or before the first list from discovery from its
-     * start time.
+     * Returns when a new instance counts as first seen: now, or before the first list from discovery at its start
+     * time.
      */
     private long since(Target target, long now, long wallClockMillis) {
         if (listReceived) {
--- a/src/main/java/pondridge/core/RequestProcessor.java
+++ b/src/main/java/pondridge/core/RequestProcessor.java
@@ -1,7 +1,7 @@
 package pondridge.core;
 
 /**
- * Accepts requests from the front ends: an {@link Engine}, or a dispatcher that chooses between several. All
+ * Accepts requests from the frontends: an {@link Engine}, or a dispatcher that chooses between several. All
  * calls are made on the event loop.
  */
 public interface RequestProcessor {
--- a/src/main/java/pondridge/core/Transport.java
+++ b/src/main/java/pondridge/core/Transport.java
@@ -23,7 +23,7 @@
         void ended(Outcome outcome, UpstreamResponse response, float[] load);
 
         /**
-         * Whether the attempt is still wanted; called right before the request's first byte is written. If
+         * Whether the attempt may still be written; called right before the request's first byte is written. If
          * false, nothing is written and the attempt ends as {@link Outcome#NEVER_SENT}. A connection may be
          * established in the same loop turn in which the request's deadline passes, before its timer fires.
          */
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Takes over an upstream's entry in the endpoint list. Once it is no longer ready, nothing whose last byte
+     * Applies an upstream's entry in the endpoint list. Once it is no longer ready, nothing whose last byte
      * is not yet written goes there.
      *
      * @param startedMs when its process last started, in Unix milliseconds
--- a/src/main/java/pondridge/http1/Frontend.java
+++ b/src/main/java/pondridge/http1/Frontend.java
@@ -59,7 +59,7 @@
 /**
  * The listener for the application's HTTP/1.1 connections. Reads requests, hands them on and writes one
  * response to each. Malformed requests are rejected here at once, and their connection is closed. Every state
- * of a connection but waiting for a response is limited in time.
+ * of a connection except the wait for a response has a timeout.
  */
 public final class Frontend {
     private static final int MAX_BODY_BYTES = 1 << 16;
@@ -72,7 +72,7 @@
     private static final int MAX_ACCEPTS_PER_TURN = 4;
     /**
      * Bytes of pipelined requests that each connection may always hold. Reading goes on while a request is
-     * open, since a disconnect would otherwise stay unseen behind the unread bytes.
+     * open, since a disconnect would otherwise stay undetected behind the unread bytes.
      */
     private static final int GUARANTEED_PIPELINED_BYTES = MAX_BODY_BYTES;
     /**
@@ -104,7 +104,7 @@
     private Channel serverChannel;
     private RequestLog log = RequestLog.NONE;
 
-    /** Creates a front end that holds at most {@code maxConnections} client connections at once. */
+    /** Creates a frontend that holds at most {@code maxConnections} client connections at once. */
     public Frontend(RequestProcessor requestProcessor, BalancerOptions options, int maxConnections) {
         this.requestProcessor = requestProcessor;
         this.jobReader = new JobReader(options);
@@ -113,7 +113,7 @@
 
     /**
      * Binds the listener. Requests are served from then on; {@code /up} responds with 200 only after
-     * {@link #ready}. May be called again if it failed.
+     * {@link #markReady}. May be called again if it failed.
      */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
@@ -168,7 +168,7 @@
     /**
      * Starts draining: each response closes its connection, and idle connections are closed. A client whose
      * request meets such a close sends it again on a new connection; new connections are still accepted. A new
-     * connection is kept until its timeout, since closing it would lose a request that is on its way.
+     * connection is kept until its timeout, since closing it would lose a request in transit.
      */
     public void drain() {
         draining = true;
@@ -219,7 +219,7 @@
         private final Channel channel;
         /**
          * Messages that arrived while a request was open. Reading goes on, within limits: otherwise the
-         * client's disconnect would stay unseen, and its requests would be forwarded one after the other.
+         * client's disconnect would stay undetected, and its requests would be forwarded one after the other.
          */
         private final ArrayDeque<PipelinedMessage> pipelined = new ArrayDeque<>(1);
 
--- a/src/main/java/pondridge/http1/Upstreams.java
+++ b/src/main/java/pondridge/http1/Upstreams.java
@@ -104,10 +104,10 @@
     }
 
     /**
-     * Takes over an upstream's entry in the endpoint list. Once it is no longer ready, nothing that is not yet
+     * Applies an upstream's entry in the endpoint list. Once it is no longer ready, nothing that is not yet
      * written goes there: attempts waiting for a connection end as {@link Outcome#CONNECT_FAILED}, and idle
      * connections are closed. The same applies to connections to an earlier process or another address, even if
-     * they are still being established or still await a response: a machine that vanished has not closed them,
+     * they are still being established or still await a response: a machine that has failed has not closed them,
      * and a request written to them would count as one that may have run.
      */
     @Override
@@ -307,8 +307,8 @@
         }
 
         /**
-         * Sets the time left at the write. With the time left when the attempt was ordered, an upstream would
-         * keep working after the client's timeout.
+         * Sets the time left at the write. With the time left when the balancer sent the attempt, an
+         * upstream would keep working after the client's timeout.
          */
         private void setTimeLeft() {
             if (request.headers().contains(DEADLINE_HEADER)) {
--- a/src/main/java/pondridge/http1/package-info.java
+++ b/src/main/java/pondridge/http1/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1: the front end for clients, and the transport to upstreams. */
+/** HTTP/1.1: the frontend for clients, and the transport to upstreams. */
 package pondridge.http1;
--- a/src/main/java/pondridge/lab/Simulation.java
+++ b/src/main/java/pondridge/lab/Simulation.java
@@ -359,12 +359,12 @@
         }
 
         @Override
-        public void setTimer(long token, long atNanos) {
+        public void setTimer(long token, long dueNanos) {
             queue.schedule(
-                    Math.max(nowNanos, atNanos - CLOCK_START_NANOS),
-                    firedNanos -> runWhenResumed(firedNanos, dueNanos -> {
+                    Math.max(nowNanos, dueNanos - CLOCK_START_NANOS),
+                    firedNanos -> runWhenResumed(firedNanos, resumedNanos -> {
                         if (!stopped) {
-                            balancer.timerFired(CLOCK_START_NANOS + dueNanos, token);
+                            balancer.timerFired(CLOCK_START_NANOS + resumedNanos, token);
                         }
                     }));
         }
@@ -384,7 +384,7 @@
         public void log(String line) {}
 
         @Override
-        public void setSubscription(boolean on) {}
+        public void setSubscription(boolean subscribed) {}
 
         @Override
         public void fetchEndpointList() {}
--- a/src/main/java/pondridge/lab/SimulationResult.java
+++ b/src/main/java/pondridge/lab/SimulationResult.java
@@ -23,7 +23,7 @@
         public int refusedImmediately;
         /** Tries that a sidecar refused in this second after queueing, with no attempt sent. */
         public int refusedAfterQueueing;
-        /** Tries that a sidecar refused in this second after failed or unanswered attempts. */
+        /** Tries that a sidecar refused in this second after failed attempts or attempts without a response. */
         public int refusedAfterAttempts;
         /** Attempts rejected by servers, by the second in which the sidecar received the rejection. */
         public int rejectedByServers;
--- a/src/main/java/pondridge/platform/DiscoveryClient.java
+++ b/src/main/java/pondridge/platform/DiscoveryClient.java
@@ -172,16 +172,16 @@
      * service's queue.
      */
     @Override
-    public void watch(boolean on) {
-        watchRequested = on;
-        if (on && watch != null && !watch.responded) {
+    public void watch(boolean enabled) {
+        watchRequested = enabled;
+        if (enabled && watch != null && !watch.responded) {
             return;
         }
         if (watch != null) {
             watch.close();
             watch = null;
         }
-        if (on) {
+        if (enabled) {
             watch = new Call(true);
             watch.open();
         }
--- a/src/main/java/pondridge/sidecar/Main.java
+++ b/src/main/java/pondridge/sidecar/Main.java
@@ -183,7 +183,7 @@
 
     private static void markReady(PlatformConfig config, Frontend frontend, SecondaryFrontend secondary) {
         frontend.markReady();
-        secondary.ready();
+        secondary.markReady();
         if (!System.getProperty("java.vm.info", "").contains("sharing")) {
             // If an archive exists but does not match, the JVM prints its own warning.
             System.err.println("pondridge: class data sharing archive not in use, so startup was slow");
@@ -219,7 +219,7 @@
                     TimeUnit.MILLISECONDS);
             loop.scheduleWithFixedDelay(
                     () -> {
-                        if (frontend.hasNoConnections() && engine.isIdle() && secondary.idle()) {
+                        if (frontend.hasNoConnections() && engine.isIdle() && secondary.isIdle()) {
                             drained.countDown();
                         }
                     },
--- a/src/main/java/pondridge/sidecar/SecondaryFrontend.java
+++ b/src/main/java/pondridge/sidecar/SecondaryFrontend.java
@@ -12,13 +12,13 @@
     /** No secondary frontend. */
     SecondaryFrontend NONE = new SecondaryFrontend() {};
 
-    /** Starts listening, then calls {@code onListening}. Until {@link #ready} it reports that it is not ready. */
+    /** Starts listening, then calls {@code onListening}. Until {@link #markReady} it reports that it is not ready. */
     default void listen(Runnable onListening) {
         onListening.run();
     }
 
     /** Reports readiness from now on. Called after the warm-up. */
-    default void ready() {}
+    default void markReady() {}
 
     /** Starts draining, since the process is about to exit. */
     default void drain() {}
@@ -27,7 +27,7 @@
     default void close() {}
 
     /** Whether no request is open. */
-    default boolean idle() {
+    default boolean isIdle() {
         return true;
     }
 
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void ready() {
+        public void markReady() {
             frontend.setReady(true);
         }
 
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public boolean idle() {
+        public boolean isIdle() {
             return frontend.isIdle();
         }
     }
--- a/src/main/java/pondridge/sidecar/WarmUp.java
+++ b/src/main/java/pondridge/sidecar/WarmUp.java
@@ -31,31 +31,31 @@
     private static final Job HEALTH_CHECK =
             new Job(0, 0, 0, 0, 0, false, HttpMethod.GET, "/up", new DefaultHttpHeaders(), new byte[0]);
 
-    private final Upstreams ownFrontend;
+    private final Upstreams frontendClient;
     private final Runnable onDone;
     private final long startNanos = System.nanoTime();
 
-    private WarmUp(Upstreams ownFrontend, Runnable onDone) {
-        this.ownFrontend = ownFrontend;
+    private WarmUp(Upstreams frontendClient, Runnable onDone) {
+        this.frontendClient = frontendClient;
         this.onDone = onDone;
     }
 
     /** Call on the event loop. {@code onDone} runs at the end, also if the frontend cannot be reached. */
     static void run(EventLoop loop, BalancerOptions options, InetSocketAddress frontendAddress, Runnable onDone) {
         warmUpBalancer(options.settings());
-        Upstreams ownFrontend = new Upstreams(loop, options, 1);
-        ownFrontend.updateEndpoint(0, frontendAddress, 0, true);
-        new WarmUp(ownFrontend, onDone).sendRequests(ITERATIONS);
+        Upstreams frontendClient = new Upstreams(loop, options, 1);
+        frontendClient.updateEndpoint(0, frontendAddress, 0, true);
+        new WarmUp(frontendClient, onDone).sendRequests(ITERATIONS);
     }
 
-    /** Sends requests one by one. The frontend, not ready yet, responds with 503 on the usual request path. */
+    /** Sends requests one by one. The frontend, not ready yet, responds with 503 on the normal request path. */
     private void sendRequests(int remaining) {
         if (remaining == 0 || System.nanoTime() - startNanos > TIME_LIMIT_NANOS) {
-            ownFrontend.close();
+            frontendClient.close();
             onDone.run();
             return;
         }
-        ownFrontend.send(
+        frontendClient.send(
                 0,
                 HEALTH_CHECK,
                 REQUEST_TIMEOUT_NANOS,
@@ -83,10 +83,10 @@
 
     private static final class NoOpActions implements Balancer.Actions {
         @Override
-        public void send(long request, long upstream, long timeout) {}
+        public void send(long request, long upstream, long timeoutNanos) {}
 
         @Override
-        public void refuse(long request, long wait) {}
+        public void refuse(long request, long retryAfterNanos) {}
 
         @Override
         public void fail(long request) {}
@@ -95,7 +95,7 @@
         public void cancelAttempt(long request, int attempt) {}
 
         @Override
-        public void setTimer(long token, long at) {}
+        public void setTimer(long token, long dueNanos) {}
 
         @Override
         public void probe(long upstream) {}
@@ -110,7 +110,7 @@
         public void log(String line) {}
 
         @Override
-        public void setSubscription(boolean on) {}
+        public void setSubscription(boolean subscribed) {}
 
         @Override
         public void fetchEndpointList() {}
--- a/src/test/java/pondridge/ColdServerLoadTest.java
+++ b/src/test/java/pondridge/ColdServerLoadTest.java
@@ -32,9 +32,9 @@
 
 /**
  * Guards against overload of cold servers by the sum of all sidecars, which do not communicate here. Real
- * balancers run over six simulated servers; a request takes a warm thread 20 ms +-40 %. In every window of
- * {@code tipAfter} a cold server may get N + 2 x sqrt(N) + 2 requests of mean work, rejected ones included, where
- * N is the overload factor x its capacity at the end of the window x the window ({@link ColdStartBudget}). Its
+ * balancers run over six simulated servers; a request takes a warm thread 20 ms +-40 %. In every overload window a
+ * cold server may get N + 2 x sqrt(N) + 2 requests of mean work, rejected ones included, where N is the overload
+ * factor x its capacity at the end of the window x the length of the window ({@link ColdStartBudget}). Its
  * capacity grows evenly from the cold share to the full value over the ramp time. A server that gets more crashes
  * and stays down, and the test fails. The test also requires that cold servers are used: the reference is their
  * capacity over the five observed seconds, or the offered load if that is less.
--- a/src/test/java/pondridge/DiscoverySubscriptionTest.java
+++ b/src/test/java/pondridge/DiscoverySubscriptionTest.java
@@ -136,7 +136,7 @@
         /** Runs until the given time or until the change is received. */
         void runUntil(long until) {
             while (changeReceivedAt == NEVER) {
-                long timer = host.timers.isEmpty() ? NEVER : host.timers.peek().at();
+                long timer = host.timers.isEmpty() ? NEVER : host.timers.peek().dueNanos();
                 long next = Math.min(Math.min(timer, endsAt), fetchAt);
                 if (next > until) {
                     host.advance(until - host.now);
@@ -175,7 +175,7 @@
     }
 
     /**
-     * Discovery is down for up to two minutes, from the start or during an open watch that ends or falls silent;
+     * Discovery is down for up to two minutes, from the start or during an open watch that ends or becomes silent;
      * after its recovery up to two more calls fail. A silent watch, a failed call and a wait of 2 s add up to more
      * than 6 s, so with each further failure the response with the change arrives sooner here.
      */
@@ -246,7 +246,7 @@
             sidecar.onFailure();
             while (sidecar.host.now < from + 60 * SECOND) {
                 int before = sidecar.host.subscribeCalls;
-                sidecar.host.advance(sidecar.host.timers.peek().at() - sidecar.host.now);
+                sidecar.host.advance(sidecar.host.timers.peek().dueNanos() - sidecar.host.now);
                 if (sidecar.host.subscribeCalls > before) {
                     long last = sidecar.lastCall;
                     assertTrue(sidecar.host.now - last >= 600 * MS, "calls of one sidecar are at least 0.6 s apart");
@@ -328,9 +328,9 @@
         assertTrue(calls / 120.0 <= 45, "calls per second: " + calls / 120.0);
     }
 
-    /** An open watch causes no calls. An unanswered one is requested again while there is time. */
+    /** An open watch causes no calls. One without a response is requested again while there is time. */
     @Test
-    void openWatchCausesNoCallsAndAnUnansweredOneIsRenewed() {
+    void openWatchCausesNoCallsAndOneWithoutResponseIsRenewed() {
         for (long askWithin : ASK_WITHIN) {
             RecordingHost host = new RecordingHost(settings(askWithin), 7);
             host.advance(3_999 * MS);
--- a/src/test/java/pondridge/LoadBalancingPolicyTest.java
+++ b/src/test/java/pondridge/LoadBalancingPolicyTest.java
@@ -152,7 +152,7 @@
         RecordingHost host = host(ONCE).withUpstreams(1);
         host.request(1, 0);
         RecordingHost.Timer timer = host.timers.poll();
-        host.now = timer.at() - 30;
+        host.now = timer.dueNanos() - 30;
         host.policy.timerFired(host.now, timer.token());
         host.advance(2_000 * MS);
         assertEquals(List.of("fail 1"), host.finalResponses);
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void tryLimitIsKept() {
+    void attemptLimitIsKept() {
         RecordingHost host = host(REPEATABLE).withUpstreams(9);
         host.request(1, 0);
         for (int i = 0; i < 5 && host.finalResponses.isEmpty(); i++) {
@@ -423,7 +423,7 @@
     }
 
     @Test
-    void requestProceedsIfNoProbeIsAnswered() {
+    void requestProceedsIfNoProbeGetsAResponse() {
         RecordingHost host = probingHost(100);
         host.request(1, 0);
         host.advance(30 * MS);
--- a/src/test/java/pondridge/RandomEventsTest.java
+++ b/src/test/java/pondridge/RandomEventsTest.java
@@ -93,7 +93,8 @@
         if (uncertain != null) {
             assertTrue(record.requestClass.retrySemantics() != RetrySemantics.ONCE, "once sent twice: " + sent);
             if (record.requestClass.retrySemantics() == RetrySemantics.BY_KEY) {
-                assertTrue(sent.at() < uncertain.at() + record.requestClass.keyTtlNanos(), "key expired: " + sent);
+                assertTrue(
+                        sent.sentAt() < uncertain.sentAt() + record.requestClass.keyTtlNanos(), "key expired: " + sent);
                 long a = uncertain.upstream();
                 long b = sent.upstream();
                 switch (record.requestClass.keyScope()) {
@@ -125,7 +126,7 @@
         assertTrue(pendingProbes.isEmpty(), "no probe is allowed");
     }
 
-    /** Probes are answered at once, late, with a failure, with a truncated report, or never. */
+    /** Probes get a response at once, late, with a failure, with a truncated report, or never. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18})
     void invariantsHoldWithProbesBeforeASend(long seed) {
@@ -224,7 +225,7 @@
                 sent.attempt(),
                 sent.upstream(),
                 outcome,
-                host.now - sent.at(),
+                host.now - sent.sentAt(),
                 alreadyEnded || outcome == Outcome.OK,
                 new float[0]);
         checkActions();
--- a/src/test/java/pondridge/RecordingHost.java
+++ b/src/test/java/pondridge/RecordingHost.java
@@ -27,14 +27,14 @@
     static final RequestClass BY_KEY_IN_CELL = requestClass(RetrySemantics.BY_KEY, KeyScope.CELL);
     static final RequestClass BY_KEY_ANYWHERE = requestClass(RetrySemantics.BY_KEY, KeyScope.ALL);
 
-    record SentAttempt(long request, int attempt, long upstream, long at) {}
+    record SentAttempt(long request, int attempt, long upstream, long sentAt) {}
 
-    record Timer(long at, long token) {}
+    record Timer(long dueNanos, long token) {}
 
     final List<String> actions = new ArrayList<>();
     final List<SentAttempt> sends = new ArrayList<>();
     final List<String> finalResponses = new ArrayList<>();
-    final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
     final LoadBalancingPolicy policy;
     long now = 1_000 * MS;
     int subscribeCalls;
@@ -142,15 +142,22 @@
 
     void outcome(SentAttempt sent, Outcome outcome, float... load) {
         policy.attemptEnded(
-                now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at, outcome == Outcome.OK, load);
+                now,
+                sent.request,
+                sent.attempt,
+                sent.upstream,
+                outcome,
+                now - sent.sentAt,
+                outcome == Outcome.OK,
+                load);
     }
 
     /** Advances the clock and fires every timer that becomes due. */
     void advance(long by) {
         long end = now + by;
-        while (!timers.isEmpty() && timers.peek().at <= end) {
+        while (!timers.isEmpty() && timers.peek().dueNanos <= end) {
             Timer timer = timers.poll();
-            now = Math.max(now, timer.at);
+            now = Math.max(now, timer.dueNanos);
             policy.timerFired(now, timer.token);
         }
         now = end;
@@ -187,14 +194,14 @@
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
-        actions.add("send " + request + " " + upstream + " " + timeout);
+    public void send(long request, long upstream, long timeoutNanos) {
+        actions.add("send " + request + " " + upstream + " " + timeoutNanos);
         sends.add(new SentAttempt(request, sendsOf(request).size(), upstream, now));
     }
 
     @Override
-    public void refuse(long request, long wait) {
-        actions.add("refuse " + request + " " + wait);
+    public void refuse(long request, long retryAfterNanos) {
+        actions.add("refuse " + request + " " + retryAfterNanos);
         finalResponses.add("refuse " + request);
     }
 
@@ -210,9 +217,9 @@
     }
 
     @Override
-    public void setTimer(long token, long at) {
-        actions.add("timer " + token + " " + at);
-        timers.add(new Timer(at, token));
+    public void setTimer(long token, long dueNanos) {
+        actions.add("timer " + token + " " + dueNanos);
+        timers.add(new Timer(dueNanos, token));
     }
 
     @Override
@@ -236,8 +243,8 @@
     }
 
     @Override
-    public void setSubscription(boolean on) {
-        actions.add("subscribe " + on);
+    public void setSubscription(boolean subscribed) {
+        actions.add("subscribe " + subscribed);
         subscribeCalls++;
     }
 
--- a/src/test/java/pondridge/UnusualSettingsTest.java
+++ b/src/test/java/pondridge/UnusualSettingsTest.java
@@ -21,7 +21,7 @@
 /** Settings that differ from the three deployments: minimal hosts, single servers, large and emptied lists. */
 class UnusualSettingsTest {
 
-    /** A host that allows nothing but sending, with the given try limit. */
+    /** A host that supports nothing but sending, with the given limit of attempts. */
     private static RecordingHost minimalHost(int maxAttempts, RequestClass... classes) {
         HostCapabilities capabilities = new HostCapabilities(false, false, false, false, false, maxAttempts, 0, 0);
         SafetyLimits limits = new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void tryLimitOfOneAllowsNoRetry() {
+    void attemptLimitOfOneAllowsNoRetry() {
         RecordingHost host = minimalHost(1, RecordingHost.REPEATABLE).withUpstreams(3);
         host.request(1, 0);
         host.outcome(host.lastSend(), Outcome.REJECTED);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void disallowedActionsAreNeverRequested() {
+    void unsupportedActionsAreNeverIssued() {
         RecordingHost host =
                 minimalHost(3, RecordingHost.REPEATABLE, RecordingHost.ONCE).withUpstreams(2);
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/pondridge/http1/UpstreamsTest.java
+++ b/src/test/java/pondridge/http1/UpstreamsTest.java
@@ -168,7 +168,7 @@
         }
     }
 
-    /** A machine that vanished and came back under the same address has not closed its old connections. */
+    /** A machine that failed and restarted at the same address has not closed its old connections. */
     @Test
     void idleConnectionsAreClosedAfterARestart() throws Exception {
         try (StubServer upstream = StubServer.serving("x")) {
--- a/src/test/java/pondridge/sidecar/ConnectionCloseTest.java
+++ b/src/test/java/pondridge/sidecar/ConnectionCloseTest.java
@@ -73,7 +73,7 @@
 
     /** A request is unread on a reused connection when draining starts. */
     @Test
-    void anUnreadRequestIsAnsweredWhenDrainingStarts() throws Exception {
+    void anUnreadRequestGetsAResponseWhenDrainingStarts() throws Exception {
         try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream);
                 SidecarFixture.Client client = new SidecarFixture.Client(sidecar.address)) {
--- a/src/test/java/pondridge/sidecar/DeployCommandIT.java
+++ b/src/test/java/pondridge/sidecar/DeployCommandIT.java
@@ -108,7 +108,7 @@
         assertEquals(0, awaitExit());
     }
 
-    /** At SIGTERM open requests are answered, new connections are still accepted, and the process exits by itself. */
+    /** At SIGTERM open requests get responses, new connections are still accepted, and the process exits by itself. */
     @Test
     void runServesAndShutsDownGracefullyAtSigterm() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -140,7 +140,7 @@
         }
     }
 
-    /** At most 3 s of a deadline count at shutdown: a request with 20 s left is still answered before SIGKILL. */
+    /** At most 3 s of a deadline count at shutdown: a request with 20 s left still gets a response before SIGKILL. */
     @Test
     void aLongDeadlineIsShortenedAtSigterm() throws Exception {
         try (StubServer hung = new StubServer((socket, head) -> true)) {
--- a/src/test/java/pondridge/sidecar/ShutdownTest.java
+++ b/src/test/java/pondridge/sidecar/ShutdownTest.java
@@ -77,9 +77,9 @@
         }
     }
 
-    /** All requests sent before the connection close is announced are answered; the last response closes it. */
+    /** All requests sent before the connection close is announced get responses; the last response closes it. */
     @Test
-    void pipelinedRequestsAreStillAnswered() throws Exception {
+    void pipelinedRequestsStillGetResponses() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (StubServer upstream = new StubServer((socket, head) -> {
                     return StubServer.await(go) && StubServer.reply(socket, "200 OK", "", "x");
@@ -99,7 +99,7 @@
 
     /** A request whose deadline is after the shutdown deadline still gets its response. */
     @Test
-    void openRequestsAreAnsweredBeforeTheShutdownDeadline() throws Exception {
+    void openRequestsGetResponsesBeforeTheShutdownDeadline() throws Exception {
         try (StubServer hung = new StubServer((socket, head) -> true);
                 SidecarFixture sidecar = SidecarFixture.with(hung);
                 SidecarFixture.Client safe = new SidecarFixture.Client(sidecar.address);
@@ -119,7 +119,7 @@
             assertEquals(
                     503,
                     sidecar.exchange(SidecarFixture.safeRequest("b")).status(),
-                    "later requests are answered at once");
+                    "later requests get a response at once");
             assertTrue(sidecar.loop.submit(sidecar.engine::isIdle).get());
             assertEquals(1, timerFired.getCount(), "by the shutdown, not by the deadline");
         }
--- a/src/test/java/pondridge/sidecar/SidecarTest.java
+++ b/src/test/java/pondridge/sidecar/SidecarTest.java
@@ -197,7 +197,7 @@
 
     /** The client gets a response before its deadline even if the upstreams send nothing. */
     @Test
-    void clientIsAnsweredBeforeItsDeadlineIfUpstreamsAreSilent() throws Exception {
+    void clientGetsAResponseBeforeItsDeadlineIfUpstreamsAreSilent() throws Exception {
         try (StubServer silent = new StubServer((socket, head) -> true);
                 SidecarFixture sidecar = SidecarFixture.with(silent)) {
             String shorter =
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+    void pipelinedRequestsGetResponsesInOrder() throws Exception {
         StubServer.Script echo =
                 (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
         try (StubServer upstream = new StubServer(echo);
@@ -351,7 +351,7 @@
 
     /**
      * Two parsers could disagree on the length of such a request, which could hide a second one (request smuggling), or
-     * each use another value of a repeated header. It is answered with 400, the connection is closed, and nothing
+     * each use another value of a repeated header. It gets status 400, the connection is closed, and nothing
      * reaches an upstream.
      */
     @Test
@@ -447,7 +447,7 @@
 
     /** The memory of a request is released with its response and not held by its deadline timer. */
     @Test
-    void answeredRequestIsReleasedBeforeItsDeadline() throws Exception {
+    void completedRequestIsReleasedBeforeItsDeadline() throws Exception {
         try (StubServer upstream = StubServer.serving("x");
                 SidecarFixture sidecar = SidecarFixture.with(upstream)) {
             WeakReference<byte[]> body = completeRequest(sidecar);
@@ -472,7 +472,7 @@
             }
 
             @Override
-            public void refused(long wait) {}
+            public void refused(long retryAfterNanos) {}
 
             @Override
             public void failed() {}
