--- a/src/main/java/pondridge/LoadBalancingPolicy.java
+++ b/src/main/java/pondridge/LoadBalancingPolicy.java
@@ -1330,7 +1330,7 @@
             Server server = attempt.server;
             // While most requests are shed, the few admitted ones would outweigh earlier late responses only after
             // seconds of refusals. So each admitted request also counts for those shed beside it. A request counts
-            // once, by its last response: full servers reject it up to the try limit within milliseconds, all
+            // once, by its last response: full servers reject it up to the attempt limit within milliseconds, all
             // because of the same short burst.
             completed.add(now, call.countedAsCompleted ? 0 : call.samplingWeight);
             onTime.add(now, outcome == Outcome.OK && now <= call.sloDeadline ? call.samplingWeight : 0);
--- a/src/main/java/pondridge/core/RequestLog.java
+++ b/src/main/java/pondridge/core/RequestLog.java
@@ -36,7 +36,7 @@
     default void clientDisconnected(long number) {}
 
     /** A client connection was closed by this process, for the given reason. */
-    default void connectionClosed(String client, String reason, String stage) {}
+    default void connectionClosed(String client, String reason, String state) {}
 
     /** A discovery call was started. */
     default void discoveryCallStarted(boolean watching, long fromRevision) {}
--- a/src/main/java/pondridge/core/StderrRequestLog.java
+++ b/src/main/java/pondridge/core/StderrRequestLog.java
@@ -45,8 +45,8 @@
     }
 
     @Override
-    public void connectionClosed(String client, String reason, String stage) {
-        writeLine("closed " + client + " " + reason + " stage=" + stage);
+    public void connectionClosed(String client, String reason, String state) {
+        writeLine("closed " + client + " " + reason + " stage=" + state);
     }
 
     @Override
--- a/src/main/java/pondridge/lab/ColdStartBudget.java
+++ b/src/main/java/pondridge/lab/ColdStartBudget.java
@@ -32,7 +32,9 @@
         this.warmCapacityPerNano = warmCapacityPerNano;
     }
 
-    /** Returns the present fraction of the warm capacity. It grows linearly from the cold share to 1 over the ramp. */
+    /**
+     * Returns the current fraction of the warm capacity. It grows linearly from the cold fraction to 1 over the ramp.
+     */
     double capacityFraction(long nowNanos) {
         double rampProgress = limits.rampNanos() == 0 ? 1 : (nowNanos - startedNanos) / (double) limits.rampNanos();
         return limits.coldCapacityFraction()
--- a/src/main/java/pondridge/platform/DiscoveryClient.java
+++ b/src/main/java/pondridge/platform/DiscoveryClient.java
@@ -240,7 +240,7 @@
         }
     }
 
-    private void rewatchIfPushed() {
+    private void reopenWatchIfPushed() {
         if (pushed && watchRequested) {
             loop.schedule(
                     () -> {
@@ -358,7 +358,7 @@
                 }
                 if (watch == this) {
                     watch = null;
-                    rewatchIfPushed();
+                    reopenWatchIfPushed();
                 } else if (pushed) {
                     loop.schedule(
                             DiscoveryClient.this::fetchFullListIfPending, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/pondridge/ColdServerLoadTest.java
+++ b/src/test/java/pondridge/ColdServerLoadTest.java
@@ -35,7 +35,7 @@
  * balancers run over six simulated servers; a request takes a warm thread 20 ms +-40 %. In every overload window a
  * cold server may get N + 2 x sqrt(N) + 2 requests of mean work, rejected ones included, where N is the overload
  * factor x its capacity at the end of the window x the length of the window ({@link ColdStartBudget}). Its
- * capacity grows evenly from the cold share to the full value over the ramp time. A server that gets more crashes
+ * capacity grows evenly from the cold fraction to the full value over the ramp time. A server that gets more crashes
  * and stays down, and the test fails. The test also requires that cold servers are used: the reference is their
  * capacity over the five observed seconds, or the offered load if that is less.
  */
@@ -263,7 +263,7 @@
                 sentAtOnce + " sent at once, " + sentAfterIdle + " sent after an idle minute");
     }
 
-    /** Each warm server served 33 requests per second; twice the cold share of that is 26 per second. */
+    /** Each warm server served 33 requests per second; twice the cold fraction of that is 26 per second. */
     @Test
     void rejectedRequestsCountAgainstTheBudget() {
         for (Outcome rejection : List.of(Outcome.REJECTED, Outcome.CONNECT_FAILED)) {
--- a/src/test/java/pondridge/LoadBalancingPolicyTest.java
+++ b/src/test/java/pondridge/LoadBalancingPolicyTest.java
@@ -287,7 +287,7 @@
         int before = host.sends.size();
         host.serve(5_000, 5_300, 0, 5 * MS);
         long cold = host.countSendsTo(9, before);
-        // 1.5 s at 200 requests per second over 4 warm servers: 75 each; the cold share is 0.3 and has hardly grown.
+        // 1.5 s at 200 requests per second over 4 warm servers: 75 each; the cold fraction is 0.3 and has hardly grown.
         assertTrue(cold > 5 && cold < 40, "requests sent to the cold upstream: " + cold);
     }
 
@@ -305,7 +305,7 @@
             cold += (int) host.countSendsTo(9, before);
             warm += 5 - (int) host.countSendsTo(9, before);
         }
-        // A warm upstream gets about 120; the cold share of 0.3 grows to 0.4 in these 1.5 s.
+        // A warm upstream gets about 120; the cold fraction of 0.3 grows to 0.4 in these 1.5 s.
         assertTrue(cold > 5 && cold < 0.5 * warm / 4, "cold upstream: " + cold + ", warm ones: " + warm);
     }
 
